--- a/apps/control_plane.cpp
+++ b/apps/control_plane.cpp
@@ -5,7 +5,8 @@
 
 int main(int argc, char** argv) {
   using namespace tealshelf;
-  CLI::App app("The control plane of tealshelf: charter, register of workers, members, holds, lots and stamps.", "tealshelf-control-plane");
+  CLI::App app("The control plane of tealshelf: charter, register of workers, members, holds, lots and stamps.",
+               "tealshelf-control-plane");
   app.set_version_flag("--version", string(versionText));
   string bootPath, level = "info";
   app.add_option("--boot", bootPath, "the boot file (else TEALSHELF_BOOT, else /etc/tealshelf/boot.conf)");
--- a/apps/run.cpp
+++ b/apps/run.cpp
@@ -11,12 +11,14 @@
 Task<void> ending(asio::io_context& io, Boot const& boot, Daemon& d) {
   Moment const t = Clock::now();
   d.stop();
-  while (Clock::now() - t < d.least || (!d.idle() && Clock::now() - t < Ms(boot.bounds.grace * 9 / 10))) co_await pause(Ms(boot.bounds.step / 4));
+  while (Clock::now() - t < d.least || (!d.idle() && Clock::now() - t < Ms(boot.bounds.grace * 9 / 10)))
+    co_await pause(Ms(boot.bounds.step / 4));
   io.stop();
 }
 }  // namespace
 
-int runDaemon(string const& bootPath, string const& level, std::function<void(asio::io_context&, Boot const&, Daemon&)> start) {
+int runDaemon(string const& bootPath, string const& level,
+              std::function<void(asio::io_context&, Boot const&, Daemon&)> start) {
   std::signal(SIGPIPE, SIG_IGN);
   Level l = Level::info;
   if (!readLevel(level, l)) {
--- a/base/boot.cpp
+++ b/base/boot.cpp
@@ -30,32 +30,51 @@
   };
 }
 Put text(string Boot::*f) {
-  return [=](Boot& b, string const& s) { b.*f = s; return true; };
+  return [=](Boot& b, string const& s) {
+    b.*f = s;
+    return true;
+  };
 }
 Put list(vector<string> Boot::*f) {
-  return [=](Boot& b, string const& s) { b.*f = split(s, ','); return true; };
+  return [=](Boot& b, string const& s) {
+    b.*f = split(s, ',');
+    return true;
+  };
 }
 Put addr(Addr Boot::*f) {
   return [=](Boot& b, string const& s) { return readAddr(s, b.*f); };
 }
 Put flag(bool Boot::*f) {
-  return [=](Boot& b, string const& s) { b.*f = s == "true"; return s == "true" || s == "false"; };
+  return [=](Boot& b, string const& s) {
+    b.*f = s == "true";
+    return s == "true" || s == "false";
+  };
 }
 
 std::map<string, Put> const& fields() {
   static std::map<string, Put> const m = {
-      {"nodeName", text(&Boot::nodeName)}, {"role", text(&Boot::role)}, {"machineClass", text(&Boot::machineClass)},
-      {"serves", list(&Boot::serves)}, {"ipAddress", text(&Boot::ip)}, {"zone", text(&Boot::zone)}, {"region", text(&Boot::region)},
-      {"listenOn.outside", addr(&Boot::outside)}, {"listenOn.readiness", addr(&Boot::readiness)}, {"listenOn.control", addr(&Boot::control)},
-      {"internalPorts", [](Boot& b, string const& s) {
+      {"nodeName", text(&Boot::nodeName)},
+      {"role", text(&Boot::role)},
+      {"machineClass", text(&Boot::machineClass)},
+      {"serves", list(&Boot::serves)},
+      {"ipAddress", text(&Boot::ip)},
+      {"zone", text(&Boot::zone)},
+      {"region", text(&Boot::region)},
+      {"listenOn.outside", addr(&Boot::outside)},
+      {"listenOn.readiness", addr(&Boot::readiness)},
+      {"listenOn.control", addr(&Boot::control)},
+      {"internalPorts",
+       [](Boot& b, string const& s) {
          vector<string> const p = split(s, ',');
          std::uint64_t x = 0, y = 0;
-         if (p.size() != 2 || !readNumber(p[0], x) || !readNumber(p[1], y) || !x || x + 2 > y || y > 65535) return false;
+         if (p.size() != 2 || !readNumber(p[0], x) || !readNumber(p[1], y) || !x || x + 2 > y || y > 65535)
+           return false;
          b.firstPort = static_cast<int>(x);
          b.lastPort = static_cast<int>(y);
          return true;
        }},
-      {"seedNodes", [](Boot& b, string const& s) {
+      {"seedNodes",
+       [](Boot& b, string const& s) {
          b.seeds.clear();
          for (string const& t : split(s, ',')) {
            Addr a;
@@ -64,23 +83,42 @@
          }
          return true;
        }},
-      {"firstBoot", flag(&Boot::firstBoot)}, {"countsAsLoss", flag(&Boot::countsAsLoss)},
+      {"firstBoot", flag(&Boot::firstBoot)},
+      {"countsAsLoss", flag(&Boot::countsAsLoss)},
       {"limits.cpuFraction", [](Boot& b, string const& s) { return toReal(s, b.cpuFraction) && b.cpuFraction > 0; }},
-      {"limits.cpuCores", whole(&Boot::cpuCores, 1, 4096)}, {"limits.memoryMb", whole(&Boot::memoryMb, 1, 1 << 24)},
+      {"limits.cpuCores", whole(&Boot::cpuCores, 1, 4096)},
+      {"limits.memoryMb", whole(&Boot::memoryMb, 1, 1 << 24)},
       {"limits.openFiles", whole(&Boot::openFiles, 64, 1 << 24)},
-      {"limits.networkMbps", [](Boot&, string const& s) { double v = 0; return toReal(s, v); }},
-      {"limits.diskMb", whole(&Boot::diskMb, 0, 1 << 30)}, {"dataFolder", text(&Boot::dataFolder)},
-      {"discovery", text(&Boot::discovery)}, {"entry", text(&Boot::entry)}, {"reportEveryMs", whole(&Boot::reportEvery, 1, 1 << 24)},
-      {"rulesInForce", list(&Boot::rulesInForce)}, {"survive.machines", whole(&Boot::surviveMachines, 0, 1000)},
-      {"survive.zones", whole(&Boot::surviveZones, 0, 1000)}, {"survive.regions", whole(&Boot::surviveRegions, 0, 1000)},
-      {"bounds.seedDelayS", span(&Bounds::seedDelay, 1000)}, {"bounds.reuseAfterS", span(&Bounds::reuseAfter, 1000)},
-      {"bounds.inTouchMs", span(&Bounds::inTouch, 1)}, {"bounds.confirmWithinMs", span(&Bounds::confirmWithin, 1)},
-      {"bounds.catchUpS", span(&Bounds::catchUp, 1000)}, {"bounds.drainMs", span(&Bounds::drain, 1)},
-      {"bounds.graceS", span(&Bounds::grace, 1000)}, {"bounds.slackMs", span(&Bounds::slack, 1)},
-      {"bounds.applyWithinMs", span(&Bounds::applyWithin, 1)}, {"bounds.revertSlackMs", span(&Bounds::revertSlack, 1)},
-      {"bounds.stretchLimitMs", span(&Bounds::stretchLimit, 1)}, {"bounds.recoverS", span(&Bounds::recover, 1000)},
-      {"bounds.stepMs", span(&Bounds::step, 1)}, {"bounds.finishWithinS", span(&Bounds::finishWithin, 1000)},
-      {"bounds.statusEveryS", span(&Bounds::statusEvery, 1000)}, {"bounds.cancelWithinMs", span(&Bounds::cancelWithin, 1)},
+      {"limits.networkMbps",
+       [](Boot&, string const& s) {
+         double v = 0;
+         return toReal(s, v);
+       }},
+      {"limits.diskMb", whole(&Boot::diskMb, 0, 1 << 30)},
+      {"dataFolder", text(&Boot::dataFolder)},
+      {"discovery", text(&Boot::discovery)},
+      {"entry", text(&Boot::entry)},
+      {"reportEveryMs", whole(&Boot::reportEvery, 1, 1 << 24)},
+      {"rulesInForce", list(&Boot::rulesInForce)},
+      {"survive.machines", whole(&Boot::surviveMachines, 0, 1000)},
+      {"survive.zones", whole(&Boot::surviveZones, 0, 1000)},
+      {"survive.regions", whole(&Boot::surviveRegions, 0, 1000)},
+      {"bounds.seedDelayS", span(&Bounds::seedDelay, 1000)},
+      {"bounds.reuseAfterS", span(&Bounds::reuseAfter, 1000)},
+      {"bounds.inTouchMs", span(&Bounds::inTouch, 1)},
+      {"bounds.confirmWithinMs", span(&Bounds::confirmWithin, 1)},
+      {"bounds.catchUpS", span(&Bounds::catchUp, 1000)},
+      {"bounds.drainMs", span(&Bounds::drain, 1)},
+      {"bounds.graceS", span(&Bounds::grace, 1000)},
+      {"bounds.slackMs", span(&Bounds::slack, 1)},
+      {"bounds.applyWithinMs", span(&Bounds::applyWithin, 1)},
+      {"bounds.revertSlackMs", span(&Bounds::revertSlack, 1)},
+      {"bounds.stretchLimitMs", span(&Bounds::stretchLimit, 1)},
+      {"bounds.recoverS", span(&Bounds::recover, 1000)},
+      {"bounds.stepMs", span(&Bounds::step, 1)},
+      {"bounds.finishWithinS", span(&Bounds::finishWithin, 1000)},
+      {"bounds.statusEveryS", span(&Bounds::statusEvery, 1000)},
+      {"bounds.cancelWithinMs", span(&Bounds::cancelWithin, 1)},
       {"bounds.settleWithinMs", span(&Bounds::settleWithin, 1)},
       {"bounds.quotaOverrun", [](Boot& b, string const& s) { return toReal(s, b.bounds.quotaOverrun); }},
   };
@@ -99,7 +137,9 @@
   return true;
 }
 
-bool Boot::servesKind(std::string_view s) const { return std::find(serves.begin(), serves.end(), s) != serves.end(); }
+bool Boot::servesKind(std::string_view s) const {
+  return std::find(serves.begin(), serves.end(), s) != serves.end();
+}
 
 Boot readBoot(string const& text, vector<BootFault>& faults) {
   Boot b;
@@ -109,12 +149,20 @@
     while (!l.empty() && (l.back() == '\r' || l.back() == ' ')) l.pop_back();
     if (l.empty() || l[0] == '#') continue;
     std::size_t const q = l.find('=');
-    if (q == string::npos) { faults.push_back({n, "no '=' in the line"}); continue; }
+    if (q == string::npos) {
+      faults.push_back({n, "no '=' in the line"});
+      continue;
+    }
     string const k = l.substr(0, q), v = l.substr(q + 1);
-    if (k.rfind("zones.", 0) == 0) { b.zones[k.substr(6)] = v; continue; }
+    if (k.rfind("zones.", 0) == 0) {
+      b.zones[k.substr(6)] = v;
+      continue;
+    }
     std::map<string, Put>::const_iterator const f = fields().find(k);
-    if (f == fields().end()) b.unknown.push_back(k);
-    else if (!f->second(b, v)) faults.push_back({n, k + " can't be " + v});
+    if (f == fields().end())
+      b.unknown.push_back(k);
+    else if (!f->second(b, v))
+      faults.push_back({n, k + " can't be " + v});
   }
   if (b.nodeName.empty()) faults.push_back({0, "nodeName is missing"});
   if (b.ip.empty()) faults.push_back({0, "ipAddress is missing"});
--- a/base/boot.hpp
+++ b/base/boot.hpp
@@ -18,9 +18,9 @@
 
 /// The bounds of the deployment, in milliseconds unless the name says otherwise.
 struct Bounds {
-  std::int64_t seedDelay = 3000, reuseAfter = 2000, inTouch = 3000, confirmWithin = 4000, catchUp = 5000, drain = 2000, grace = 8000,
-               slack = 200, applyWithin = 2000, revertSlack = 250, stretchLimit = 5000, recover = 12000, step = 120, finishWithin = 10000,
-               statusEvery = 120000, cancelWithin = 3000, settleWithin = 1000;
+  std::int64_t seedDelay = 3000, reuseAfter = 2000, inTouch = 3000, confirmWithin = 4000, catchUp = 5000, drain = 2000,
+               grace = 8000, slack = 200, applyWithin = 2000, revertSlack = 250, stretchLimit = 5000, recover = 12000,
+               step = 120, finishWithin = 10000, statusEvery = 120000, cancelWithin = 3000, settleWithin = 1000;
   double quotaOverrun = 0.1;
 };
 
--- a/base/disk.cpp
+++ b/base/disk.cpp
@@ -1,10 +1,10 @@
 #include "base/disk.hpp"
 
-#include <boost/crc.hpp>
 #include <dirent.h>
 #include <fcntl.h>
 #include <sys/stat.h>
 #include <unistd.h>
+#include <boost/crc.hpp>
 
 namespace tealshelf {
 
@@ -25,7 +25,7 @@
 bool slurp(string const& p, string& out) {
   int const fd = ::open(p.c_str(), O_RDONLY);
   if (fd < 0) return false;
-  struct stat st{};
+  struct stat st {};
   ::fstat(fd, &st);
   out.resize(static_cast<std::size_t>(st.st_size));
   std::size_t at = 0;
@@ -51,7 +51,9 @@
   ::fsync(fd);
   ::close(fd);
 }
-string nameOf(string const& d, char const* kind, std::uint64_t n) { return d + "/" + kind + "-" + hex(n); }
+string nameOf(string const& d, char const* kind, std::uint64_t n) {
+  return d + "/" + kind + "-" + hex(n);
+}
 vector<std::pair<string, std::uint64_t>> listed(string const& d) {
   vector<std::pair<string, std::uint64_t>> r;
   DIR* const h = ::opendir(d.c_str());
@@ -148,7 +150,10 @@
 Task<void> DiskLog::settled() {
   asio::steady_timer t(io_, Moment::max());
   bool ready = false;
-  synced([&t, &ready] { ready = true; t.cancel(); });
+  synced([&t, &ready] {
+    ready = true;
+    t.cancel();
+  });
   error_code e;
   while (!ready) co_await t.async_wait(asio::redirect_error(asio::use_awaitable, e));
 }
--- a/base/disk.hpp
+++ b/base/disk.hpp
@@ -9,10 +9,10 @@
 
 /// What reading a folder of logs found.
 struct Found {
-  vector<string> records;          ///< snapshot records, then log records, in order
-  std::uint64_t torn = 0;          ///< bytes cut from a torn tail
-  vector<string> corrupt;          ///< places of records broken in the middle
-  std::uint64_t lastNo = 0;        ///< highest segment number seen
+  vector<string> records;    ///< snapshot records, then log records, in order
+  std::uint64_t torn = 0;    ///< bytes cut from a torn tail
+  vector<string> corrupt;    ///< places of records broken in the middle
+  std::uint64_t lastNo = 0;  ///< highest segment number seen
   std::uint64_t bytes = 0;
 };
 /// Reads a folder without changing it.
--- a/base/errors.cpp
+++ b/base/errors.cpp
@@ -61,12 +61,12 @@
   std::string_view reason;
 };
 constexpr Answer answers[] = {
-    {Kind::badInput, 400, "Bad Request"}, {Kind::notFound, 404, "Not Found"},
-    {Kind::conflict, 409, "Conflict"}, {Kind::stale, 412, "Precondition Failed"},
-    {Kind::tooLarge, 413, "Payload Too Large"}, {Kind::headTooLarge, 431, "Request Header Fields Too Large"},
-    {Kind::slowSender, 408, "Request Timeout"}, {Kind::overQuota, 429, "Too Many Requests"},
+    {Kind::badInput, 400, "Bad Request"},        {Kind::notFound, 404, "Not Found"},
+    {Kind::conflict, 409, "Conflict"},           {Kind::stale, 412, "Precondition Failed"},
+    {Kind::tooLarge, 413, "Payload Too Large"},  {Kind::headTooLarge, 431, "Request Header Fields Too Large"},
+    {Kind::slowSender, 408, "Request Timeout"},  {Kind::overQuota, 429, "Too Many Requests"},
     {Kind::refused, 503, "Service Unavailable"}, {Kind::unclear, 502, "Bad Gateway"},
-    {Kind::late, 504, "Gateway Timeout"}, {Kind::badBoot, 500, "Internal Server Error"},
+    {Kind::late, 504, "Gateway Timeout"},        {Kind::badBoot, 500, "Internal Server Error"},
     {Kind::disk, 500, "Internal Server Error"},
 };
 Answer const& answerOf(Kind k) {
@@ -84,10 +84,16 @@
     if (l.code == c) return l;
   return table[0];
 }
-int statusOf(Kind k) { return answerOf(k).status; }
-std::string_view reasonOf(Kind k) { return answerOf(k).reason; }
+int statusOf(Kind k) {
+  return answerOf(k).status;
+}
+std::string_view reasonOf(Kind k) {
+  return answerOf(k).reason;
+}
 
 Error::Error(Code c, std::string const& more)
-    : std::runtime_error("E" + std::to_string(static_cast<int>(c)) + " " + string(lineOf(c).text) + (more.empty() ? "" : ": " + more)), code_(c) {}
+    : std::runtime_error("E" + std::to_string(static_cast<int>(c)) + " " + string(lineOf(c).text) +
+                         (more.empty() ? "" : ": " + more)),
+      code_(c) {}
 
 }  // namespace tealshelf
--- a/base/errors.hpp
+++ b/base/errors.hpp
@@ -6,19 +6,73 @@
 namespace tealshelf {
 
 /// What sort of error it is; status and reason of an answer follow from it.
-enum class Kind { badInput, notFound, conflict, stale, tooLarge, headTooLarge, slowSender, overQuota, refused, unclear, late, badBoot, disk };
+enum class Kind {
+  badInput,
+  notFound,
+  conflict,
+  stale,
+  tooLarge,
+  headTooLarge,
+  slowSender,
+  overQuota,
+  refused,
+  unclear,
+  late,
+  badBoot,
+  disk
+};
 
 /// Numbered result codes; docs/errors.md holds the table.
 enum class Code : int {
-  unreadable = 100, unknownService = 101, samePlace = 102, noWeight = 103, noTimeLimit = 104, oldVersion = 105,
-  wrongType = 106, outOfRange = 107, badPrefix = 108, lostRace = 109,
-  noRoute = 200, headTooLong = 201, bodyTooLong = 202, slowHead = 203, badHead = 204, noWorker = 205, workersFull = 206,
-  workerBroke = 207, deadlinePassed = 208, deadlineBroken = 209, unhealthy = 210,
-  lotUnreadable = 300, lotTooMany = 301, lotTwice = 302, lotBadBody = 303, lotOverQuota = 304, lotUnknown = 305,
-  lotUnsure = 306, itemUnknown = 307, noStores = 308, staleStamp = 309, lotEnded = 310,
-  noOwner = 400, noQuorum = 401, notMember = 402, unknownNode = 403, tooFewLeft = 404, lateBeat = 405, badBeat = 406,
-  noPath = 500, connectionBroke = 501, timeUp = 502, badMessage = 503,
-  bootMissing = 600, bootBad = 601, diskFailed = 602, recordTorn = 603, recordCorrupt = 604, badArguments = 605
+  unreadable = 100,
+  unknownService = 101,
+  samePlace = 102,
+  noWeight = 103,
+  noTimeLimit = 104,
+  oldVersion = 105,
+  wrongType = 106,
+  outOfRange = 107,
+  badPrefix = 108,
+  lostRace = 109,
+  noRoute = 200,
+  headTooLong = 201,
+  bodyTooLong = 202,
+  slowHead = 203,
+  badHead = 204,
+  noWorker = 205,
+  workersFull = 206,
+  workerBroke = 207,
+  deadlinePassed = 208,
+  deadlineBroken = 209,
+  unhealthy = 210,
+  lotUnreadable = 300,
+  lotTooMany = 301,
+  lotTwice = 302,
+  lotBadBody = 303,
+  lotOverQuota = 304,
+  lotUnknown = 305,
+  lotUnsure = 306,
+  itemUnknown = 307,
+  noStores = 308,
+  staleStamp = 309,
+  lotEnded = 310,
+  noOwner = 400,
+  noQuorum = 401,
+  notMember = 402,
+  unknownNode = 403,
+  tooFewLeft = 404,
+  lateBeat = 405,
+  badBeat = 406,
+  noPath = 500,
+  connectionBroke = 501,
+  timeUp = 502,
+  badMessage = 503,
+  bootMissing = 600,
+  bootBad = 601,
+  diskFailed = 602,
+  recordTorn = 603,
+  recordCorrupt = 604,
+  badArguments = 605
 };
 
 /// One line of the table of codes.
--- a/base/log.cpp
+++ b/base/log.cpp
@@ -20,7 +20,8 @@
 
 void startLog(Level l) {
   least = l;
-  lg::add_console_log(std::cerr, lg::keywords::format = (lg::expressions::stream << lg::expressions::smessage), lg::keywords::auto_flush = true);
+  lg::add_console_log(std::cerr, lg::keywords::format = (lg::expressions::stream << lg::expressions::smessage),
+                      lg::keywords::auto_flush = true);
 }
 
 void say(Level l, std::string_view part, std::string const& text) {
@@ -32,7 +33,10 @@
 bool readLevel(std::string_view s, Level& out) {
   constexpr std::string_view names[] = {"debug", "info", "warning", "error"};
   for (int i = 0; i < 4; ++i)
-    if (names[i] == s) { out = static_cast<Level>(i); return true; }
+    if (names[i] == s) {
+      out = static_cast<Level>(i);
+      return true;
+    }
   return false;
 }
 
--- a/base/log.hpp
+++ b/base/log.hpp
@@ -10,8 +10,12 @@
 void startLog(Level least);
 /// Writes one short sentence with the prefix of a part.
 void say(Level l, std::string_view part, std::string const& text);
-inline void tell(std::string_view part, std::string const& text) { say(Level::info, part, text); }
-inline void warn(std::string_view part, std::string const& text) { say(Level::warning, part, text); }
+inline void tell(std::string_view part, std::string const& text) {
+  say(Level::info, part, text);
+}
+inline void warn(std::string_view part, std::string const& text) {
+  say(Level::warning, part, text);
+}
 /// Reads the name of a level; info if it is unknown.
 bool readLevel(std::string_view s, Level& out);
 
--- a/base/tealshelf.hpp
+++ b/base/tealshelf.hpp
@@ -37,18 +37,23 @@
 using Clock = std::chrono::steady_clock;
 using Moment = Clock::time_point;
 using Ms = std::chrono::milliseconds;
-template <class T> using Task = asio::awaitable<T>;
+template <class T>
+using Task = asio::awaitable<T>;
 using std::string;
 using std::string_view;
 using std::vector;
 
 /// A value of its own type: two strong types with different tags never mix.
-template <class T, class Tag> struct Strong {
+template <class T, class Tag>
+struct Strong {
   T v{};
   Strong() = default;
   explicit Strong(T x) : v(std::move(x)) {}
   auto operator<=>(Strong const&) const = default;
-  template <class P> void msgpack_pack(P& p) const { p.pack(v); }
+  template <class P>
+  void msgpack_pack(P& p) const {
+    p.pack(v);
+  }
   void msgpack_unpack(msgpack::object const& o) { o.convert(v); }
 };
 
@@ -72,18 +77,22 @@
 string hex(std::uint64_t v);
 
 /// Picks the best of several by rendezvous hashing.
-template <class It, class Name> It rendezvous(It b, It e, string_view key, Name name) {
+template <class It, class Name>
+It rendezvous(It b, It e, string_view key, Name name) {
   It best = e;
   std::uint64_t top = 0;
   for (It i = b; i != e; ++i) {
     std::uint64_t const h = hashOf(name(*i), hashOf(key));
-    if (best == e || h > top) { best = i; top = h; }
+    if (best == e || h > top) {
+      best = i;
+      top = h;
+    }
   }
   return best;
 }
 
 }  // namespace tealshelf
 
+#include "base/boot.hpp"
 #include "base/errors.hpp"
 #include "base/log.hpp"
-#include "base/boot.hpp"
--- a/base/util.cpp
+++ b/base/util.cpp
@@ -7,7 +7,9 @@
 std::int64_t wallMs() {
   return std::chrono::duration_cast<Ms>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
-std::int64_t leftMs(Moment until) { return std::max<std::int64_t>(0, std::chrono::duration_cast<Ms>(until - Clock::now()).count()); }
+std::int64_t leftMs(Moment until) {
+  return std::max<std::int64_t>(0, std::chrono::duration_cast<Ms>(until - Clock::now()).count());
+}
 
 std::uint64_t randomId() {
   static std::mt19937_64 g = [] {
--- a/charter/charter.cpp
+++ b/charter/charter.cpp
@@ -49,8 +49,10 @@
   vector<CharterFault>& faults_;
 };
 
-constexpr std::pair<string_view, RouteKind> kinds[] = {
-    {"repeatable", RouteKind::repeatable}, {"one_shot", RouteKind::oneShot}, {"streaming", RouteKind::streaming}, {"bulk", RouteKind::bulk}};
+constexpr std::pair<string_view, RouteKind> kinds[] = {{"repeatable", RouteKind::repeatable},
+                                                       {"one_shot", RouteKind::oneShot},
+                                                       {"streaming", RouteKind::streaming},
+                                                       {"bulk", RouteKind::bulk}};
 
 Route readRoute(Reader& r, Tree const& t, Charter const& c) {
   Route m;
@@ -62,7 +64,10 @@
   string const k = r.text(t, "kind", w, true);
   bool known = false;
   for (std::pair<string_view, RouteKind> const& p : kinds)
-    if (p.first == k) { m.kind = p.second; known = true; }
+    if (p.first == k) {
+      m.kind = p.second;
+      known = true;
+    }
   if (!known) r.fault(Code::wrongType, w + ".kind");
   m.timeLimit = static_cast<std::int64_t>(r.number(t, "timeLimitMs", w, 0, true));
   if (!m.timeLimit) r.fault(Code::noTimeLimit, w);
@@ -77,7 +82,9 @@
   m.resumable = r.flag(t, "resumable", w);
   boost::optional<Tree const&> const sp = t.get_child_optional("split");
   if (sp) {
-    for (Tree::value_type const& p : *sp) m.shares.push_back({r.text(p.second, "service", w + ".split", true), r.number(p.second, "share", w + ".split", 0, true)});
+    for (Tree::value_type const& p : *sp)
+      m.shares.push_back(
+          {r.text(p.second, "service", w + ".split", true), r.number(p.second, "share", w + ".split", 0, true)});
   } else {
     m.shares.push_back({r.text(t, "service", w, true), 1});
   }
@@ -130,7 +137,8 @@
   }
   Tree const& t = read;
   c->version = r.number(t, "version", "charter", 0, true);
-  boost::optional<Tree const&> const ss = t.get_child_optional("services"), rs = t.get_child_optional("routes"), ls = t.get_child_optional("limits");
+  boost::optional<Tree const&> const ss = t.get_child_optional("services"), rs = t.get_child_optional("routes"),
+                                     ls = t.get_child_optional("limits");
   if (!ss || !rs) r.fault(Code::unreadable, "routes or services are missing");
   if (ss)
     for (Tree::value_type const& p : *ss) {
@@ -155,11 +163,15 @@
   if (ls) {
     c->limits.headerBytes = r.number(*ls, "maxHeaderBytes", "limits", c->limits.headerBytes);
     c->limits.bodyBytes = r.number(*ls, "maxBodyBytes", "limits", c->limits.bodyBytes);
-    c->limits.headerWait = static_cast<std::int64_t>(r.number(*ls, "headerWaitMs", "limits", static_cast<std::uint64_t>(c->limits.headerWait)));
-    c->limits.idleLimit = static_cast<std::int64_t>(r.number(*ls, "idleLimitMs", "limits", static_cast<std::uint64_t>(c->limits.idleLimit)));
+    c->limits.headerWait = static_cast<std::int64_t>(
+        r.number(*ls, "headerWaitMs", "limits", static_cast<std::uint64_t>(c->limits.headerWait)));
+    c->limits.idleLimit = static_cast<std::int64_t>(
+        r.number(*ls, "idleLimitMs", "limits", static_cast<std::uint64_t>(c->limits.idleLimit)));
   }
   for (std::pair<string const, vector<std::uint32_t>>& p : c->table)
-    std::stable_sort(p.second.begin(), p.second.end(), [&](std::uint32_t a, std::uint32_t b) { return c->routes[a].prefix.size() > c->routes[b].prefix.size(); });
+    std::stable_sort(p.second.begin(), p.second.end(), [&](std::uint32_t a, std::uint32_t b) {
+      return c->routes[a].prefix.size() > c->routes[b].prefix.size();
+    });
   return c;
 }
 
--- a/lots/desk.cpp
+++ b/lots/desk.cpp
@@ -28,7 +28,8 @@
   std::size_t const q = target.find('?');
   if (q == string_view::npos) return "";
   for (string const& p : split(target.substr(q + 1), '&'))
-    if (p.size() > key.size() && p.compare(0, key.size(), key) == 0 && p[key.size()] == '=') return p.substr(key.size() + 1);
+    if (p.size() > key.size() && p.compare(0, key.size(), key) == 0 && p[key.size()] == '=')
+      return p.substr(key.size() + 1);
   return "";
 }
 }  // namespace
@@ -42,7 +43,11 @@
     int pad = 0;
     for (std::size_t j = 0; j < 4; ++j) {
       char const c = s[i + j];
-      if (c == '=' && i + 4 == s.size() && j >= 2) { ++pad; v <<= 6; continue; }
+      if (c == '=' && i + 4 == s.size() && j >= 2) {
+        ++pad;
+        v <<= 6;
+        continue;
+      }
       signed char const d = digits[static_cast<unsigned char>(c)];
       if (d < 0 || pad) return false;
       v = v << 6 | static_cast<std::uint32_t>(d);
@@ -57,14 +62,17 @@
 vector<ItemRecord> readLot(string const& body) {
   rapidjson::Document d;
   d.Parse(body.data(), body.size());
-  if (d.HasParseError() || !d.IsObject() || !d.HasMember("requests") || !d["requests"].IsArray()) throw Error(Code::lotUnreadable);
+  if (d.HasParseError() || !d.IsObject() || !d.HasMember("requests") || !d["requests"].IsArray())
+    throw Error(Code::lotUnreadable);
   rapidjson::Value const& a = d["requests"];
   if (a.Size() > mostItems) throw Error(Code::lotTooMany);
   if (a.Empty()) throw Error(Code::lotUnreadable, "no items");
   vector<ItemRecord> v;
   std::set<string> ids;
   for (rapidjson::Value const& x : a.GetArray()) {
-    if (!x.IsObject() || !x.HasMember("serverId") || !x["serverId"].IsString() || !x.HasMember("urlPath") || !x["urlPath"].IsString()) throw Error(Code::lotUnreadable, "item");
+    if (!x.IsObject() || !x.HasMember("serverId") || !x["serverId"].IsString() || !x.HasMember("urlPath") ||
+        !x["urlPath"].IsString())
+      throw Error(Code::lotUnreadable, "item");
     ItemRecord r;
     r.id = x["serverId"].GetString();
     r.path = x["urlPath"].GetString();
@@ -72,18 +80,24 @@
     if (!ids.insert(r.id).second) throw Error(Code::lotTwice, r.id);
     if (x.HasMember("headerMap")) {
       if (!x["headerMap"].IsObject()) throw Error(Code::lotUnreadable, "headerMap");
-      for (rapidjson::Value::ConstMemberIterator h = x["headerMap"].MemberBegin(); h != x["headerMap"].MemberEnd(); ++h) {
+      for (rapidjson::Value::ConstMemberIterator h = x["headerMap"].MemberBegin(); h != x["headerMap"].MemberEnd();
+           ++h) {
         if (!h->value.IsString()) throw Error(Code::lotUnreadable, "headerMap");
         string const n = h->name.GetString(), t = h->value.GetString();
-        if ((n + t).find_first_of("\r\n") != string::npos || n.find_first_of(": ") != string::npos || n.empty()) throw Error(Code::lotUnreadable, "headerMap");
+        if ((n + t).find_first_of("\r\n") != string::npos || n.find_first_of(": ") != string::npos || n.empty())
+          throw Error(Code::lotUnreadable, "headerMap");
         r.heads.emplace_back(n, t);
       }
     }
     if (x.HasMember("payload")) {
-      if (!x["payload"].IsString() || !unbase64(string_view(x["payload"].GetString(), x["payload"].GetStringLength()), r.body)) throw Error(Code::lotBadBody, r.id);
+      if (!x["payload"].IsString() ||
+          !unbase64(string_view(x["payload"].GetString(), x["payload"].GetStringLength()), r.body))
+        throw Error(Code::lotBadBody, r.id);
     }
-    if (x.HasMember("tokens") && x["tokens"].IsNumber() && x["tokens"].GetDouble() >= 0) r.tokens = static_cast<std::uint64_t>(x["tokens"].GetDouble());
-    else throw Error(Code::lotUnreadable, "tokens");
+    if (x.HasMember("tokens") && x["tokens"].IsNumber() && x["tokens"].GetDouble() >= 0)
+      r.tokens = static_cast<std::uint64_t>(x["tokens"].GetDouble());
+    else
+      throw Error(Code::lotUnreadable, "tokens");
     v.push_back(std::move(r));
   }
   return v;
@@ -98,7 +112,8 @@
 }
 
 /// Asks the control node in use, then the others.
-template <class Q> Task<typename Q::Reply> LotDesk::keeper(Q q, Ms limit) {
+template <class Q>
+Task<typename Q::Reply> LotDesk::keeper(Q q, Ms limit) {
   std::optional<Error> last;
   int tries = 0;
   for (Addr const& a : view_.controls()) {
@@ -109,7 +124,9 @@
       co_return r;
     } catch (Error const& x) {
       if (x.code() == Code::noPath || x.code() == Code::connectionBroke || x.code() == Code::timeUp) view_.failed(a);
-      if (x.kind() == Kind::notFound || x.kind() == Kind::overQuota || x.code() == Code::staleStamp || x.code() == Code::noStores) throw;
+      if (x.kind() == Kind::notFound || x.kind() == Kind::overQuota || x.code() == Code::staleStamp ||
+          x.code() == Code::noStores)
+        throw;
       last = x;
     }
   }
@@ -185,7 +202,8 @@
   string_view const path = string_view(target).substr(0, target.find('?'));
   try {
     if (!view_.near()) throw Error(Code::lotUnsure);
-    if (path.substr(0, 7) == "/items/") co_return co_await item(host, string(path.substr(7)), query(target, "serverId"));
+    if (path.substr(0, 7) == "/items/")
+      co_return co_await item(host, string(path.substr(7)), query(target, "serverId"));
     string const id(path.substr(6));
     if (verb == "DELETE") {
       LotEnd const ask{host, id, 0};
--- a/lots/desk.hpp
+++ b/lots/desk.hpp
@@ -12,14 +12,16 @@
 /// The lot calls of clients at an edge node; one handler for the resource.
 class LotDesk {
  public:
-  LotDesk(asio::io_context& io, Boot const& boot, Rpc& rpc, FleetView& view) : io_(io), boot_(boot), rpc_(rpc), view_(view) {}
+  LotDesk(asio::io_context& io, Boot const& boot, Rpc& rpc, FleetView& view)
+      : io_(io), boot_(boot), rpc_(rpc), view_(view) {}
   /// True if a call is one of lots by its verb and path.
   bool isLotCall(Charter const& c, string_view verb, string_view host, string_view path) const;
   Task<CallAnswer> call(string verb, string host, string target, std::int64_t holdMs);
   Task<CallAnswer> handIn(Route const& m, string id, string const& body);
 
  private:
-  template <class Q> Task<typename Q::Reply> keeper(Q q, Ms limit);
+  template <class Q>
+  Task<typename Q::Reply> keeper(Q q, Ms limit);
   Task<LotRecord> where(string host, string id, bool anew);
   Task<CallAnswer> list(string host, string id, std::uint64_t from, std::int64_t holdMs);
   Task<CallAnswer> item(string host, string id, string item);
--- a/lots/keeper.cpp
+++ b/lots/keeper.cpp
@@ -2,7 +2,8 @@
 
 namespace tealshelf {
 
-LotKeeper::LotKeeper(asio::io_context& io, Boot const& boot, Rpc& rpc, Driver& driver) : io_(io), boot_(boot), rpc_(rpc), driver_(driver) {}
+LotKeeper::LotKeeper(asio::io_context& io, Boot const& boot, Rpc& rpc, Driver& driver)
+    : io_(io), boot_(boot), rpc_(rpc), driver_(driver) {}
 
 void LotKeeper::start(RpcServer& s) {
   s.on<LotOpen>([this](LotOpen q) { return open(std::move(q)); });
@@ -24,7 +25,8 @@
 }
 
 /// Hands a call to the owner of the shelf if that is another node.
-template <class Q> Task<std::optional<typename Q::Reply>> LotKeeper::elsewhere(string const& host, Q q) {
+template <class Q>
+Task<std::optional<typename Q::Reply>> LotKeeper::elsewhere(string const& host, Q q) {
   string const shelf = shelfOf(host);
   driver_.reg().know(shelf);
   Moment const until = Clock::now() + Ms(boot_.bounds.inTouch / 2);
@@ -79,10 +81,13 @@
 }
 
 /// Adds stores to the ones a lot has, in other zones first, in rendezvous order.
-vector<StoreRef> LotKeeper::choose(string const& id, std::set<Identity> const& bar, vector<StoreRef> have, std::size_t count, Moment now) const {
+vector<StoreRef> LotKeeper::choose(string const& id, std::set<Identity> const& bar, vector<StoreRef> have,
+                                   std::size_t count, Moment now) const {
   std::set<string> const leaving = retiring ? retiring() : std::set<string>();
   vector<StoreRef> live = liveStores(now);
-  std::sort(live.begin(), live.end(), [&](StoreRef const& a, StoreRef const& b) { return hashOf(a.name, hashOf(id)) > hashOf(b.name, hashOf(id)); });
+  std::sort(live.begin(), live.end(), [&](StoreRef const& a, StoreRef const& b) {
+    return hashOf(a.name, hashOf(id)) > hashOf(b.name, hashOf(id));
+  });
   for (int pass = 0; pass < 2; ++pass)
     for (StoreRef const& s : live) {
       bool used = bar.count(s.id) || leaving.count(s.name), near = false;
@@ -124,7 +129,8 @@
       LotRecord const o = unpacked<LotRecord>(p.second);
       if (o.id == r.id || o.route != r.route || o.state == static_cast<int>(LotState::ended)) continue;
       // A lot that was never accepted stops counting only when it can't be accepted any more.
-      if (o.state == static_cast<int>(LotState::taking) && !mayAccept({o.host, o.id}, Ms(boot_.bounds.inTouch))) continue;
+      if (o.state == static_cast<int>(LotState::taking) && !mayAccept({o.host, o.id}, Ms(boot_.bounds.inTouch)))
+        continue;
       if (opening_.count({o.host, o.id})) continue;
       std::map<Key, Soft>::const_iterator const s = soft_.find({o.host, o.id});
       std::uint64_t const done = s == soft_.end() ? 0 : s->second.doneTokens;
@@ -214,8 +220,12 @@
     std::optional<LotRecord> const l = driver_.reg().owns(shelfOf(c.host)) ? load(c.host, c.id) : std::nullopt;
     if (!l || l->stamp != c.stamp) continue;
     Soft& x = soft_[{c.host, c.id}];
-    if (c.about == q.self.id) x.resettle = true;
-    else { x.bad.insert(c.about); x.badAt = now; }
+    if (c.about == q.self.id)
+      x.resettle = true;
+    else {
+      x.bad.insert(c.about);
+      x.badAt = now;
+    }
   }
   std::uint64_t const since = q.life == life_ ? q.rev : 0;
   for (string const& shelf : driver_.reg().shelves()) {
@@ -225,7 +235,8 @@
       ownedSince_[shelf] = driver_.reg().epochOf(shelf);
       ownedAt_[shelf] = now;
       ++rev_;
-      for (std::pair<string const, string> const& p : driver_.reg().view(shelf)) soft_[{shelf.substr(5), p.first}].rev = rev_;
+      for (std::pair<string const, string> const& p : driver_.reg().view(shelf))
+        soft_[{shelf.substr(5), p.first}].rev = rev_;
       r.rev = rev_;
     }
     for (std::pair<string const, string> const& p : driver_.reg().view(shelf)) {
@@ -252,6 +263,8 @@
   co_return r;
 }
 
-Task<Done> LotKeeper::fence(StoreFence q) { co_return Done{grants_.fence(q.store, Clock::now())}; }
+Task<Done> LotKeeper::fence(StoreFence q) {
+  co_return Done{grants_.fence(q.store, Clock::now())};
+}
 
 }  // namespace tealshelf
--- a/lots/keeper.hpp
+++ b/lots/keeper.hpp
@@ -38,7 +38,8 @@
   Task<LotFindReply> end(LotEnd q);
   Task<StoreBeatReply> beat(StoreBeat q);
   Task<Done> fence(StoreFence q);
-  template <class Q> Task<std::optional<typename Q::Reply>> elsewhere(string const& host, Q q);
+  template <class Q>
+  Task<std::optional<typename Q::Reply>> elsewhere(string const& host, Q q);
   std::optional<LotRecord> load(string const& host, string const& id) const;
   Task<bool> save(LotRecord const& r);
   Task<void> lock(Key k);
@@ -47,7 +48,8 @@
   bool mayAccept(Key const& k, Ms within) const;
   std::size_t needed() const { return static_cast<std::size_t>(boot_.surviveMachines) + 1; }
   bool dead(Identity id, Moment now) const;
-  vector<StoreRef> choose(string const& id, std::set<Identity> const& bar, vector<StoreRef> have, std::size_t count, Moment now) const;
+  vector<StoreRef> choose(string const& id, std::set<Identity> const& bar, vector<StoreRef> have, std::size_t count,
+                          Moment now) const;
   Task<bool> fenceAt(Identity store);
   Task<void> maintain();
   bool unfit(LotRecord const& r, Soft const& s, Moment now) const;
--- a/lots/reshape.cpp
+++ b/lots/reshape.cpp
@@ -8,8 +8,10 @@
     try {
       StoreFence const ask{store};
       Done d{false};
-      if (m.id == driver_.reg().self().id) d = co_await fence(ask);
-      else d = co_await rpc_.ask(boot_.controlAt(m.ip), ask, Ms(boot_.bounds.inTouch / 6));
+      if (m.id == driver_.reg().self().id)
+        d = co_await fence(ask);
+      else
+        d = co_await rpc_.ask(boot_.controlAt(m.ip), ask, Ms(boot_.bounds.inTouch / 6));
       if (d.ok) ++ok;
     } catch (Error const&) {
     }
@@ -25,7 +27,9 @@
   std::set<string> const leaving = retiring ? retiring() : std::set<string>();
   for (StoreRef const& h : r.holders)
     if (dead(h.id, now) || leaving.count(h.name)) return true;
-  return r.holders.size() < needed() + 1 && choose(r.id, s.bad, r.holders, needed() + 1, now).size() > r.holders.size() && now - s.tried > Ms(boot_.bounds.inTouch / 3);
+  return r.holders.size() < needed() + 1 &&
+         choose(r.id, s.bad, r.holders, needed() + 1, now).size() > r.holders.size() &&
+         now - s.tried > Ms(boot_.bounds.inTouch / 3);
 }
 
 Task<void> LotKeeper::maintain() {
@@ -41,10 +45,14 @@
         LotRecord l = unpacked<LotRecord>(p.second);
         Soft& s = soft_[{l.host, l.id}];
         std::int64_t const age = wall - l.sentAt;
-        bool const over = l.state == static_cast<int>(LotState::taking) ? age > 4 * boot_.bounds.confirmWithin
-                                                                          : age > 2 * boot_.bounds.statusEvery + l.keepFor && (l.state == static_cast<int>(LotState::ended) || s.done >= l.total);
-        if (over && !s.busy && !s.locked) old.push_back({l.id, "", true});
-        else if (unfit(l, s, now)) todo.push_back(std::move(l));
+        bool const over = l.state == static_cast<int>(LotState::taking)
+                              ? age > 4 * boot_.bounds.confirmWithin
+                              : age > 2 * boot_.bounds.statusEvery + l.keepFor &&
+                                    (l.state == static_cast<int>(LotState::ended) || s.done >= l.total);
+        if (over && !s.busy && !s.locked)
+          old.push_back({l.id, "", true});
+        else if (unfit(l, s, now))
+          todo.push_back(std::move(l));
       }
       if (!old.empty()) co_await driver_.propose(shelf, old);
       std::sort(todo.begin(), todo.end(), [this](LotRecord const& a, LotRecord const& b) {
@@ -91,7 +99,10 @@
   vector<StoreRef> live;
   for (StoreRef const& h : r.holders)
     if (!dead(h.id, now) && !bad.count(h.id)) live.push_back(h);
-  if (live.empty()) { soft.bad.clear(); co_return; }
+  if (live.empty()) {
+    soft.bad.clear();
+    co_return;
+  }
   if (live[0].id != r.holders[0].id) {
     bool const fenced = co_await fenceAt(r.holders[0].id);
     if (!fenced) co_return;
--- a/lots/run_items.cpp
+++ b/lots/run_items.cpp
@@ -76,8 +76,14 @@
   ItemRecord const& it = run->items[n];
   std::shared_ptr<Charter const> const c = view_.charter();
   Route const* const m = c->byName(run->lot.route);
-  if (!m || m->kind != RouteKind::bulk || m->host != run->lot.host) { finish(run, n, false, ""); co_return true; }
-  if (wallMs() > run->lot.sentAt + run->lot.keepFor) { finish(run, n, false, ""); co_return true; }
+  if (!m || m->kind != RouteKind::bulk || m->host != run->lot.host) {
+    finish(run, n, false, "");
+    co_return true;
+  }
+  if (wallMs() > run->lot.sentAt + run->lot.keepFor) {
+    finish(run, n, false, "");
+    co_return true;
+  }
   Want want;
   want.service = m->serviceFor(hashOf(it.id));
   want.behind = true;
@@ -102,8 +108,10 @@
   balance_.first(id, it.tokens / 2);
   bool over = false;
   if (v == Verdict::notRun) {
-    if (x.status() == 503 || x.status() == 429) balance_.full(id);
-    else balance_.broke(id, true);
+    if (x.status() == 503 || x.status() == 429)
+      balance_.full(id);
+    else
+      balance_.broke(id, true);
   } else if (v != Verdict::answered) {
     balance_.broke(id, v == Verdict::notSent);
     if (v == Verdict::notSent || x.fresh()) view_.tally(id, false);
@@ -113,19 +121,32 @@
     string body;
     Piece p = Piece::some;
     while (p == Piece::some) {
-      if (!current(run)) { x.cut(); break; }
+      if (!current(run)) {
+        x.cut();
+        break;
+      }
       body.clear();
       p = co_await x.read(body, Clock::now() + silence);
       if (status == 200) ev.feed(body);
     }
     if (p == Piece::whole) {
       x.done();
-      if (status == 200) meanRun_ += (static_cast<double>(std::chrono::duration_cast<Ms>(Clock::now() - began).count()) - meanRun_) / 16;
+      if (status == 200)
+        meanRun_ += (static_cast<double>(std::chrono::duration_cast<Ms>(Clock::now() - began).count()) - meanRun_) / 16;
       balance_.well(id);
       view_.tally(id, status < 500);
-      if (status == 200) { finish(run, n, true, *ev.data); over = true; }
-      if (status == 422) { finish(run, n, false, ""); over = true; }
-      if (status == 500 && ++run->fails[n] >= std::max<std::uint64_t>(1, m->tries)) { finish(run, n, false, ""); over = true; }
+      if (status == 200) {
+        finish(run, n, true, *ev.data);
+        over = true;
+      }
+      if (status == 422) {
+        finish(run, n, false, "");
+        over = true;
+      }
+      if (status == 500 && ++run->fails[n] >= std::max<std::uint64_t>(1, m->tries)) {
+        finish(run, n, false, "");
+        over = true;
+      }
     } else if (p == Piece::broken) {
       balance_.broke(id, false);
       view_.tally(id, false);
@@ -167,14 +188,21 @@
   std::map<Identity, std::pair<StoreRef, vector<std::size_t>>> by;
   for (std::pair<Key const, RunPtr> const& p : runs_) {
     RunPtr const& r = p.second;
-    if (r->stalled || r->pending.empty() || r->lot.holders.size() < static_cast<std::size_t>(boot_.surviveMachines) + 1) continue;
+    if (r->stalled || r->pending.empty() || r->lot.holders.size() < static_cast<std::size_t>(boot_.surviveMachines) + 1)
+      continue;
     Replicas::Replica const* const x = replicas_.find(r->lot.host, r->lot.id);
-    if (!x || x->lot.stamp != r->lot.stamp) { r->stalled = true; continue; }
+    if (!x || x->lot.stamp != r->lot.stamp) {
+      r->stalled = true;
+      continue;
+    }
     Row row{r, {r->lot.host, r->lot.id, r->lot.stamp, x->results.size(), {}}, 0, true};
     for (ResultRecord const& d : r->pending) row.part.records.push_back(packed(d));
     row.count = r->pending.size();
     for (StoreRef const& h : r->lot.holders)
-      if (h.id != id_) { by[h.id].first = h; by[h.id].second.push_back(rows.size()); }
+      if (h.id != id_) {
+        by[h.id].first = h;
+        by[h.id].second.push_back(rows.size());
+      }
     rows.push_back(std::move(row));
   }
   if (rows.empty()) co_return false;
@@ -187,10 +215,11 @@
     SegAppend q;
     for (std::size_t const n : p.second.second) q.parts.push_back(rows[n].part);
     Identity const who = p.first;
-    asio::co_spawn(io_, rpc_.ask(p.second.first.at, q, Ms(boot_.bounds.inTouch / 6)), [&got, &t, left, who](std::exception_ptr x, SegAppendReply a) {
-      if (!x) got[who] = std::move(a);
-      if (!--*left) t.cancel();
-    });
+    asio::co_spawn(io_, rpc_.ask(p.second.first.at, q, Ms(boot_.bounds.inTouch / 6)),
+                   [&got, &t, left, who](std::exception_ptr x, SegAppendReply a) {
+                     if (!x) got[who] = std::move(a);
+                     if (!--*left) t.cancel();
+                   });
   }
   co_await log_.settled();
   error_code e;
@@ -206,9 +235,13 @@
   }
   for (Row& r : rows) {
     if (r.run->lot.stamp != r.part.stamp) continue;
-    if (!r.ok) { r.run->stalled = true; continue; }
+    if (!r.ok) {
+      r.run->stalled = true;
+      continue;
+    }
     r.run->listed = std::max(r.run->listed, r.part.from + r.count);
-    if (r.run->listed == r.run->lot.total) tell("lots", r.run->lot.id + " is whole after " + std::to_string(wallMs() - r.run->lot.sentAt) + " ms");
+    if (r.run->listed == r.run->lot.total)
+      tell("lots", r.run->lot.id + " is whole after " + std::to_string(wallMs() - r.run->lot.sentAt) + " ms");
     r.run->pending.erase(r.run->pending.begin(), r.run->pending.begin() + static_cast<std::ptrdiff_t>(r.count));
     for (std::shared_ptr<asio::steady_timer> const& x : r.run->readers) x->cancel();
   }
--- a/lots/store_node.cpp
+++ b/lots/store_node.cpp
@@ -3,11 +3,21 @@
 namespace tealshelf {
 
 StoreNode::StoreNode(asio::io_context& io, Boot const& boot)
-    : io_(io), boot_(boot), rpc_(io, Ms(boot.bounds.inTouch / 2)), server_(io, boot.storeAt(boot.ip), Ms(boot.bounds.inTouch / 2)),
-      view_(io, boot, rpc_, "store", boot.storeAt(boot.ip)), pools_(io, boot), balance_(boot), id_(identityOf(boot.dataFolder, fresh_)),
+    : io_(io),
+      boot_(boot),
+      rpc_(io, Ms(boot.bounds.inTouch / 2)),
+      server_(io, boot.storeAt(boot.ip), Ms(boot.bounds.inTouch / 2)),
+      view_(io, boot, rpc_, "store", boot.storeAt(boot.ip)),
+      pools_(io, boot),
+      balance_(boot),
+      id_(identityOf(boot.dataFolder, fresh_)),
       self_{id_, boot.nodeName, boot.zone, boot.storeAt(boot.ip)},
-      log_(io, boot.dataFolder + "/segments", static_cast<std::size_t>(std::max<std::int64_t>(boot.diskMb, 16)) * (1u << 20) / 3, [this] { return replicas_.snapshot(); }),
-      lease_(static_cast<std::uint64_t>(wallMs())), work_(io), flushes_(io) {
+      log_(io, boot.dataFolder + "/segments",
+           static_cast<std::size_t>(std::max<std::int64_t>(boot.diskMb, 16)) * (1u << 20) / 3,
+           [this] { return replicas_.snapshot(); }),
+      lease_(static_cast<std::uint64_t>(wallMs())),
+      work_(io),
+      flushes_(io) {
   meanRun_ = static_cast<double>(8 * boot.bounds.step);
   for (string const& r : log_.found().records) replicas_.replay(r);
   if (log_.found().torn) warn("segments", "a torn tail of " + std::to_string(log_.found().torn) + " bytes was cut");
@@ -38,7 +48,9 @@
   spawn(io_, "sweep", sweepLoop());
   tell("store", boot_.nodeName + " holds " + std::to_string(replicas_.all().size()) + " replicas");
 }
-void StoreNode::stop() { stopping_ = true; }
+void StoreNode::stop() {
+  stopping_ = true;
+}
 
 void StoreNode::persist() {
   for (string& r : replicas_.take()) log_.append(std::move(r));
@@ -64,10 +76,11 @@
     for (StoreRef const& h : holders) {
       if (h.id == id_) continue;
       ++*left;
-      asio::co_spawn(io_, rpc_.call(h.at, Method::segCreate, body, Ms(boot_.bounds.inTouch / 3)), [left, good, t, need](std::exception_ptr p, string) {
-        if (!p) ++*good;
-        if (!--*left || *good + 1 >= need) t->cancel();
-      });
+      asio::co_spawn(io_, rpc_.call(h.at, Method::segCreate, body, Ms(boot_.bounds.inTouch / 3)),
+                     [left, good, t, need](std::exception_ptr p, string) {
+                       if (!p) ++*good;
+                       if (!--*left || *good + 1 >= need) t->cancel();
+                     });
     }
     co_await log_.settled();
     error_code e;
@@ -205,13 +218,21 @@
     for (Identity const& b : r.bad) q.complaints.push_back({r.lot.host, r.lot.id, r.lot.stamp, b});
   }
   for (std::pair<Key const, std::pair<Stamp, Moment>> const& p : odd_)
-    if (now - p.second.second > Ms(boot_.bounds.inTouch / 12)) q.complaints.push_back({p.first.first, p.first.second, p.second.first, id_});
+    if (now - p.second.second > Ms(boot_.bounds.inTouch / 12))
+      q.complaints.push_back({p.first.first, p.first.second, p.second.first, id_});
   try {
     StoreBeatReply const r = co_await rpc_.ask(at, q, Ms(boot_.bounds.inTouch / 5));
     members_ = r.members;
     if (r.ok && q.lease == lease_) c.held = now;
     if (r.fenced && q.lease == lease_) renewLease();
-    if (c.life != r.life) { c.life = r.life; c.rev = 0; if (q.life != 0) { c.asking = false; co_return; } }
+    if (c.life != r.life) {
+      c.life = r.life;
+      c.rev = 0;
+      if (q.life != 0) {
+        c.asking = false;
+        co_return;
+      }
+    }
     for (LotRecord const& l : r.lots) want(l);
     c.rev = std::max(c.rev, r.rev);
     for (ReplicaMark const& m : r.drops) {
@@ -278,7 +299,8 @@
       continue;
     }
     odd_.erase(p.first);
-    if (i == runs_.end() || i->second->lot.stamp != l.stamp) adopt(l);
+    if (i == runs_.end() || i->second->lot.stamp != l.stamp)
+      adopt(l);
     else if (i->second->lot.state != l.state) {
       i->second->lot.state = l.state;
       for (std::shared_ptr<asio::steady_timer> const& t : i->second->readers) t->cancel();
@@ -314,8 +336,13 @@
   bool cutBack = false;
   for (std::uint32_t n = 0; n < run->states.size(); ++n) {
     bool const d = on.count(n) || ready.count(n);
-    if (d) { run->states[n] = LotRun::done; run->doneTokens += run->items[n].tokens; }
-    else if (run->states[n] == LotRun::done) { run->states[n] = LotRun::queued; cutBack = true; }
+    if (d) {
+      run->states[n] = LotRun::done;
+      run->doneTokens += run->items[n].tokens;
+    } else if (run->states[n] == LotRun::done) {
+      run->states[n] = LotRun::queued;
+      cutBack = true;
+    }
   }
   // An item whose result was cut runs once more; its body was let go and is read again.
   if (cutBack) run->items = unpacked<vector<ItemRecord>>(r.items);
@@ -343,8 +370,14 @@
     }
     string loads;
     for (std::pair<string const, Worker> const& w : view_.workers())
-      if (w.second.capacity > 10) loads += " " + std::to_string(static_cast<int>(100 * balance_.load(w.second, Clock::now())));
-    if (open) say(Level::debug, "store", std::to_string(open) + " lots open, " + std::to_string(stalled) + " stalled; items queued " + std::to_string(queued) + ", live " + std::to_string(live_) + ", unlisted " + std::to_string(pending) + ", mean run " + std::to_string(static_cast<int>(meanRun_)) + " ms; lease " + std::to_string(hasLease()) + "; loads" + loads);
+      if (w.second.capacity > 10)
+        loads += " " + std::to_string(static_cast<int>(100 * balance_.load(w.second, Clock::now())));
+    if (open)
+      say(Level::debug, "store",
+          std::to_string(open) + " lots open, " + std::to_string(stalled) + " stalled; items queued " +
+              std::to_string(queued) + ", live " + std::to_string(live_) + ", unlisted " + std::to_string(pending) +
+              ", mean run " + std::to_string(static_cast<int>(meanRun_)) + " ms; lease " + std::to_string(hasLease()) +
+              "; loads" + loads);
   }
 }
 
--- a/news/book.cpp
+++ b/news/book.cpp
@@ -2,7 +2,9 @@
 
 namespace tealshelf {
 
-std::uint64_t Book::weigh(string const& key, string const& value) { return hashOf(value, hashOf(key, key.size())); }
+std::uint64_t Book::weigh(string const& key, string const& value) {
+  return hashOf(value, hashOf(key, key.size()));
+}
 
 void Book::note(string const& key) {
   at_[digest_] = first_ + past_.size();
--- a/news/book.hpp
+++ b/news/book.hpp
@@ -42,8 +42,8 @@
   std::size_t most_;
   std::map<string, string> rows_;
   std::uint64_t digest_ = empty;
-  std::uint64_t first_ = 0;  ///< number of the oldest change remembered
-  std::deque<std::pair<std::uint64_t, string>> past_;  ///< digest before a change, and its key
+  std::uint64_t first_ = 0;                              ///< number of the oldest change remembered
+  std::deque<std::pair<std::uint64_t, string>> past_;    ///< digest before a change, and its key
   std::unordered_map<std::uint64_t, std::uint64_t> at_;  ///< digest to the number of the change after it
 };
 
--- a/news/fleet_view.cpp
+++ b/news/fleet_view.cpp
@@ -11,15 +11,23 @@
 }  // namespace
 
 FleetView::FleetView(asio::io_context& io, Boot const& boot, Rpc& rpc, string role, Addr at)
-    : io_(io), boot_(boot), rpc_(rpc), hub_(io, boot, 2 * Relays::fanOut),
-      node_(NodeRow{boot.nodeName, boot.zone, std::move(role), std::move(at), static_cast<std::uint32_t>(1000 * boot.cpuFraction * static_cast<double>(boot.cpuCores))},
-            NewsNode::Times::of(boot.bounds), controlsOf(boot), [&boot](string const& ip) { return boot.controlAt(ip); }, hub_) {
+    : io_(io),
+      boot_(boot),
+      rpc_(rpc),
+      hub_(io, boot, 2 * Relays::fanOut),
+      node_(
+          NodeRow{boot.nodeName, boot.zone, std::move(role), std::move(at),
+                  static_cast<std::uint32_t>(1000 * boot.cpuFraction * static_cast<double>(boot.cpuCores))},
+          NewsNode::Times::of(boot.bounds), controlsOf(boot), [&boot](string const& ip) { return boot.controlAt(ip); },
+          hub_) {
   hub_.proof = [this] { return node_.proof(Clock::now()); };
   node_.onRow = [this](BookRow const& b) {
     if (b.key[0] != 'w') return;
     ++revision_;
-    if (b.gone) workers_.erase(b.key.substr(2));
-    else workers_[b.key.substr(2)] = unpacked<Worker>(b.value);
+    if (b.gone)
+      workers_.erase(b.key.substr(2));
+    else
+      workers_[b.key.substr(2)] = unpacked<Worker>(b.value);
   };
 }
 
@@ -95,7 +103,10 @@
 }
 
 vector<Worker const*> const& FleetView::of(string const& service) const {
-  if (readyAt_ != revision_) { ready_.clear(); readyAt_ = revision_; }
+  if (readyAt_ != revision_) {
+    ready_.clear();
+    readyAt_ = revision_;
+  }
   std::map<string, vector<Worker const*>>::iterator i = ready_.find(service);
   if (i != ready_.end()) return i->second;
   vector<Worker const*>& v = ready_[service];
--- a/news/hub.cpp
+++ b/news/hub.cpp
@@ -18,10 +18,17 @@
   a.self = q.self;
   a.at = now;
   addTallies(q.tallies);
-  if (q.children == 0) { a.list.clear(); a.children = 0; }
-  else if (q.hasList) { a.list = q.list; a.children = q.children; }
+  if (q.children == 0) {
+    a.list.clear();
+    a.children = 0;
+  } else if (q.hasList) {
+    a.list = q.list;
+    a.children = q.children;
+  }
   if (askers_.size() > 4 * Relays::fanOut && askers_.size() > held_.size() * 2)
-    std::erase_if(askers_, [&](std::pair<string const, Asker> const& p) { return now - p.second.at > Ms(2 * boot_.bounds.inTouch); });
+    std::erase_if(askers_, [&](std::pair<string const, Asker> const& p) {
+      return now - p.second.at > Ms(2 * boot_.bounds.inTouch);
+    });
 }
 
 void NewsHub::addTallies(vector<WorkerTally> const& l) {
@@ -33,7 +40,8 @@
 }
 vector<WorkerTally> NewsHub::takeTallies() {
   vector<WorkerTally> v;
-  for (std::pair<string const, std::pair<double, double>> const& p : tallies_) v.push_back({p.first, p.second.first, p.second.second});
+  for (std::pair<string const, std::pair<double, double>> const& p : tallies_)
+    v.push_back({p.first, p.second.first, p.second.second});
   tallies_.clear();
   return v;
 }
@@ -66,7 +74,8 @@
   r.depth = p.depth;
   Book const& zone = zones[q.self.zone];
   r.wantChildren = q.children && !q.hasList && askers_[q.self.name].children != q.children;
-  bool const news = version_ > q.charterVersion || common.digest() != q.common || zone.digest() != q.zone || r.wantChildren;
+  bool const news =
+      version_ > q.charterVersion || common.digest() != q.common || zone.digest() != q.zone || r.wantChildren;
   bool const late = now >= came + Ms(std::min<std::int64_t>(q.holdMs, boot_.bounds.inTouch));
   if (!late && !(r.healthy ? news : !q.first)) return std::nullopt;
   r.ageMs = std::clamp<std::int64_t>(std::chrono::duration_cast<Ms>(now - p.fresh).count(), 0, 1000 * 1000 * 1000);
@@ -92,7 +101,8 @@
   for (;;) {
     std::optional<NewsReply> r = answer(q, came, Clock::now(), crowded);
     if (r) co_return std::move(*r);
-    std::shared_ptr<asio::steady_timer> const t = std::make_shared<asio::steady_timer>(io_, came + Ms(std::min<std::int64_t>(q.holdMs, boot_.bounds.inTouch)));
+    std::shared_ptr<asio::steady_timer> const t =
+        std::make_shared<asio::steady_timer>(io_, came + Ms(std::min<std::int64_t>(q.holdMs, boot_.bounds.inTouch)));
     held_.insert(t);
     error_code e;
     co_await t->async_wait(asio::redirect_error(asio::use_awaitable, e));
--- a/news/hub.hpp
+++ b/news/hub.hpp
@@ -19,7 +19,10 @@
   std::function<Proof()> proof;
   Book common;
   std::map<string, Book> zones;
-  void setCharter(std::uint64_t version, string text) { version_ = version; charter_ = std::move(text); }
+  void setCharter(std::uint64_t version, string text) {
+    version_ = version;
+    charter_ = std::move(text);
+  }
   std::uint64_t charterVersion() const { return version_; }
   string const& charter() const { return charter_; }
   /// Wakes held asks, after a moment in which more news may come.
--- a/news/messages.hpp
+++ b/news/messages.hpp
@@ -10,15 +10,16 @@
 struct NewsReply {
   int form = newsForm;
   bool healthy = false;
-  bool wantChildren = false;   ///< the list of nodes that ask at the asker is wanted
-  int depth = 0;               ///< 0 from control, one more from each relay
-  std::int64_t ageMs = 0;      ///< how old the proof is that control had a majority
-  std::int64_t heldMs = 0;     ///< how long the ask was held
+  bool wantChildren = false;  ///< the list of nodes that ask at the asker is wanted
+  int depth = 0;              ///< 0 from control, one more from each relay
+  std::int64_t ageMs = 0;     ///< how old the proof is that control had a majority
+  std::int64_t heldMs = 0;    ///< how long the ask was held
   std::uint64_t charterVersion = 0;
-  string charter;              ///< empty if the asker has it
-  string common, zone;         ///< packed deltas; empty if the asker is up to date
+  string charter;       ///< empty if the asker has it
+  string common, zone;  ///< packed deltas; empty if the asker is up to date
   std::uint64_t commonTo = 0, zoneTo = 0;
-  MSGPACK_DEFINE(form, healthy, wantChildren, depth, ageMs, heldMs, charterVersion, charter, common, zone, commonTo, zoneTo)
+  MSGPACK_DEFINE(form, healthy, wantChildren, depth, ageMs, heldMs, charterVersion, charter, common, zone, commonTo,
+                 zoneTo)
 };
 /// Asks for news with the versions that the asker has; held until there is some.
 struct NewsAsk {
@@ -27,12 +28,12 @@
   int form = newsForm;
   NodeRow self;
   std::int64_t holdMs = 0;
-  bool first = false;          ///< the asker knows nothing yet and waits for the answerer's health
+  bool first = false;  ///< the asker knows nothing yet and waits for the answerer's health
   std::uint64_t charterVersion = 0, common = 0, zone = 0;
   std::uint64_t children = 0;  ///< digest of the nodes that ask at the asker
   bool hasList = false;
   vector<NodeRow> list;
-  vector<WorkerTally> tallies; ///< how requests at workers went since the last ask, here and at the children
+  vector<WorkerTally> tallies;  ///< how requests at workers went since the last ask, here and at the children
   MSGPACK_DEFINE(form, self, holdMs, first, charterVersion, common, zone, children, hasList, list, tallies)
 };
 
--- a/news/news_node.cpp
+++ b/news/news_node.cpp
@@ -2,8 +2,14 @@
 
 namespace tealshelf {
 
-NewsNode::NewsNode(NodeRow self, Times t, vector<Addr> seeds, std::function<Addr(string const&)> controlAt, NewsHub& hub)
-    : self_(std::move(self)), times_(t), seeds_(std::move(seeds)), controlAt_(std::move(controlAt)), hub_(hub), copy_(hub, self_.zone, t.inTouch / 40),
+NewsNode::NewsNode(NodeRow self, Times t, vector<Addr> seeds, std::function<Addr(string const&)> controlAt,
+                   NewsHub& hub)
+    : self_(std::move(self)),
+      times_(t),
+      seeds_(std::move(seeds)),
+      controlAt_(std::move(controlAt)),
+      hub_(hub),
+      copy_(hub, self_.zone, t.inTouch / 40),
       sources_(t.inTouch / 4, hashOf(self_.name)) {
   arrange();
 }
@@ -11,7 +17,8 @@
 /// Works out anew whom this node asks, and whether it relays.
 void NewsNode::arrange() {
   vector<NodeRow> zone;
-  for (std::pair<string const, string> const& p : hub_.zones[self_.zone].rows()) zone.push_back(unpacked<NodeRow>(p.second));
+  for (std::pair<string const, string> const& p : hub_.zones[self_.zone].rows())
+    zone.push_back(unpacked<NodeRow>(p.second));
   vector<NodeRow> const relays = Relays::of(zone);
   bool control = false;
   vector<Addr> near, far, parents;
@@ -20,7 +27,9 @@
     (p.second.zone == self_.zone ? near : far).push_back(controlAt_(p.second.ip));
   }
   for (vector<Addr>* const l : {&near, &far})
-    std::sort(l->begin(), l->end(), [this](Addr const& a, Addr const& b) { return hashOf(self_.name, hashOf(a.ip)) < hashOf(self_.name, hashOf(b.ip)); });
+    std::sort(l->begin(), l->end(), [this](Addr const& a, Addr const& b) {
+      return hashOf(self_.name, hashOf(a.ip)) < hashOf(self_.name, hashOf(b.ip));
+    });
   near.insert(near.end(), far.begin(), far.end());
   for (Addr const& a : seeds_)
     if (std::find(near.begin(), near.end(), a) == near.end()) near.push_back(a);
@@ -29,7 +38,8 @@
   // After one relay and one in reserve comes control, so that a zone that lost its relays is not late.
   for (NodeRow const& r : Relays::parents(self_.name, relays, control))
     if (parents.size() < 2) parents.push_back(r.at);
-  if (relay != relay_) say(Level::info, "news", relay ? "this node relays news to its zone" : "this node no longer relays news");
+  if (relay != relay_)
+    say(Level::info, "news", relay ? "this node relays news to its zone" : "this node no longer relays news");
   relay_ = relay;
   sources_.set(std::move(parents), std::move(near));
 }
@@ -71,22 +81,28 @@
 bool NewsNode::got(Plan const& p, NewsReply const& r, Moment sent, Moment now) {
   bool fleet = false;
   wantsList_ = r.wantChildren;
-  NewsCopy::Verdict const v = copy_.take(r, sent,
+  NewsCopy::Verdict const v = copy_.take(
+      r, sent,
       [&](BookRow const& b) {
         if (b.key[0] == 'm') {
           fleet = true;
-          if (b.gone) members_.erase(b.key.substr(2));
-          else members_[b.key.substr(2)] = unpacked<Member>(b.value);
+          if (b.gone)
+            members_.erase(b.key.substr(2));
+          else
+            members_[b.key.substr(2)] = unpacked<Member>(b.value);
         }
         if (onRow) onRow(b);
       },
       [&](BookRow const&) { fleet = true; });
   if (fleet) arrange();
   if (v == NewsCopy::Verdict::gap) say(Level::debug, "news", p.at.text() + " gave a delta for another content");
-  bool const good = v == NewsCopy::Verdict::gap || (v == NewsCopy::Verdict::taken && (!p.parent || now - copy_.fresh() <= times_.tooOld));
+  bool const good = v == NewsCopy::Verdict::gap ||
+                    (v == NewsCopy::Verdict::taken && (!p.parent || now - copy_.fresh() <= times_.tooOld));
   // A relay that answers but doesn't hear from control itself is left in time.
-  if (good) sources_.worked(p.at);
-  else sources_.failed(p.at, now);
+  if (good)
+    sources_.worked(p.at);
+  else
+    sources_.failed(p.at, now);
   return good;
 }
 
--- a/news/news_node.hpp
+++ b/news/news_node.hpp
@@ -36,7 +36,9 @@
   Moment fresh() const { return copy_.fresh(); }
   bool relays() const { return relay_; }
   /// What this node can say for the news that it relays.
-  NewsHub::Proof proof(Moment now) const { return {hub_.charterVersion() && now - copy_.fresh() < times_.tooOld, copy_.depth(), copy_.fresh()}; }
+  NewsHub::Proof proof(Moment now) const {
+    return {hub_.charterVersion() && now - copy_.fresh() < times_.tooOld, copy_.depth(), copy_.fresh()};
+  }
 
  private:
   void arrange();
--- a/news/relays.cpp
+++ b/news/relays.cpp
@@ -6,13 +6,16 @@
 
 namespace {
 /// Machines whose shares are within a power of two of each other count as equals.
-int strength(NodeRow const& n) { return n.cpu ? std::ilogb(static_cast<double>(n.cpu)) : -1; }
+int strength(NodeRow const& n) {
+  return n.cpu ? std::ilogb(static_cast<double>(n.cpu)) : -1;
+}
 }  // namespace
 
 vector<NodeRow> Relays::of(vector<NodeRow> const& zone) {
   if (zone.size() <= fanOut) return {};
   vector<std::tuple<int, std::uint64_t, std::size_t>> order;
-  for (std::size_t i = 0; i < zone.size(); ++i) order.emplace_back(-strength(zone[i]), hashOf(zone[i].name, hashOf(zone[i].zone)), i);
+  for (std::size_t i = 0; i < zone.size(); ++i)
+    order.emplace_back(-strength(zone[i]), hashOf(zone[i].name, hashOf(zone[i].zone)), i);
   std::sort(order.begin(), order.end());
   vector<NodeRow> r;
   for (std::size_t i = 0; i < (zone.size() + fanOut - 1) / fanOut; ++i) r.push_back(zone[std::get<2>(order[i])]);
@@ -24,10 +27,13 @@
   while (rank < relays.size() && relays[rank].name != self) ++rank;
   if (rank < relays.size()) {
     if (controlInZone) return {};
-    return vector<NodeRow>(relays.begin(), relays.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(rank, 2)));
+    return vector<NodeRow>(relays.begin(),
+                           relays.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(rank, 2)));
   }
   vector<NodeRow> r = relays;
-  std::sort(r.begin(), r.end(), [&](NodeRow const& a, NodeRow const& b) { return hashOf(a.name, hashOf(self)) > hashOf(b.name, hashOf(self)); });
+  std::sort(r.begin(), r.end(), [&](NodeRow const& a, NodeRow const& b) {
+    return hashOf(a.name, hashOf(self)) > hashOf(b.name, hashOf(self));
+  });
   return r;
 }
 
--- a/news/sources.cpp
+++ b/news/sources.cpp
@@ -35,7 +35,8 @@
   r.fails = std::min(r.fails + 1, 5);
   dice_ = dice_ * 6364136223846793005ull + 1442695040888963407ull;
   std::int64_t const span = base_.count() << (r.fails - 1);
-  r.until = now + Ms(span + static_cast<std::int64_t>((dice_ >> 33) % static_cast<std::uint64_t>(std::max<std::int64_t>(1, span / 2))));
+  r.until = now + Ms(span + static_cast<std::int64_t>((dice_ >> 33) %
+                                                      static_cast<std::uint64_t>(std::max<std::int64_t>(1, span / 2))));
 }
 
 vector<Addr> Sources::controls(Moment now) const {
@@ -50,7 +51,8 @@
   q.zone = gap_ ? 0 : hub_.zones[zone_].digest();
 }
 
-NewsCopy::Verdict NewsCopy::take(NewsReply const& r, Moment sent, std::function<void(BookRow const&)> const& onCommon, std::function<void(BookRow const&)> const& onZone) {
+NewsCopy::Verdict NewsCopy::take(NewsReply const& r, Moment sent, std::function<void(BookRow const&)> const& onCommon,
+                                 std::function<void(BookRow const&)> const& onZone) {
   if (!r.healthy) return Verdict::unhealthy;
   if (r.depth >= deepest) return Verdict::deep;
   // The proof was true when the ask was answered, at the latest so long after it was sent as it was held.
@@ -60,11 +62,17 @@
   if (news && at + slack_ < fresh_) return Verdict::older;
   if (!r.common.empty()) {
     bool const ok = hub_.common.apply(unpacked<BookDelta>(r.common), onCommon);
-    if (!ok) { gap_ = true; return Verdict::gap; }
+    if (!ok) {
+      gap_ = true;
+      return Verdict::gap;
+    }
   }
   if (!r.zone.empty()) {
     bool const ok = hub_.zones[zone_].apply(unpacked<BookDelta>(r.zone), onZone);
-    if (!ok) { gap_ = true; return Verdict::gap; }
+    if (!ok) {
+      gap_ = true;
+      return Verdict::gap;
+    }
   }
   gap_ = false;
   fresh_ = std::max(fresh_, at);
--- a/news/sources.hpp
+++ b/news/sources.hpp
@@ -41,7 +41,8 @@
   NewsCopy(NewsHub& hub, string zone, Ms slack) : hub_(hub), zone_(std::move(zone)), slack_(slack) {}
   /// Takes an answer in whose ask was sent at a moment. Content of an older proof than what is
   /// here, by more than a slack for the network, is refused; a charter never goes back.
-  Verdict take(NewsReply const& r, Moment sent, std::function<void(BookRow const&)> const& onCommon, std::function<void(BookRow const&)> const& onZone);
+  Verdict take(NewsReply const& r, Moment sent, std::function<void(BookRow const&)> const& onCommon,
+               std::function<void(BookRow const&)> const& onZone);
   /// The versions to ask with; after a gap a whole copy is asked for.
   void versions(NewsAsk& q) const;
   Moment fresh() const { return fresh_; }
--- a/registry/control_node.cpp
+++ b/registry/control_node.cpp
@@ -3,21 +3,33 @@
 namespace tealshelf {
 
 ControlNode::ControlNode(asio::io_context& io, Boot const& boot)
-    : io_(io), boot_(boot), rpc_(io, Ms(boot.bounds.inTouch / 2)), driver_(io, boot, rpc_), keeper_(io, boot, rpc_, driver_),
-      table_(Ms(3 * boot.reportEvery), driver_.reg().self().id), server_(io, boot.controlAt(boot.ip), Ms(boot.bounds.inTouch / 2)),
-      http_(io, boot.control, [this](Call c) { return handle(std::move(c)); }, 16u << 20, Ms(5 * boot.bounds.inTouch)), hub_(io, boot, 0), health_(Ms(boot.bounds.inTouch / 4), WorkerHealth::Rule()) {
+    : io_(io),
+      boot_(boot),
+      rpc_(io, Ms(boot.bounds.inTouch / 2)),
+      driver_(io, boot, rpc_),
+      keeper_(io, boot, rpc_, driver_),
+      table_(Ms(3 * boot.reportEvery), driver_.reg().self().id),
+      server_(io, boot.controlAt(boot.ip), Ms(boot.bounds.inTouch / 2)),
+      http_(
+          io, boot.control, [this](Call c) { return handle(std::move(c)); }, 16u << 20, Ms(5 * boot.bounds.inTouch)),
+      hub_(io, boot, 0),
+      health_(Ms(boot.bounds.inTouch / 4), WorkerHealth::Rule()) {
   if (!boot.dataFolder.empty()) {
-    log_ = std::make_unique<DiskLog>(io, boot.dataFolder + "/workers", static_cast<std::size_t>(std::max<std::int64_t>(boot.diskMb, 8)) * (1u << 20) / 32, [this] {
-      vector<string> v;
-      for (Worker const& w : table_.all()) v.push_back(packed(w));
-      return v;
-    });
+    log_ = std::make_unique<DiskLog>(io, boot.dataFolder + "/workers",
+                                     static_cast<std::size_t>(std::max<std::int64_t>(boot.diskMb, 8)) * (1u << 20) / 32,
+                                     [this] {
+                                       vector<string> v;
+                                       for (Worker const& w : table_.all()) v.push_back(packed(w));
+                                       return v;
+                                     });
     for (string const& r : log_->found().records) table_.merge(unpacked<Worker>(r), Clock::now());
     table_.fresh();
     noted_ = table_.rev();
     log_->forget();
   }
-  hub_.proof = [this] { return NewsHub::Proof{driver_.healthy() && tableWhole() && !stopping_, 0, driver_.reg().provenAt(Clock::now())}; };
+  hub_.proof = [this] {
+    return NewsHub::Proof{driver_.healthy() && tableWhole() && !stopping_, 0, driver_.reg().provenAt(Clock::now())};
+  };
   driver_.onPing = [this](PingMsg const& m) { return onPing(m); };
   driver_.fillPing = [this](PingMsg& m, bool full) { fillPing(m, full); };
   driver_.onChange = [this] {
@@ -79,7 +91,10 @@
 void ControlNode::changed() {
   note();
   for (Worker const& w : table_.since(booked_)) {
-    if (w.gone) { hub_.common.erase("w/" + w.id); continue; }
+    if (w.gone) {
+      hub_.common.erase("w/" + w.id);
+      continue;
+    }
     Worker x = w;
     x.callCount = 0;
     x.warmupLeft = 0;
@@ -96,7 +111,8 @@
     named.insert("m/" + hex(m.id.v));
   }
   vector<string> out;
-  for (std::map<string, string>::const_iterator i = hub_.common.rows().lower_bound("m/"); i != hub_.common.rows().end() && i->first[0] == 'm'; ++i)
+  for (std::map<string, string>::const_iterator i = hub_.common.rows().lower_bound("m/");
+       i != hub_.common.rows().end() && i->first[0] == 'm'; ++i)
     if (!named.count(i->first)) out.push_back(i->first);
   for (string const& k : out) hub_.common.erase(k);
   hub_.changed(Ms(boot_.bounds.inTouch / 80));
@@ -104,7 +120,8 @@
 
 /// A register is whole once a majority's registers are in it, or all live workers have sent a beat.
 bool ControlNode::tableWhole() const {
-  return (table_.size() && tables_.size() + 1 >= driver_.reg().group().most()) || Clock::now() - started_ > Ms(boot_.reportEvery * 3 / 2);
+  return (table_.size() && tables_.size() + 1 >= driver_.reg().group().most()) ||
+         Clock::now() - started_ > Ms(boot_.reportEvery * 3 / 2);
 }
 
 Task<void> ControlNode::sweepLoop() {
@@ -119,9 +136,12 @@
 Task<CallAnswer> ControlNode::handle(Call c) {
   ForwardCall q{c.verb, c.path, c.head("If-Match"), std::move(c.body), 0};
   CallReply r{404, ""};
-  if (c.path.rfind("/servers/", 0) == 0) r = co_await servers(std::move(q));
-  else if (c.path == "/settings") r = co_await settings(std::move(q));
-  else if (c.path.rfind("/retire/", 0) == 0) r = co_await retire(std::move(q));
+  if (c.path.rfind("/servers/", 0) == 0)
+    r = co_await servers(std::move(q));
+  else if (c.path == "/settings")
+    r = co_await settings(std::move(q));
+  else if (c.path.rfind("/retire/", 0) == 0)
+    r = co_await retire(std::move(q));
   co_return CallAnswer{r.status, r.body, "application/json", {}};
 }
 
@@ -130,12 +150,14 @@
   if (id.empty()) throw Error(Code::badBeat);
   if (!driver_.healthy()) throw Error(Code::noQuorum);
   Worker w;
-  if (q.verb == "PUT") w = readBeat(id, q.body);
+  if (q.verb == "PUT")
+    w = readBeat(id, q.body);
   else if (q.verb == "DELETE") {
     if (Worker const* const had = table_.find(id)) w = *had;
     w.id = id;
     w.gone = true;
-  } else throw Error(Code::badBeat);
+  } else
+    throw Error(Code::badBeat);
   w.hearer = driver_.reg().self().id;
   bool const news = table_.merge(w, Clock::now());
   if (news) {
@@ -149,9 +171,10 @@
     for (Member const& x : driver_.reg().group().members) {
       if (x.id == driver_.reg().self().id || !driver_.reg().alive(x.id, Clock::now())) continue;
       ++*left;
-      asio::co_spawn(io_, rpc_.ask(boot_.controlAt(x.ip), m, Ms(boot_.bounds.drain / 5)), [left, t](std::exception_ptr, Done) {
-        if (!--*left) t->cancel();
-      });
+      asio::co_spawn(io_, rpc_.ask(boot_.controlAt(x.ip), m, Ms(boot_.bounds.drain / 5)),
+                     [left, t](std::exception_ptr, Done) {
+                       if (!--*left) t->cancel();
+                     });
     }
     if (log_ && (w.draining || w.gone)) co_await log_->settled();
     error_code e;
@@ -196,7 +219,8 @@
   } const u{changing_};
   // The first charter waits a while for a group that bears the losses it should.
   Moment const until = started_ + Ms(boot_.bounds.inTouch);
-  while (!driver_.wide() && Clock::now() < until && !driver_.reg().view("charter").count("current")) co_await pause(Ms(boot_.bounds.inTouch / 60));
+  while (!driver_.wide() && Clock::now() < until && !driver_.reg().view("charter").count("current"))
+    co_await pause(Ms(boot_.bounds.inTouch / 60));
   if (!co_await driver_.confirm("charter", Ms(boot_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
   std::map<string, string> const& v = driver_.reg().view("charter");
   std::map<string, string>::const_iterator const i = v.find("current");
--- a/registry/driver.cpp
+++ b/registry/driver.cpp
@@ -11,8 +11,13 @@
 }  // namespace
 
 Driver::Driver(asio::io_context& io, Boot const& boot, Rpc& rpc)
-    : io_(io), boot_(boot), rpc_(rpc), period_(boot.bounds.inTouch / 20), id_(ownIdentity(boot, fresh_)),
-      reg_(Member{id_, boot.nodeName, boot.ip, boot.zone, false, !boot.dataFolder.empty()}, Registry::Times{Ms(boot.bounds.inTouch / 4), Ms(boot.bounds.inTouch / 30)}) {
+    : io_(io),
+      boot_(boot),
+      rpc_(rpc),
+      period_(boot.bounds.inTouch / 20),
+      id_(ownIdentity(boot, fresh_)),
+      reg_(Member{id_, boot.nodeName, boot.ip, boot.zone, false, !boot.dataFolder.empty()},
+           Registry::Times{Ms(boot.bounds.inTouch / 4), Ms(boot.bounds.inTouch / 30)}) {
   if (!boot.dataFolder.empty()) {
     std::size_t const turn = static_cast<std::size_t>(std::max<std::int64_t>(boot.diskMb, 8)) * (1u << 20) / 8;
     log_ = std::make_unique<DiskLog>(io, boot.dataFolder + "/registry", turn, [this] { return reg_.snapshot(); });
@@ -76,23 +81,29 @@
   std::shared_ptr<Batch> const b = std::make_shared<Batch>(reg_.take());
   bool news = false;
   for (string const& s : {string("charter"), string("members")}) {
-    if (!reg_.owns(s)) owned_.erase(s);
-    else news = owned_.insert(s).second || news;
+    if (!reg_.owns(s))
+      owned_.erase(s);
+    else
+      news = owned_.insert(s).second || news;
   }
   if (news) asio::post(io_, [this] { pingAll(); });
   if (b->records.empty() && b->mails.empty() && b->outcomes.empty()) return;
   if (log_)
     for (string const& r : b->records) log_->append(r);
-  if (b->sync && log_) log_->synced([this, b] { send(b); });
-  else send(b);
+  if (b->sync && log_)
+    log_->synced([this, b] { send(b); });
+  else
+    send(b);
 }
 
 void Driver::send(std::shared_ptr<Batch> b) {
   std::map<Identity, MailMsg> by;
   vector<Mail> own;
   for (Mail& m : b->mails) {
-    if (m.to == id_) own.push_back(std::move(m));
-    else by[m.to].mails.push_back(std::move(m));
+    if (m.to == id_)
+      own.push_back(std::move(m));
+    else
+      by[m.to].mails.push_back(std::move(m));
   }
   for (std::pair<Identity const, MailMsg>& p : by) {
     Member const* const m = reg_.group().find(p.first);
@@ -100,7 +111,10 @@
   }
   for (Outcome const& o : b->outcomes) {
     std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(o.op);
-    if (w == waits_.end()) { early_[o.op] = o.ok; continue; }
+    if (w == waits_.end()) {
+      early_[o.op] = o.ok;
+      continue;
+    }
     w->second->done = true;
     w->second->ok = o.ok;
     w->second->timer.cancel();
@@ -182,8 +196,12 @@
 /// A ping wants an answer, so that a connection on which nothing comes through is found and opened
 /// anew, even where all else that goes over it is told without waiting.
 void Driver::pingOne(string const& ip, PingMsg const& m) {
-  if (!pinging_.insert(ip).second) { rpc_.tellTo(at(ip), m); return; }
-  asio::co_spawn(io_, rpc_.ask(at(ip), m, Ms(boot_.bounds.inTouch / 8)), [this, ip](std::exception_ptr, Done) { pinging_.erase(ip); });
+  if (!pinging_.insert(ip).second) {
+    rpc_.tellTo(at(ip), m);
+    return;
+  }
+  asio::co_spawn(io_, rpc_.ask(at(ip), m, Ms(boot_.bounds.inTouch / 8)),
+                 [this, ip](std::exception_ptr, Done) { pinging_.erase(ip); });
 }
 
 Task<void> Driver::tickLoop() {
--- a/registry/driver.hpp
+++ b/registry/driver.hpp
@@ -25,7 +25,10 @@
   /// Where the wanted owner of a shelf is; nothing if unknown.
   std::optional<Addr> ownerOf(string const& shelf) const;
   /// Hands everything over: this node is wanted no more.
-  void leave() { leaving_ = true; pingAll(); }
+  void leave() {
+    leaving_ = true;
+    pingAll();
+  }
   void pingAll();
   /// Called for each ping that comes in, with what it carries; true if the registers differ.
   std::function<bool(PingMsg const&)> onPing;
@@ -68,8 +71,8 @@
   std::map<std::uint64_t, bool> early_;
   std::map<Identity, std::pair<PingMsg, Moment>> others_;
   void pingOne(string const& ip, PingMsg const& m);
-  std::set<string> pinging_;  ///< addresses whose answer to a ping is awaited
-  std::map<string, int> differ_;  ///< how many pings in a row came with another register, by address
+  std::set<string> pinging_;         ///< addresses whose answer to a ping is awaited
+  std::map<string, int> differ_;     ///< how many pings in a row came with another register, by address
   std::map<string, Moment> backAt_;  ///< when a ping was last sent back at once
   std::set<string> owned_;
   std::uint64_t pings_ = 0;
--- a/registry/health.cpp
+++ b/registry/health.cpp
@@ -5,8 +5,12 @@
 namespace tealshelf {
 
 void WorkerHealth::fade(Sum& s, Moment now) const {
-  if (s.at == Moment()) { s.at = now; return; }
-  double const f = std::exp2(-std::chrono::duration<double>(now - s.at).count() / std::chrono::duration<double>(span_).count());
+  if (s.at == Moment()) {
+    s.at = now;
+    return;
+  }
+  double const f =
+      std::exp2(-std::chrono::duration<double>(now - s.at).count() / std::chrono::duration<double>(span_).count());
   s.ok *= f;
   s.bad *= f;
   s.at = now;
@@ -57,7 +61,10 @@
       s = i->second;
     }
     for (auto const& o : others_)
-      if (std::map<string, Sum>::const_iterator const i = o.second.first.find(w.id); i != o.second.first.end()) { s.ok += i->second.ok; s.bad += i->second.bad; }
+      if (std::map<string, Sum>::const_iterator const i = o.second.first.find(w.id); i != o.second.first.end()) {
+        s.ok += i->second.ok;
+        s.bad += i->second.bad;
+      }
     sums[w.id] = s;
     Service& v = services[w.service];
     v.ok += s.ok;
@@ -83,7 +90,9 @@
     Sum const& s = sums[w.id];
     double const n = s.ok + s.bad, rest = v.ok + v.bad - n;
     double const mean = rest > 0 ? (v.bad - s.bad) / rest : 0;
-    if (n < rule_.enough || s.bad < rule_.failed || s.bad / n < std::max(rule_.least, std::min(rule_.sure, rule_.times * mean))) continue;
+    if (n < rule_.enough || s.bad < rule_.failed ||
+        s.bad / n < std::max(rule_.least, std::min(rule_.sure, rule_.times * mean)))
+      continue;
     if (static_cast<double>(v.resting + 1) > rule_.most * static_cast<double>(v.workers)) continue;
     ++v.resting;
     r.turns = now - r.ended < 8 * span_ ? std::min(r.turns + 1, 4) : 0;
--- a/registry/health.hpp
+++ b/registry/health.hpp
@@ -9,12 +9,12 @@
  public:
   /// Ratios of the judgement.
   struct Rule {
-    double least = 0.1;      ///< share of failed requests below which nobody rests
-    double times = 3;        ///< so many times the mean share of the service
-    double sure = 0.75;      ///< from this share on it is ill however the others are
-    double enough = 6;       ///< so many requests must have been seen, decayed
-    double failed = 2.5;     ///< and so many failures, so that one by chance proves nothing
-    double most = 1.0 / 3;   ///< no larger part of a service's workers rests at once
+    double least = 0.1;     ///< share of failed requests below which nobody rests
+    double times = 3;       ///< so many times the mean share of the service
+    double sure = 0.75;     ///< from this share on it is ill however the others are
+    double enough = 6;      ///< so many requests must have been seen, decayed
+    double failed = 2.5;    ///< and so many failures, so that one by chance proves nothing
+    double most = 1.0 / 3;  ///< no larger part of a service's workers rests at once
   };
   /// Tallies halve in a span; a first rest lasts a span, the next ones longer.
   WorkerHealth(Ms span, Rule rule) : span_(span), rule_(rule) {}
--- a/registry/joining.cpp
+++ b/registry/joining.cpp
@@ -8,7 +8,11 @@
   g.no = GroupNo(1);
   bool seed = false;
   for (Addr const& s : boot_.seeds) {
-    if (s.ip == boot_.ip) { g.members.push_back(reg_.self()); seed = true; continue; }
+    if (s.ip == boot_.ip) {
+      g.members.push_back(reg_.self());
+      seed = true;
+      continue;
+    }
     HelloReply r;
     try {
       Hello const ask{reg_.self()};
@@ -17,7 +21,10 @@
       say(Level::debug, "registry", s.text() + ": " + x.what());
       co_return false;
     }
-    if (r.group.no.v) { reg_.install(r.group, false); co_return true; }
+    if (r.group.no.v) {
+      reg_.install(r.group, false);
+      co_return true;
+    }
     if (!r.founding) co_return false;
     g.members.push_back(r.self);
   }
@@ -43,11 +50,12 @@
   for (Member const& m : g.members) {
     if (m.id == id_) continue;
     ++all->left;
-    asio::co_spawn(io_, rpc_.ask(at(m.ip), CopyAll{g.no}, Ms(boot_.bounds.inTouch / 2)), [all, need](std::exception_ptr x, CopyReply r) {
-      --all->left;
-      if (!x) all->got.push_back(std::move(r));
-      if (!all->left || all->got.size() >= need) all->timer.cancel();
-    });
+    asio::co_spawn(io_, rpc_.ask(at(m.ip), CopyAll{g.no}, Ms(boot_.bounds.inTouch / 2)),
+                   [all, need](std::exception_ptr x, CopyReply r) {
+                     --all->left;
+                     if (!x) all->got.push_back(std::move(r));
+                     if (!all->left || all->got.size() >= need) all->timer.cancel();
+                   });
   }
   error_code e;
   if (all->left) co_await all->timer.async_wait(asio::redirect_error(asio::use_awaitable, e));
@@ -94,7 +102,10 @@
     }
     if (!warned_ && reg_.group().no.v && Clock::now() - started_ > Ms(boot_.bounds.confirmWithin)) {
       warned_ = true;
-      if (!wide()) warn("registry", "the group of " + std::to_string(reg_.group().members.size()) + " is too small to bear the loss of " + std::to_string(boot_.surviveMachines) + " machines");
+      if (!wide())
+        warn("registry", "the group of " + std::to_string(reg_.group().members.size()) +
+                             " is too small to bear the loss of " + std::to_string(boot_.surviveMachines) +
+                             " machines");
     }
     co_await pause(Ms(boot_.bounds.inTouch / (in && reg_.copied() ? 10 : 30)));
   }
@@ -124,14 +135,16 @@
 Task<bool> Driver::changeGroup(JoinGroup const& q) {
   Moment const now = Clock::now();
   GroupNo const old = reg_.group().no;
-  Membership const rule{Ms(boot_.bounds.inTouch / 2), now - started_ > Ms(boot_.bounds.inTouch), std::max<std::size_t>(3, Membership::needed(boot_.surviveMachines))};
+  Membership const rule{Ms(boot_.bounds.inTouch / 2), now - started_ > Ms(boot_.bounds.inTouch),
+                        std::max<std::size_t>(3, Membership::needed(boot_.surviveMachines))};
   std::optional<Group> const g = rule.next(reg_, q.self, q.leave, now);
   if (!g) co_return false;
   vector<Registry::Change> cs(1, Registry::Change{"group", packed(*g), false});
   bool const ok = co_await propose("members", std::move(cs));
   if (!ok || reg_.group().no != old) co_return false;
   reg_.install(*g, false);
-  tell("registry", "group " + std::to_string(g->no.v) + " has " + std::to_string(g->members.size()) + " disks; " + q.self.name + (q.leave ? " left" : " joined"));
+  tell("registry", "group " + std::to_string(g->no.v) + " has " + std::to_string(g->members.size()) + " disks; " +
+                       q.self.name + (q.leave ? " left" : " joined"));
   co_return true;
 }
 
@@ -143,7 +156,12 @@
       std::map<string, string>::const_iterator const g = v.find("group");
       if (g != v.end()) {
         Group const x = unpacked<Group>(g->second);
-        if (x.no > reg_.group().no) { reg_.install(x, false); pump(); pingAll(); continue; }
+        if (x.no > reg_.group().no) {
+          reg_.install(x, false);
+          pump();
+          pingAll();
+          continue;
+        }
       }
       Moment const now = Clock::now();
       std::size_t const least = std::max<std::size_t>(3, Membership::needed(boot_.surviveMachines));
--- a/registry/membership.cpp
+++ b/registry/membership.cpp
@@ -27,13 +27,19 @@
   int rank = 0;
   for (vector<Member>::iterator m = g.members.begin(); m != g.members.end(); ++m) {
     if (leave) {
-      if (m->id == who.id) { gone = m; rank = 9; }
+      if (m->id == who.id) {
+        gone = m;
+        rank = 9;
+      }
       continue;
     }
     if (m->id == reg.self().id && m->ip != who.ip) continue;
     bool const dead = mayBury && now - reg.lastHeard(m->id) > deadAfter;
     int const r = m->ip == who.ip ? 3 : who.disk && !m->disk ? 2 : dead ? 1 : 0;
-    if (r > rank) { gone = m; rank = r; }
+    if (r > rank) {
+      gone = m;
+      rank = r;
+    }
   }
   if (leave) {
     if (gone == g.members.end() || g.members.size() <= least || gone->id == reg.self().id) return std::nullopt;
--- a/registry/news_duty.cpp
+++ b/registry/news_duty.cpp
@@ -8,14 +8,18 @@
   Identity const from = m.ping.self.id;
   bool news = false;
   table_.alive(from, now);
-  if (m.full) news = table_.mergeAll(m.workers, from, now);
+  if (m.full)
+    news = table_.mergeAll(m.workers, from, now);
   else
     for (Worker const& w : m.workers) news = table_.merge(w, now) || news;
   if ((m.full || m.digest == hub_.common.digest()) && tables_.insert(from).second) news = true;
   health_.heard(from, m.tallies, now);
   Part& p = parts_[from];
   p.at = now;
-  if (m.hasNodes) { p.nodes = m.nodes; p.digest = m.nodesDigest; }
+  if (m.hasNodes) {
+    p.nodes = m.nodes;
+    p.digest = m.nodesDigest;
+  }
   if (news) changed();
   return !m.full && m.digest != hub_.common.digest();
 }
@@ -23,14 +27,19 @@
 void ControlNode::fillPing(PingMsg& m, bool full) {
   // Before its own register can be whole, a node doesn't call it so.
   m.full = full && (table_.size() || tableWhole());
-  if (m.full) m.workers = table_.all();
-  else if (!full) m.workers = table_.fresh();
+  if (m.full)
+    m.workers = table_.all();
+  else if (!full)
+    m.workers = table_.fresh();
   health_.note(hub_.takeTallies(), Clock::now());
   m.tallies = health_.report(Clock::now());
   m.digest = hub_.common.digest();
   vector<NodeRow> const here = hub_.heard(Clock::now());
   m.nodesDigest = Relays::digest(here);
-  if (m.nodesDigest != nodesDigest_) { nodesDigest_ = m.nodesDigest; nodesTurns_ = 0; }
+  if (m.nodesDigest != nodesDigest_) {
+    nodesDigest_ = m.nodesDigest;
+    nodesTurns_ = 0;
+  }
   // A list that changed goes with three pings, and now and then again.
   m.hasNodes = full || nodesTurns_ < 3 || nodesTurns_ % 16 == 0;
   if (!full) ++nodesTurns_;
--- a/registry/registry.cpp
+++ b/registry/registry.cpp
@@ -39,7 +39,10 @@
     r.full = m->full;
     r.entries = m->entries;
   }
-  if (sort == recGroup) { r.group = group_; r.copied = copied_; }
+  if (sort == recGroup) {
+    r.group = group_;
+    r.copied = copied_;
+  }
   out_.records.push_back(packRecord(r));
   out_.sync = true;
 }
@@ -60,7 +63,10 @@
   s.promised = std::max(s.promised, r.epoch);
   s.seen = std::max(s.seen, r.epoch);
   if (r.sort == recAccept) apply(s, r.epoch, r.full, r.prev, r.upTo, r.entries);
-  if (r.sort == recDump) { s.entries = r.entries; s.upTo = 0; }
+  if (r.sort == recDump) {
+    s.entries = r.entries;
+    s.upTo = 0;
+  }
 }
 
 vector<string> Registry::snapshot() const {
@@ -117,11 +123,14 @@
 
 vector<std::pair<string, std::pair<Epoch, Entries>>> Registry::dump() const {
   vector<std::pair<string, std::pair<Epoch, Entries>>> v;
-  for (std::pair<string const, Shelf> const& p : shelves_) v.push_back({p.first, {p.second.promised, p.second.entries}});
+  for (std::pair<string const, Shelf> const& p : shelves_)
+    v.push_back({p.first, {p.second.promised, p.second.entries}});
   return v;
 }
 
-void Registry::know(string const& shelf) { shelves_[shelf]; }
+void Registry::know(string const& shelf) {
+  shelves_[shelf];
+}
 vector<string> Registry::shelves() const {
   vector<string> v;
   for (std::pair<string const, Shelf> const& p : shelves_) v.push_back(p.first);
@@ -153,8 +162,10 @@
   vector<Moment> at;
   for (Member const& m : group_.members) {
     std::map<Identity, Peer>::const_iterator const p = peers_.find(m.id);
-    if (m.id == self_.id) at.push_back(now);
-    else if (p != peers_.end() && mutual(p->second)) at.push_back(p->second.at);
+    if (m.id == self_.id)
+      at.push_back(now);
+    else if (p != peers_.end() && mutual(p->second))
+      at.push_back(p->second.at);
   }
   if (group_.members.empty() || at.size() < group_.most()) return Moment();
   std::sort(at.begin(), at.end(), std::greater<Moment>());
@@ -179,7 +190,10 @@
     if (m.id == self_.id ? !copied_ : (p == peers_.end() || !p->second.ping.copied)) continue;
     // One without a disk owns nothing while one with a disk can.
     std::pair<bool, std::uint64_t> const rank(m.disk, hashOf(hex(m.id.v), hashOf(shelf)));
-    if (!best || rank > top) { best = &m; top = rank; }
+    if (!best || rank > top) {
+      best = &m;
+      top = rank;
+    }
   }
   return best;
 }
@@ -216,9 +230,15 @@
       s.knownCommitted = k.committed;
     }
     if (s.phase != Phase::owning || k.owned) continue;
-    if (k.epoch == s.epoch && k.upTo >= s.committed) { s.behind.erase(p.self.id); continue; }
+    if (k.epoch == s.epoch && k.upTo >= s.committed) {
+      s.behind.erase(p.self.id);
+      continue;
+    }
     std::pair<Moment, Moment>& b = s.behind[p.self.id];
-    if (b.first == Moment()) { b.first = now; continue; }
+    if (b.first == Moment()) {
+      b.first = now;
+      continue;
+    }
     if (now - b.first < 2 * times_.again || now - b.second < 4 * times_.again) continue;
     b.second = now;
     Mail m;
--- a/registry/registry.hpp
+++ b/registry/registry.hpp
@@ -115,7 +115,11 @@
 
   std::uint64_t propose(string const& shelf, vector<Change> changes, Moment now);
   std::uint64_t confirm(string const& shelf, Moment now);
-  Batch take() { Batch b = std::move(out_); out_ = Batch(); return b; }
+  Batch take() {
+    Batch b = std::move(out_);
+    out_ = Batch();
+    return b;
+  }
 
   bool owns(string const& shelf) const;
   Epoch epochOf(string const& shelf) const;
--- a/registry/rounds.cpp
+++ b/registry/rounds.cpp
@@ -88,10 +88,13 @@
     Shelf& s = p.second;
     Member const* const w = wanted(p.first, now);
     bool const mine = w && w->id == self_.id && inMajority(now);
-    if (s.phase == Phase::none && mine) startTaking(p.first, s, now);
+    if (s.phase == Phase::none && mine)
+      startTaking(p.first, s, now);
     else if (s.phase == Phase::taking || s.phase == Phase::writing) {
-      if (now - s.since > 20 * times_.again && (!mine || s.seen > s.epoch)) stepDown(s);
-      else if (s.phase == Phase::taking && now - s.sent > times_.again) sendPrepare(p.first, s, now);
+      if (now - s.since > 20 * times_.again && (!mine || s.seen > s.epoch))
+        stepDown(s);
+      else if (s.phase == Phase::taking && now - s.sent > times_.again)
+        sendPrepare(p.first, s, now);
     }
     for (Write& x : s.writes)
       if (now - x.sent > times_.again) sendWrite(p.first, s, x, now);
@@ -156,13 +159,26 @@
   Shelf& s = shelves_[m.shelf];
   s.seen = std::max({s.seen, m.epoch, m.promised});
   switch (m.sort) {
-    case Mail::prepare: onPrepare(m, s); break;
-    case Mail::promise: onPromise(m, s, now); break;
-    case Mail::accept: onAccept(m, s); break;
-    case Mail::accepted: onAccepted(m, s); break;
-    case Mail::confirm: onConfirm(m, s); break;
-    case Mail::confirmed: onConfirmed(m, s); break;
-    default: break;
+    case Mail::prepare:
+      onPrepare(m, s);
+      break;
+    case Mail::promise:
+      onPromise(m, s, now);
+      break;
+    case Mail::accept:
+      onAccept(m, s);
+      break;
+    case Mail::accepted:
+      onAccepted(m, s);
+      break;
+    case Mail::confirm:
+      onConfirm(m, s);
+      break;
+    case Mail::confirmed:
+      onConfirmed(m, s);
+      break;
+    default:
+      break;
   }
 }
 
@@ -203,7 +219,8 @@
   Write w;
   w.full = true;
   w.first = 1;
-  for (std::pair<string const, Entry>& e : s.gathered) w.entries[e.first] = Entry{s.epoch, s.next++, std::move(e.second.value), e.second.gone};
+  for (std::pair<string const, Entry>& e : s.gathered)
+    w.entries[e.first] = Entry{s.epoch, s.next++, std::move(e.second.value), e.second.gone};
   if (s.next == 1) s.next = 2;
   w.last = s.next - 1;
   s.gathered.clear();
@@ -258,8 +275,10 @@
     w.done = true;
     s.committed = w.last;
     for (std::pair<string const, Entry> const& e : w.entries) {
-      if (e.second.gone) s.view.erase(e.first);
-      else s.view[e.first] = e.second.value;
+      if (e.second.gone)
+        s.view.erase(e.first);
+      else
+        s.view[e.first] = e.second.value;
     }
     if (w.full) s.phase = Phase::owning;
     finish({w.op}, true);
--- a/registry/workers.cpp
+++ b/registry/workers.cpp
@@ -32,7 +32,8 @@
   if (!w.gone && w.callCount <= r.w.callCount && turn == r.w.turn) return false;
   if (w.gone && r.w.gone) return false;
   bool const draining = r.w.draining || w.draining;
-  bool const news = r.lost || w.gone != r.w.gone || draining != r.w.draining || w.at != r.w.at || w.service != r.w.service || w.capacity != r.w.capacity || resting != r.w.resting;
+  bool const news = r.lost || w.gone != r.w.gone || draining != r.w.draining || w.at != r.w.at ||
+                    w.service != r.w.service || w.capacity != r.w.capacity || resting != r.w.resting;
   bool const moved = w.hearer != r.w.hearer;
   std::uint64_t const count = std::max(w.callCount, r.w.callCount);
   r.w = w;
@@ -82,7 +83,10 @@
   bool any = false;
   for (std::map<string, Row>::iterator i = rows_.begin(); i != rows_.end();) {
     Row& r = i->second;
-    if ((r.w.gone || r.lost) && now - r.at > 16 * forget_) { i = rows_.erase(i); continue; }
+    if ((r.w.gone || r.lost) && now - r.at > 16 * forget_) {
+      i = rows_.erase(i);
+      continue;
+    }
     ++i;
     if (r.lost || r.w.gone || now - r.at <= forget_) continue;
     r.lost = true;
--- a/segments/replicas.cpp
+++ b/segments/replicas.cpp
@@ -19,7 +19,10 @@
 void Replicas::replay(string const& bytes) {
   Record r = unpacked<Record>(bytes);
   Key const k(r.host, r.id);
-  if (r.sort == recDrop) { all_.erase(k); return; }
+  if (r.sort == recDrop) {
+    all_.erase(k);
+    return;
+  }
   Replica& x = all_[k];
   if (r.sort == recCreate) x = Replica{r.lot, std::move(r.items), std::move(r.results), false, false};
   if (r.sort == recAppend && x.results.size() >= r.at) {
@@ -34,7 +37,9 @@
 
 vector<string> Replicas::snapshot() const {
   vector<string> v;
-  for (std::pair<Key const, Replica> const& p : all_) v.push_back(packed(Record{recCreate, p.first.first, p.first.second, p.second.lot.stamp, 0, p.second.lot, p.second.items, p.second.results}));
+  for (std::pair<Key const, Replica> const& p : all_)
+    v.push_back(packed(Record{recCreate, p.first.first, p.first.second, p.second.lot.stamp, 0, p.second.lot,
+                              p.second.items, p.second.results}));
   return v;
 }
 
@@ -49,9 +54,11 @@
   all_[k] = Replica{lot, std::move(items), std::move(results), true, false};
 }
 
-void Replicas::append(string const& host, string const& id, Stamp s, std::uint64_t from, vector<string> const& records) {
+void Replicas::append(string const& host, string const& id, Stamp s, std::uint64_t from,
+                      vector<string> const& records) {
   std::map<Key, Replica>::iterator const i = all_.find({host, id});
-  if (i == all_.end() || i->second.lot.stamp != s || i->second.frozen || !i->second.since) throw Error(Code::staleStamp, id);
+  if (i == all_.end() || i->second.lot.stamp != s || i->second.frozen || !i->second.since)
+    throw Error(Code::staleStamp, id);
   vector<string>& have = i->second.results;
   if (from > have.size()) throw Error(Code::staleStamp, id + " has a gap");
   std::size_t const skip = have.size() - from;
--- a/tests/charter_test.cpp
+++ b/tests/charter_test.cpp
@@ -6,10 +6,13 @@
 
 namespace {
 string route(string const& name, string const& more, string const& prefix = "/a/") {
-  return "{\"name\":\"" + name + "\",\"host\":\"h.example\",\"pathStart\":\"" + prefix + "\",\"kind\":\"repeatable\"," + more + "}";
+  return "{\"name\":\"" + name + "\",\"host\":\"h.example\",\"pathStart\":\"" + prefix + "\",\"kind\":\"repeatable\"," +
+         more + "}";
 }
 string charter(string const& routes, string const& version = "7") {
-  return "{\"version\":" + version + ",\"routes\":[" + routes + "],\"services\":[{\"name\":\"s\",\"healthPath\":\"/health\",\"maxConnections\":220},{\"name\":\"t\"}],\"limits\":{\"maxBodyBytes\":4096}}";
+  return "{\"version\":" + version + ",\"routes\":[" + routes +
+         "],\"services\":[{\"name\":\"s\",\"healthPath\":\"/"
+         "health\",\"maxConnections\":220},{\"name\":\"t\"}],\"limits\":{\"maxBodyBytes\":4096}}";
 }
 string const fine = "\"timeLimitMs\":1000,\"targetMs\":100,\"service\":\"s\",\"tries\":2";
 int firstFault(string const& text) {
@@ -19,10 +22,11 @@
 }
 }  // namespace
 
-TEST_GROUP(charter) {};
+TEST_GROUP(charter){};
 
 TEST(charter, longestPrefixWins) {
-  std::shared_ptr<Charter const> const c = compileCharter(charter(route("one", fine, "/a/") + "," + route("two", fine, "/a/b/")));
+  std::shared_ptr<Charter const> const c =
+      compileCharter(charter(route("one", fine, "/a/") + "," + route("two", fine, "/a/b/")));
   STRCMP_EQUAL("two", c->find("h.example", "/a/b/x?q=/a/")->name.c_str());
   STRCMP_EQUAL("one", c->find("h.example", "/a/bx")->name.c_str());
   POINTERS_EQUAL(nullptr, c->find("h.example", "/ab/"));
@@ -44,7 +48,8 @@
   LONGS_EQUAL(108, firstFault(charter(route("r", fine, "/a"))));
 }
 TEST(charter, sharesFollowTheWeights) {
-  std::shared_ptr<Charter const> const c = compileCharter(charter(route("r", "\"timeLimitMs\":5,\"split\":[{\"service\":\"s\",\"share\":90},{\"service\":\"t\",\"share\":10}]")));
+  std::shared_ptr<Charter const> const c = compileCharter(charter(
+      route("r", "\"timeLimitMs\":5,\"split\":[{\"service\":\"s\",\"share\":90},{\"service\":\"t\",\"share\":10}]")));
   int s = 0;
   for (int i = 0; i < 10000; ++i) s += c->routes[0].serviceFor(hashOf(std::to_string(i))) == "s";
   CHECK(s > 8800 && s < 9200);
--- a/tests/disk_test.cpp
+++ b/tests/disk_test.cpp
@@ -1,9 +1,9 @@
 #include "base/disk.hpp"
 
 #include <CppUTest/TestHarness.h>
+#include <unistd.h>
 #include <cstdlib>
 #include <fstream>
-#include <unistd.h>
 
 using namespace tealshelf;
 
@@ -13,7 +13,9 @@
     char t[] = "/tmp/tealshelf-test-XXXXXX";
     dir = mkdtemp(t);
   }
-  void teardown() override { (void)!std::system(("rm -rf " + dir).c_str()); }
+  void teardown() override {
+    (void)!std::system(("rm -rf " + dir).c_str());
+  }
   static void fill(string const& d, int n, std::size_t turn) {
     asio::io_context io(1);
     asio::executor_work_guard<asio::io_context::executor_type> const work = asio::make_work_guard(io);
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -22,7 +22,8 @@
     return v;
   }
   /// One tick of 200 ms in which each worker gets some requests, split over two control nodes.
-  void tick(vector<Worker> & all, WorkerHealth & a, WorkerHealth & b, std::function<double(int)> fails, vector<string> & rested, double perTick = 2) {
+  void tick(vector<Worker> & all, WorkerHealth & a, WorkerHealth & b, std::function<double(int)> fails,
+            vector<string> & rested, double perTick = 2) {
     vector<WorkerTally> x, y;
     for (int i = 0; i < static_cast<int>(all.size()); ++i) {
       int const n = std::poisson_distribution<int>(perTick)(g);
@@ -38,7 +39,10 @@
     for (std::uint64_t n : {1, 2})
       for (std::pair<string, bool> const& p : (n == 1 ? a : b).judge(all, Identity(n), now))
         for (Worker& w : all)
-          if (w.id == p.first) { w.resting = p.second; if (p.second) rested.push_back(w.id); }
+          if (w.id == p.first) {
+            w.resting = p.second;
+            if (p.second) rested.push_back(w.id);
+          }
     now += Ms(200);
   }
 };
@@ -47,9 +51,13 @@
   vector<Worker> all = fleet(60);
   WorkerHealth a(Ms(1000), {}), b(Ms(1000), {});
   vector<string> rested;
-  for (int k = 0; k < 25; ++k) tick(all, a, b, [](int) { return 0.01; }, rested);
+  for (int k = 0; k < 25; ++k)
+    tick(
+        all, a, b, [](int) { return 0.01; }, rested);
   CHECK_TEXT(rested.empty(), "usual failures make nobody rest");
-  for (int k = 0; k < 10; ++k) tick(all, a, b, [](int i) { return i < 8 ? 0.45 : 0.01; }, rested);
+  for (int k = 0; k < 10; ++k)
+    tick(
+        all, a, b, [](int i) { return i < 8 ? 0.45 : 0.01; }, rested);
   std::set<string> const out(rested.begin(), rested.end());
   CHECK(out.size() >= 7);
   for (int i = 8; i < 60; ++i) CHECK(!out.count("i-" + std::to_string(i)));
@@ -58,7 +66,9 @@
   vector<Worker> all = fleet(30);
   WorkerHealth a(Ms(1000), {}), b(Ms(1000), {});
   vector<string> rested;
-  for (int k = 0; k < 30; ++k) tick(all, a, b, [](int) { return 0.3; }, rested);
+  for (int k = 0; k < 30; ++k)
+    tick(
+        all, a, b, [](int) { return 0.3; }, rested);
   CHECK(rested.size() <= 1);
 }
 TEST(health, neverMoreThanAThirdRests) {
@@ -67,7 +77,8 @@
   vector<string> rested;
   std::size_t most = 0;
   for (int k = 0; k < 60; ++k) {
-    tick(all, a, b, [](int i) { return i < 6 ? 0.9 : 0.0; }, rested);
+    tick(
+        all, a, b, [](int i) { return i < 6 ? 0.9 : 0.0; }, rested);
     std::size_t n = 0;
     for (Worker const& w : all) n += w.resting;
     most = std::max(most, n);
@@ -79,11 +90,20 @@
   WorkerHealth a(Ms(1000), {}), b(Ms(1000), {});
   vector<string> rested;
   int resting = 0, ticks = 0;
-  for (int k = 0; k < 15; ++k) tick(all, a, b, [](int i) { return i == 3 ? 0.6 : 0.0; }, rested);
+  for (int k = 0; k < 15; ++k)
+    tick(
+        all, a, b, [](int i) { return i == 3 ? 0.6 : 0.0; }, rested);
   CHECK(all[3].resting);
-  for (int k = 0; k < 30; ++k) tick(all, a, b, [](int) { return 0.0; }, rested);
+  for (int k = 0; k < 30; ++k)
+    tick(
+        all, a, b, [](int) { return 0.0; }, rested);
   CHECK_FALSE(all[3].resting);
-  for (int k = 0; k < 150; ++k) { tick(all, a, b, [](int i) { return i == 3 ? 0.8 : 0.0; }, rested); resting += all[3].resting; ++ticks; }
+  for (int k = 0; k < 150; ++k) {
+    tick(
+        all, a, b, [](int i) { return i == 3 ? 0.8 : 0.0; }, rested);
+    resting += all[3].resting;
+    ++ticks;
+  }
   CHECK_TEXT(resting > ticks * 3 / 4, "who fails again and again rests most of the time");
 }
 TEST(health, fewRequestsAndBadNumbersProveNothing) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -11,7 +11,10 @@
   return s ? std::strtoull(s, nullptr, 10) : 8;
 }
 void write(sim::Group& g, int n) {
-  for (int k = 0; k < 8 * n; ++k) { g.write(); g.run(3); }
+  for (int k = 0; k < 8 * n; ++k) {
+    g.write();
+    g.run(3);
+  }
 }
 /// Runs until all eight are members that hold all keys, for so long at the most.
 void founded(sim::Group& g) {
@@ -33,10 +36,15 @@
   g.cuts.clear();
   g.loss = 0;
   for (std::size_t i = 0; i < g.nodes().size(); ++i) {
-    if (!g.nodes()[i].up) g.start(i);
-    else if (g.nodes()[i].frozen) g.thaw(i);
+    if (!g.nodes()[i].up)
+      g.start(i);
+    else if (g.nodes()[i].frozen)
+      g.thaw(i);
+  }
+  for (int k = 0; k < 2500 && g.broken.empty(); ++k) {
+    g.step();
+    g.check();
   }
-  for (int k = 0; k < 2500 && g.broken.empty(); ++k) { g.step(); g.check(); }
   if (!g.broken.empty()) return g.broken;
   std::size_t owners = 0;
   for (sim::Group::Node const& x : g.nodes()) {
@@ -68,29 +76,49 @@
     std::size_t const i = g.dice(8);
     sim::Group::Node& x = g.nodes()[i];
     switch (g.dice(11)) {
-      case 0: if (x.up) g.power(i); break;
-      case 1: if (x.up) g.kill(i); break;
-      case 2: case 3: case 4: if (!x.up) g.start(i); break;
-      case 5: if (x.up) x.frozen = true; break;
-      case 6: if (x.frozen) g.thaw(i); break;
-      case 7: g.cuts.insert({i, g.dice(8)}); break;
-      case 8: g.cuts.clear(); g.loss = g.dice(3) * 0.05; break;
-      case 9: case 10:
+      case 0:
+        if (x.up) g.power(i);
+        break;
+      case 1:
+        if (x.up) g.kill(i);
+        break;
+      case 2:
+      case 3:
+      case 4:
+        if (!x.up) g.start(i);
+        break;
+      case 5:
+        if (x.up) x.frozen = true;
+        break;
+      case 6:
+        if (x.frozen) g.thaw(i);
+        break;
+      case 7:
+        g.cuts.insert({i, g.dice(8)});
+        break;
+      case 8:
+        g.cuts.clear();
+        g.loss = g.dice(3) * 0.05;
+        break;
+      case 9:
+      case 10:
         if (thin(g.nodes()) < 2) {
           g.wipe(keepIdentity ? g.dice(3) : i);
           ++changes;
           if (g.dice(3) == 0)
-            for (std::size_t j = 0; j < 8; ++j) if (j != i && g.nodes()[j].up) g.power(j);
+            for (std::size_t j = 0; j < 8; ++j)
+              if (j != i && g.nodes()[j].up) g.power(j);
         }
         break;
-      default: break;
+      default:
+        break;
     }
   }
   return healed(g);
 }
 }  // namespace
 
-TEST_GROUP(membership) {};
+TEST_GROUP(membership){};
 
 TEST(membership, wipesJoinsAndCutsKeepEveryPromise) {
   std::uint64_t wipes = 0;
@@ -119,9 +147,11 @@
     write(g, 60);
     CHECK(g.acked > 10);
     std::size_t owner = 0;
-    for (std::size_t i = 0; i < 8; ++i) if (g.nodes()[i].reg->owns("charter")) owner = i;
+    for (std::size_t i = 0; i < 8; ++i)
+      if (g.nodes()[i].reg->owns("charter")) owner = i;
     std::size_t const other = (owner + 1 + g.dice(7)) % 8;
-    for (std::size_t i = 0; i < 8; ++i) if (g.nodes()[i].up) g.power(i);
+    for (std::size_t i = 0; i < 8; ++i)
+      if (g.nodes()[i].up) g.power(i);
     g.wipe(owner);
     g.wipe(other);
     string const b = healed(g);
@@ -143,7 +173,10 @@
   g.run(1500);
   write(g, 20);
   for (std::size_t a = 0; a < 4; ++a)
-    for (std::size_t b = 4; b < 8; ++b) { g.cuts.insert({a, b}); g.cuts.insert({b, a}); }
+    for (std::size_t b = 4; b < 8; ++b) {
+      g.cuts.insert({a, b});
+      g.cuts.insert({b, a});
+    }
   g.run(400);
   std::uint64_t const before = g.acked;
   write(g, 60);
@@ -167,7 +200,10 @@
     CHECK_FALSE(g.nodes()[i].reg->owns("charter"));
     CHECK_TEXT(g.nodes()[i].reg->inMajority(g.now()), "it hears the group and can forward");
   }
-  for (std::size_t i = 3; i < 6; ++i) { g.kill(i); g.start(i); }
+  for (std::size_t i = 3; i < 6; ++i) {
+    g.kill(i);
+    g.start(i);
+  }
   g.run(400);
   LONGS_EQUAL(3, g.members());
   STRCMP_EQUAL("", healed(g).c_str());
@@ -196,11 +232,14 @@
     std::size_t const a = g.dice(3);
     g.found(a);
     g.run(g.dice(4));
-    for (std::size_t i = 0; i < 3; ++i) if (i != a || g.dice(2)) g.kill(i);
+    for (std::size_t i = 0; i < 3; ++i)
+      if (i != a || g.dice(2)) g.kill(i);
     g.run(50);
-    for (std::size_t i = 0; i < 3; ++i) if (!g.nodes()[i].up) g.start(i);
+    for (std::size_t i = 0; i < 3; ++i)
+      if (!g.nodes()[i].up) g.start(i);
     g.run(100);
-    for (std::size_t i = 0; i < 3; ++i) if (!g.nodes()[i].reg->group().no.v) g.found(i);
+    for (std::size_t i = 0; i < 3; ++i)
+      if (!g.nodes()[i].reg->group().no.v) g.found(i);
     g.run(1500);
     LONGS_EQUAL(5, g.members());
     write(g, 30);
--- a/tests/news_sim.hpp
+++ b/tests/news_sim.hpp
@@ -18,7 +18,13 @@
     Addr at;
     bool up = true, frozen = false;
     std::unique_ptr<NewsHub> hub;
-    struct Held { NewsAsk ask; Moment came; Addr from; std::uint64_t id; bool crowded; };
+    struct Held {
+      NewsAsk ask;
+      Moment came;
+      Addr from;
+      std::uint64_t id;
+      bool crowded;
+    };
     vector<Held> held;
   };
   struct Control : Server {
@@ -35,7 +41,12 @@
     Moment sent, wake, calmSince;
     std::map<string, string> workers;
   };
-  struct Commit { std::uint64_t charter = 0; string key, value; bool gone = false; Moment at; };
+  struct Commit {
+    std::uint64_t charter = 0;
+    string key, value;
+    bool gone = false;
+    Moment at;
+  };
 
   Fleet(std::uint64_t seed, Config c) : g_(seed), conf_(c), controls_(c.controls), nodes_(c.zones * c.perZone) {
     for (std::size_t i = 0; i < controls_.size(); ++i) {
@@ -51,7 +62,8 @@
       Node& x = nodes_[i];
       x.name = "n" + std::to_string(i);
       x.at = {"10.1." + std::to_string(i / 200) + "." + std::to_string(i % 200), 2};
-      x.row = NodeRow{x.name, zoneName(i % c.zones), "edge", x.at, static_cast<std::uint32_t>(i / c.zones < 3 ? 300 : 40)};
+      x.row =
+          NodeRow{x.name, zoneName(i % c.zones), "edge", x.at, static_cast<std::uint32_t>(i / c.zones < 3 ? 300 : 40)};
       start(x);
     }
   }
@@ -71,7 +83,11 @@
     bool const gone = dice(3) == 0;
     commits_.push_back({0, key, gone ? "" : "v" + std::to_string(commits_.size()), gone, now_});
   }
-  void kill(Node& x) { x.up = false; x.held.clear(); x.asking.reset(); }
+  void kill(Node& x) {
+    x.up = false;
+    x.held.clear();
+    x.asking.reset();
+  }
   void start(Node& x) {
     x.held.clear();
     x.asking.reset();
@@ -82,21 +98,30 @@
     makeHub(x, 2 * Relays::fanOut);
     vector<Addr> seeds;
     for (std::size_t i = 0; i < 3 && i < controls_.size(); ++i) seeds.push_back(controls_[i].at);
-    x.node = std::make_unique<NewsNode>(x.row, NewsNode::Times::of(boot_.bounds), seeds, [](string const& ip) { return Addr{ip, 1}; }, *x.hub);
+    x.node = std::make_unique<NewsNode>(
+        x.row, NewsNode::Times::of(boot_.bounds), seeds,
+        [](string const& ip) {
+          return Addr{ip, 1};
+        },
+        *x.hub);
     NewsNode* const n = x.node.get();
     x.hub->proof = [this, n] { return n->proof(now_); };
     Node* const p = &x;
     x.node->onRow = [this, p](BookRow const& r) {
       if (r.key[0] != 'w' || (conf_.rowsAreDropped && dice(50) == 0)) return;
-      if (r.gone) p->workers.erase(r.key);
-      else p->workers[r.key] = r.value;
+      if (r.gone)
+        p->workers.erase(r.key);
+      else
+        p->workers[r.key] = r.value;
     };
     x.wake = now_ + Ms(dice(20));
     x.calmSince = now_;
   }
   /// A trouble at a node: it is not in touch until so long after it.
   void touch(Node& x) { x.calmSince = now_; }
-  void touchAll() { for (Node& x : nodes_) touch(x); }
+  void touchAll() {
+    for (Node& x : nodes_) touch(x);
+  }
 
   void step() {
     now_ += Ms(5);
@@ -110,12 +135,15 @@
     }
     if (turn_ % 4 == 0) check();
   }
-  void run(std::size_t steps) { for (std::size_t i = 0; i < steps && broken.empty(); ++i) step(); }
+  void run(std::size_t steps) {
+    for (std::size_t i = 0; i < steps && broken.empty(); ++i) step();
+  }
   /// After quiet every node's view equals control's.
   void checkEqual() {
     for (Node& x : nodes_) {
       if (!x.up) continue;
-      if (x.hub->common.digest() != controls_[0].hub->common.digest()) fail(x.name + " differs from control after quiet");
+      if (x.hub->common.digest() != controls_[0].hub->common.digest())
+        fail(x.name + " differs from control after quiet");
       std::map<string, string> want;
       for (std::pair<string const, string> const& p : controls_[0].hub->common.rows())
         if (p.first[0] == 'w') want.insert(p);
@@ -129,7 +157,9 @@
 
  private:
   static string zoneName(std::size_t i) { return "z" + std::to_string(i); }
-  void fail(string const& s) { if (broken.empty()) broken = s; }
+  void fail(string const& s) {
+    if (broken.empty()) broken = s;
+  }
   void makeHub(Server& s, std::size_t most) { s.hub = std::make_unique<NewsHub>(io_, boot_, most); }
   bool passes(string const& a, string const& b) {
     if (cuts.count({a, b})) return false;
@@ -141,9 +171,12 @@
       c.proven = std::max(c.proven, now_ - Ms(dice(200)));
       while (c.known < commits_.size() && now_ - commits_[c.known].at >= Ms(dice(60))) {
         Commit const& k = commits_[c.known++];
-        if (k.charter) c.hub->setCharter(k.charter, "charter " + std::to_string(k.charter));
-        else if (k.gone) c.hub->common.erase(k.key);
-        else c.hub->common.put(k.key, k.value);
+        if (k.charter)
+          c.hub->setCharter(k.charter, "charter " + std::to_string(k.charter));
+        else if (k.gone)
+          c.hub->common.erase(k.key);
+        else
+          c.hub->common.put(k.key, k.value);
       }
       for (Control const& m : controls_) c.hub->common.put("m/" + hex(m.self.id.v), packed(m.self));
     }
@@ -166,8 +199,10 @@
     }
   }
   Server* at(Addr const& a) {
-    for (Control& c : controls_) if (c.at == a) return &c;
-    for (Node& x : nodes_) if (x.at == a) return &x;
+    for (Control& c : controls_)
+      if (c.at == a) return &c;
+    for (Node& x : nodes_)
+      if (x.at == a) return &x;
     return nullptr;
   }
   void runNode(Node& x) {
@@ -206,11 +241,16 @@
     vector<Server::Held> keep;
     for (Server::Held& h : s.held) {
       std::optional<NewsReply> r = s.hub->answer(h.ask, h.came, now_, h.crowded);
-      if (!r) { keep.push_back(std::move(h)); continue; }
+      if (!r) {
+        keep.push_back(std::move(h));
+        continue;
+      }
       tamper(*r, name);
       if (!r->common.empty()) {
-        if (unpacked<BookDelta>(r->common).full) ++fullDeltas;
-        else ++deltas;
+        if (unpacked<BookDelta>(r->common).full)
+          ++fullDeltas;
+        else
+          ++deltas;
       }
       Server* const to = at(h.from);
       if (!to || !passes(name, to->name)) continue;
@@ -229,7 +269,10 @@
     s.held = std::move(keep);
   }
   void tamper(NewsReply& r, string const& name) {
-    if (conf_.relaysLieAboutAge && name[0] == 'n') { r.ageMs = 0; r.healthy = true; }
+    if (conf_.relaysLieAboutAge && name[0] == 'n') {
+      r.ageMs = 0;
+      r.healthy = true;
+    }
     if (conf_.deltasLoseRows && name[0] == 'n' && !r.common.empty() && dice(10) == 0) {
       Book b(8);
       BookDelta d = unpacked<BookDelta>(r.common);
@@ -244,8 +287,12 @@
     for (Node& x : nodes_) {
       if (!x.up) continue;
       std::uint64_t v = x.hub->charterVersion();
-      if (conf_.chartersGoBack && v > 3 && dice(400) == 0) { x.hub->setCharter(v - 1, "old"); v = v - 1; }
-      if (v < x.version) fail(x.name + " went back from charter " + std::to_string(x.version) + " to " + std::to_string(v));
+      if (conf_.chartersGoBack && v > 3 && dice(400) == 0) {
+        x.hub->setCharter(v - 1, "old");
+        v = v - 1;
+      }
+      if (v < x.version)
+        fail(x.name + " went back from charter " + std::to_string(x.version) + " to " + std::to_string(v));
       x.version = v;
       if (x.frozen || now_ - x.calmSince < Ms(boot_.bounds.inTouch)) continue;
       // In touch: what was committed so long ago must be in force.
@@ -253,7 +300,9 @@
         Commit const& k = commits_[i];
         if (now_ - k.at <= Ms(boot_.bounds.applyWithin)) continue;
         if (now_ - k.at > Ms(2 * boot_.bounds.applyWithin)) break;
-        if (k.charter && v < k.charter) fail(x.name + " in touch has charter " + std::to_string(v) + ", " + std::to_string(k.charter) + " was acknowledged long ago");
+        if (k.charter && v < k.charter)
+          fail(x.name + " in touch has charter " + std::to_string(v) + ", " + std::to_string(k.charter) +
+               " was acknowledged long ago");
         if (!k.charter && k.gone && x.workers.count(k.key)) {
           bool again = false;
           for (std::size_t j = i + 1; j < commits_.size(); ++j) again = again || commits_[j].key == k.key;
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -23,41 +23,73 @@
     sim::Fleet::Node& x = f.nodes()[f.dice(f.nodes().size())];
     sim::Fleet::Control& y = f.controls()[f.dice(f.controls().size())];
     switch (f.dice(10)) {
-      case 0: case 1: if (x.up) f.kill(x); f.touch(x); break;
-      case 2: case 3: case 4: if (!x.up) { f.start(x); f.touch(x); } else if (x.frozen) { x.frozen = false; f.touch(x); } break;
-      case 5: if (x.up) { x.frozen = true; f.touch(x); } break;
+      case 0:
+      case 1:
+        if (x.up) f.kill(x);
+        f.touch(x);
+        break;
+      case 2:
+      case 3:
+      case 4:
+        if (!x.up) {
+          f.start(x);
+          f.touch(x);
+        } else if (x.frozen) {
+          x.frozen = false;
+          f.touch(x);
+        }
+        break;
+      case 5:
+        if (x.up) {
+          x.frozen = true;
+          f.touch(x);
+        }
+        break;
       case 6:  // a node is cut off from all control nodes, one way; it still answers its children
         for (sim::Fleet::Control const& m : f.controls()) f.cuts.insert({x.name, m.name});
         f.touch(x);
         break;
       case 7: {
         for (std::pair<string, string> const& p : f.cuts)
-          for (sim::Fleet::Node& n : f.nodes()) if (p.first == n.name || p.second == n.name) f.touch(n);
+          for (sim::Fleet::Node& n : f.nodes())
+            if (p.first == n.name || p.second == n.name) f.touch(n);
         f.cuts.clear();
         break;
       }
-      case 8: y.healthy = !y.healthy && true; break;
-      case 9: f.loss = f.dice(2) * 0.02; f.touchAll(); break;
-      default: break;
+      case 8:
+        y.healthy = !y.healthy && true;
+        break;
+      case 9:
+        f.loss = f.dice(2) * 0.02;
+        f.touchAll();
+        break;
+      default:
+        break;
     }
     // A majority of control stays healthy, and a node cut off is never in touch.
     std::size_t ill = 0;
-    for (sim::Fleet::Control& m : f.controls()) if (!m.healthy && ++ill > 1) m.healthy = true;
+    for (sim::Fleet::Control& m : f.controls())
+      if (!m.healthy && ++ill > 1) m.healthy = true;
     if (f.loss > 0) f.touchAll();
     for (std::pair<string, string> const& p : f.cuts)
-      for (sim::Fleet::Node& n : f.nodes()) if (p.first == n.name || p.second == n.name) f.touch(n);
+      for (sim::Fleet::Node& n : f.nodes())
+        if (p.first == n.name || p.second == n.name) f.touch(n);
   }
   f.cuts.clear();
   f.loss = 0;
   for (sim::Fleet::Control& m : f.controls()) m.healthy = true;
-  for (sim::Fleet::Node& n : f.nodes()) { if (!n.up) f.start(n); n.frozen = false; f.touch(n); }
+  for (sim::Fleet::Node& n : f.nodes()) {
+    if (!n.up) f.start(n);
+    n.frozen = false;
+    f.touch(n);
+  }
   f.run(1200);
   if (f.broken.empty()) f.checkEqual();
   return f.broken;
 }
 }  // namespace
 
-TEST_GROUP(news) {};
+TEST_GROUP(news){};
 
 TEST(news, aBookGivesDeltasFromAnyContentItHad) {
   std::mt19937_64 g(5);
@@ -66,8 +98,10 @@
   for (int i = 0; i < 400; ++i) {
     was.emplace_back(b.digest(), b.rows());
     string const k = "k" + std::to_string(g() % 60);
-    if (g() % 4) b.put(k, std::to_string(g() % 5));
-    else b.erase(k);
+    if (g() % 4)
+      b.put(k, std::to_string(g() % 5));
+    else
+      b.erase(k);
   }
   std::size_t parts = 0;
   for (std::pair<std::uint64_t, std::map<string, string>> const& w : was) {
@@ -77,7 +111,12 @@
     BookDelta const d = b.since(w.first);
     parts += !d.full;
     std::map<string, string> heard = w.second;
-    CHECK(o.apply(d, [&](BookRow const& r) { if (r.gone) heard.erase(r.key); else heard[r.key] = r.value; }));
+    CHECK(o.apply(d, [&](BookRow const& r) {
+      if (r.gone)
+        heard.erase(r.key);
+      else
+        heard[r.key] = r.value;
+    }));
     CHECK(o.digest() == b.digest() && o.rows() == b.rows() && heard == b.rows());
   }
   CHECK(parts > 20);
@@ -104,7 +143,8 @@
   vector<NodeRow> z;
   for (int i = 0; i < 8; ++i) z.push_back({"n" + std::to_string(i), "z", "edge", {"10.0.0.1", i + 1}, 40});
   CHECK(Relays::of(z).empty());
-  for (int i = 8; i < 21; ++i) z.push_back({"n" + std::to_string(i), "z", "edge", {"10.0.0.1", i + 1}, i > 17 ? 300u : 40u});
+  for (int i = 8; i < 21; ++i)
+    z.push_back({"n" + std::to_string(i), "z", "edge", {"10.0.0.1", i + 1}, i > 17 ? 300u : 40u});
   vector<NodeRow> const r = Relays::of(z);
   LONGS_EQUAL(3, r.size());
   for (NodeRow const& n : r) LONGS_EQUAL(300, n.cpu);
@@ -208,7 +248,10 @@
   LONGS_EQUAL(4 * 5, relays);
   CHECK_TEXT(atControl <= relays, "only relays ask at control");
   std::uint64_t const full = f.fullDeltas;
-  for (int k = 0; k < 100; ++k) { f.commitWorker(); f.run(20); }
+  for (int k = 0; k < 100; ++k) {
+    f.commitWorker();
+    f.run(20);
+  }
   LONGS_EQUAL(full, f.fullDeltas);
   CHECK(f.deltas > 1000);
   STRCMP_EQUAL("", f.broken.c_str());
@@ -220,7 +263,10 @@
   f.run(1200);
   for (sim::Fleet::Node& n : f.nodes())
     if (f.relays(n) && n.row.zone == "z1") f.kill(n);
-  for (int k = 0; k < 30; ++k) { f.commitCharter(); f.run(40); }
+  for (int k = 0; k < 30; ++k) {
+    f.commitCharter();
+    f.run(40);
+  }
   STRCMP_EQUAL("", f.broken.c_str());
   f.run(600);
   f.checkEqual();
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -16,11 +16,12 @@
   return s.str();
 }
 string const bootText =
-    "nodeName=a-1\nrole=control\nipAddress=127.0.0.9\nzone=z\ninternalPorts=7000,7005\nseedNodes=127.0.0.9:8000,127.0.0.10:8000\n"
+    "nodeName=a-1\nrole=control\nipAddress=127.0.0.9\nzone=z\ninternalPorts=7000,7005\nseedNodes=127.0.0.9:8000,127.0."
+    "0.10:8000\n"
     "firstBoot=true\nbounds.catchUpS=5.1\nlimits.memoryMb=260\nsurvive.machines=1\n";
 }  // namespace
 
-TEST_GROUP(errors) {};
+TEST_GROUP(errors){};
 
 TEST(errors, docsHoldTheWholeTable) {
   string const doc = slurped("docs/errors.md");
@@ -40,7 +41,7 @@
   LONGS_EQUAL(429, Error(Code::lotOverQuota).status());
 }
 
-TEST_GROUP(boot) {};
+TEST_GROUP(boot){};
 
 TEST(boot, readsTheExample) {
   vector<BootFault> f;
@@ -153,21 +154,27 @@
   gone.gone = true;
   a.merge(gone, now);
   now += Ms(4000);
-  for (char const* const id : {"i-0", "i-1"}) { Worker w = *a.find(id); w.callCount = 5; a.merge(w, now); }
+  for (char const* const id : {"i-0", "i-1"}) {
+    Worker w = *a.find(id);
+    w.callCount = 5;
+    a.merge(w, now);
+  }
   CHECK(a.sweep(now));
   LONGS_EQUAL(3, a.all().size());
   CHECK(b.mergeAll(a.all(), Identity(1), now));
   std::set<string> left;
-  for (Worker const& w : b.all()) if (!w.gone) left.insert(w.id);
+  for (Worker const& w : b.all())
+    if (!w.gone) left.insert(w.id);
   CHECK((left == std::set<string>{"i-0", "i-1"}));
   CHECK(b.find("i-2")->gone);
 }
 
-TEST_GROUP(lots) {};
+TEST_GROUP(lots){};
 
 TEST(lots, readsItems) {
   vector<ItemRecord> const v = readLot(
-      "{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/p/1\",\"headerMap\":{\"Model\":\"m\"},\"payload\":\"q83vEjRWeJA=\",\"tokens\":940}]}");
+      "{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/p/"
+      "1\",\"headerMap\":{\"Model\":\"m\"},\"payload\":\"q83vEjRWeJA=\",\"tokens\":940}]}");
   LONGS_EQUAL(1, v.size());
   LONGS_EQUAL(8, v[0].body.size());
   LONGS_EQUAL(0xab, static_cast<unsigned char>(v[0].body[0]));
@@ -185,11 +192,14 @@
   LONGS_EQUAL(300, code("{"));
   LONGS_EQUAL(300, code("{\"requests\":[]}"));
   LONGS_EQUAL(300, code("{\"requests\":[{\"serverId\":\"a\"}]}"));
-  LONGS_EQUAL(300, code("{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/p\",\"headerMap\":{\"X\":\"a\\r\\nB: c\"},\"tokens\":1}]}"));
+  LONGS_EQUAL(300, code("{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/p\",\"headerMap\":{\"X\":\"a\\r\\nB: "
+                        "c\"},\"tokens\":1}]}"));
   LONGS_EQUAL(303, code("{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/p\",\"payload\":\"a\",\"tokens\":1}]}"));
-  LONGS_EQUAL(302, code("{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/p\",\"tokens\":1},{\"serverId\":\"a\",\"urlPath\":\"/p\",\"tokens\":1}]}"));
+  LONGS_EQUAL(302, code("{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/"
+                        "p\",\"tokens\":1},{\"serverId\":\"a\",\"urlPath\":\"/p\",\"tokens\":1}]}"));
   string many = "{\"requests\":[";
-  for (int i = 0; i < 201; ++i) many += string(i ? "," : "") + "{\"serverId\":\"a" + std::to_string(i) + "\",\"urlPath\":\"/p\",\"tokens\":1}";
+  for (int i = 0; i < 201; ++i)
+    many += string(i ? "," : "") + "{\"serverId\":\"a" + std::to_string(i) + "\",\"urlPath\":\"/p\",\"tokens\":1}";
   LONGS_EQUAL(301, code(many + "]}"));
 }
 TEST(lots, base64IsStrict) {
@@ -202,7 +212,7 @@
   CHECK_FALSE(unbase64("QQ==QQ==", s));
 }
 
-TEST_GROUP(events) {};
+TEST_GROUP(events){};
 
 TEST(events, onlyWholeEventsPass) {
   EventReader r;
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -5,68 +5,92 @@
 
 using namespace tealshelf;
 
-TEST_GROUP(registrysim) {
-  static std::uint64_t seeds() {
-    char const* const s = std::getenv("TEALSHELF_SEEDS");
-    return s ? std::strtoull(s, nullptr, 10) : 12;
+TEST_GROUP(registrysim){static std::uint64_t seeds(){char const* const s = std::getenv("TEALSHELF_SEEDS");
+return s ? std::strtoull(s, nullptr, 10) : 12;
+}
+static void trouble(sim::Group& g) {
+  std::size_t const n = g.nodes().size();
+  std::size_t const i = g.dice(n);
+  std::size_t down = 0;
+  for (sim::Group::Node const& x : g.nodes()) down += !x.up || x.frozen;
+  switch (g.dice(9)) {
+    case 0:
+      if (g.nodes()[i].up) g.power(i);
+      break;
+    case 1:
+      if (g.nodes()[i].up) g.kill(i);
+      break;
+    case 2:
+    case 3:
+      if (!g.nodes()[i].up) g.start(i);
+      break;
+    case 4:
+      if (g.nodes()[i].up && down < 2) g.nodes()[i].frozen = true;
+      break;
+    case 5:
+      if (g.nodes()[i].frozen) g.thaw(i);
+      break;
+    case 6:
+      g.cuts.insert({i, g.dice(n)});
+      break;
+    case 7:
+      g.cuts.clear();
+      break;
+    case 8:
+      g.loss = g.dice(3) * 0.1;
+      break;
+    default:
+      break;
   }
-  static void trouble(sim::Group& g) {
-    std::size_t const n = g.nodes().size();
-    std::size_t const i = g.dice(n);
-    std::size_t down = 0;
-    for (sim::Group::Node const& x : g.nodes()) down += !x.up || x.frozen;
-    switch (g.dice(9)) {
-      case 0: if (g.nodes()[i].up) g.power(i); break;
-      case 1: if (g.nodes()[i].up) g.kill(i); break;
-      case 2: case 3: if (!g.nodes()[i].up) g.start(i); break;
-      case 4: if (g.nodes()[i].up && down < 2) g.nodes()[i].frozen = true; break;
-      case 5: if (g.nodes()[i].frozen) g.thaw(i); break;
-      case 6: g.cuts.insert({i, g.dice(n)}); break;
-      case 7: g.cuts.clear(); break;
-      case 8: g.loss = g.dice(3) * 0.1; break;
-      default: break;
-    }
+}
+static void heal(sim::Group& g) {
+  g.cuts.clear();
+  g.loss = 0;
+  for (std::size_t i = 0; i < g.nodes().size(); ++i) {
+    if (!g.nodes()[i].up)
+      g.start(i);
+    else if (g.nodes()[i].frozen)
+      g.thaw(i);
   }
-  static void heal(sim::Group& g) {
-    g.cuts.clear();
-    g.loss = 0;
-    for (std::size_t i = 0; i < g.nodes().size(); ++i) {
-      if (!g.nodes()[i].up) g.start(i);
-      else if (g.nodes()[i].frozen) g.thaw(i);
-    }
+}
+static string play(std::uint64_t seed, std::size_t n, bool breakSync, std::uint64_t& writes, std::uint64_t& reads,
+                   bool syncAtStart = true) {
+  sim::Group g(seed, n, breakSync);
+  g.syncAtStart = syncAtStart;
+  g.run(400);
+  std::uint64_t last = 0;
+  for (int k = 0; k < 6000 && g.broken.empty(); ++k) {
+    g.step();
+    if (g.dice(3) == 0) g.write();
+    if (g.dice(5) == 0) g.read();
+    if (g.dice(60) == 0) trouble(g);
+    if (g.acked > last && g.dice(40) == 0)
+      for (std::size_t i = 0; i < n; ++i)
+        if (g.nodes()[i].up) g.power(i);
+    last = g.acked;
+    g.check();
   }
-  static string play(std::uint64_t seed, std::size_t n, bool breakSync, std::uint64_t& writes, std::uint64_t& reads, bool syncAtStart = true) {
-    sim::Group g(seed, n, breakSync);
-    g.syncAtStart = syncAtStart;
-    g.run(400);
-    std::uint64_t last = 0;
-    for (int k = 0; k < 6000 && g.broken.empty(); ++k) {
-      g.step();
-      if (g.dice(3) == 0) g.write();
-      if (g.dice(5) == 0) g.read();
-      if (g.dice(60) == 0) trouble(g);
-      if (g.acked > last && g.dice(40) == 0)
-        for (std::size_t i = 0; i < n; ++i)
-          if (g.nodes()[i].up) g.power(i);
-      last = g.acked;
-      g.check();
-    }
-    heal(g);
-    for (int k = 0; k < 1200 && g.broken.empty(); ++k) { g.step(); g.check(); }
-    writes += g.writes;
-    reads += g.reads;
-    if (!g.broken.empty()) return g.broken;
-    std::size_t owners = 0;
-    for (sim::Group::Node const& x : g.nodes()) {
-      owners += x.reg->owns("charter");
-      if (x.reg->owns("charter") && g.value(x) < g.acked) return "the owner lost an acknowledged write";
-      std::optional<std::map<string, string>> const v = x.reg->settled("charter");
-      if (!v) return x.self.name + " has no settled view after all was healed";
-      if (std::strtoull(v->at("current").c_str(), nullptr, 10) < g.acked) return x.self.name + " lags after all was healed";
-    }
-    return owners == 1 ? "" : std::to_string(owners) + " owners after all was healed";
+  heal(g);
+  for (int k = 0; k < 1200 && g.broken.empty(); ++k) {
+    g.step();
+    g.check();
+  }
+  writes += g.writes;
+  reads += g.reads;
+  if (!g.broken.empty()) return g.broken;
+  std::size_t owners = 0;
+  for (sim::Group::Node const& x : g.nodes()) {
+    owners += x.reg->owns("charter");
+    if (x.reg->owns("charter") && g.value(x) < g.acked) return "the owner lost an acknowledged write";
+    std::optional<std::map<string, string>> const v = x.reg->settled("charter");
+    if (!v) return x.self.name + " has no settled view after all was healed";
+    if (std::strtoull(v->at("current").c_str(), nullptr, 10) < g.acked)
+      return x.self.name + " lags after all was healed";
   }
-};
+  return owners == 1 ? "" : std::to_string(owners) + " owners after all was healed";
+}
+}
+;
 
 TEST(registrysim, threeKeepEveryPromise) {
   std::uint64_t w = 0, r = 0;
@@ -103,14 +127,20 @@
 TEST(registrysim, restartedMemberLearnsOfNextVersions) {
   sim::Group g(7, 4);
   g.run(600);
-  for (int k = 0; k < 40; ++k) { g.write(); g.run(3); }
+  for (int k = 0; k < 40; ++k) {
+    g.write();
+    g.run(3);
+  }
   for (std::size_t i = 0; i < 4; ++i) {
     g.kill(i);
     g.run(100);
     g.start(i);
     g.run(400);
     std::uint64_t const before = g.acked;
-    for (int k = 0; k < 40; ++k) { g.write(); g.run(3); }
+    for (int k = 0; k < 40; ++k) {
+      g.write();
+      g.run(3);
+    }
     CHECK(g.acked > before);
     g.run(200);
     for (sim::Group::Node const& x : g.nodes()) {
@@ -124,7 +154,10 @@
 TEST(registrysim, wipedAfterAckWithStaleThird) {
   sim::Group g(11, 3);
   g.run(600);
-  for (int k = 0; k < 40; ++k) { g.write(); g.run(3); }
+  for (int k = 0; k < 40; ++k) {
+    g.write();
+    g.run(3);
+  }
   std::size_t owner = 3;
   for (std::size_t i = 0; i < 3; ++i)
     if (g.nodes()[i].reg->owns("charter")) owner = i;
@@ -132,7 +165,10 @@
   std::size_t const stale = (owner + 1) % 3, other = (owner + 2) % 3;
   g.kill(stale);
   std::uint64_t const before = g.acked;
-  for (int k = 0; k < 60; ++k) { g.write(); g.run(3); }
+  for (int k = 0; k < 60; ++k) {
+    g.write();
+    g.run(3);
+  }
   CHECK(g.acked > before);
   g.power(other);
   g.power(owner);
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -1,29 +1,28 @@
-#include "registry/leases.hpp"
 #include "segments/replicas.hpp"
+#include "registry/leases.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <random>
 
 using namespace tealshelf;
 
-TEST_GROUP(replicas) {
-  static LotRecord lot(std::uint64_t stamp) {
-    LotRecord l;
-    l.host = "h";
-    l.id = "lot";
-    l.total = 1000;
-    l.stamp = Stamp(stamp);
-    return l;
-  }
-  static bool refused(std::function<void()> f) {
-    try {
-      f();
-    } catch (Error const& x) {
-      return x.code() == Code::staleStamp || x.code() == Code::lotUnknown;
-    }
-    return false;
+TEST_GROUP(replicas){static LotRecord lot(std::uint64_t stamp){LotRecord l;
+l.host = "h";
+l.id = "lot";
+l.total = 1000;
+l.stamp = Stamp(stamp);
+return l;
+}
+static bool refused(std::function<void()> f) {
+  try {
+    f();
+  } catch (Error const& x) {
+    return x.code() == Code::staleStamp || x.code() == Code::lotUnknown;
   }
-};
+  return false;
+}
+}
+;
 
 TEST(replicas, anotherStampIsRefused) {
   Replicas r;
@@ -92,7 +91,9 @@
     Replicas live;
     vector<string> disk;
     bool up = true;
-    void sync() { for (string& x : live.take()) disk.push_back(std::move(x)); }
+    void sync() {
+      for (string& x : live.take()) disk.push_back(std::move(x));
+    }
     void restart(bool loseUnsynced) {
       if (!loseUnsynced) sync();
       live = Replicas();
@@ -107,7 +108,10 @@
       Holder h[3];
       Stamp stamp(1), last(1);
       vector<int> holders = {0, 1, 2};
-      for (Holder& x : h) { x.live.create(lot(1), "items", {}); x.sync(); }
+      for (Holder& x : h) {
+        x.live.create(lot(1), "items", {});
+        x.sync();
+      }
       vector<string> listed;
       int next = 0;
       bool bad = false;
@@ -186,11 +190,14 @@
         for (int const i : holders) {
           Replicas::Replica const* const x = h[i].up ? h[i].live.find("h", "lot") : nullptr;
           if (!x || x->lot.stamp != stamp) continue;
-          for (std::size_t n = 0; n < listed.size(); ++n) bad = bad || n >= x->results.size() || x->results[n] != listed[n];
+          for (std::size_t n = 0; n < listed.size(); ++n)
+            bad = bad || n >= x->results.size() || x->results[n] != listed[n];
         }
       }
-      if (broken) brokenCaught = brokenCaught || bad;
-      else CHECK_FALSE_TEXT(bad, ("seed " + std::to_string(seed)).c_str());
+      if (broken)
+        brokenCaught = brokenCaught || bad;
+      else
+        CHECK_FALSE_TEXT(bad, ("seed " + std::to_string(seed)).c_str());
       if (!broken) CHECK(listed.size() > 0);
     }
   CHECK_TEXT(brokenCaught, "listing before every holder synced was never caught");
--- a/tests/sim.hpp
+++ b/tests/sim.hpp
@@ -11,17 +11,18 @@
   struct Node {
     std::unique_ptr<Registry> reg;
     Member self;
-    vector<string> disk, cached, unsynced;   ///< records synced, left unsynced by a killed process, and not yet synced
-    std::deque<std::pair<std::size_t, Batch>> waiting;  ///< batches that wait for a sync, with the disk length they need
+    vector<string> disk, cached, unsynced;  ///< records synced, left unsynced by a killed process, and not yet synced
+    std::deque<std::pair<std::size_t, Batch>>
+        waiting;  ///< batches that wait for a sync, with the disk length they need
     bool up = true, frozen = false;
     std::uint64_t life = 0;
     Moment syncAt;
-    std::uint64_t seenVersion = 0;           ///< highest settled version in this life
-    bool lasting = true;                     ///< without a disk its state ends with its process
+    std::uint64_t seenVersion = 0;                      ///< highest settled version in this life
+    bool lasting = true;                                ///< without a disk its state ends with its process
     std::map<std::uint64_t, tealshelf::Group> changes;  ///< groups proposed by this life, by operation
-    std::set<std::size_t> copies;            ///< members copied from under the group in copyNo
+    std::set<std::size_t> copies;                       ///< members copied from under the group in copyNo
     GroupNo copyNo;
-    bool whole = false;                      ///< its disk is known to hold all keys
+    bool whole = false;  ///< its disk is known to hold all keys
     vector<vector<std::pair<string, std::pair<Epoch, Entries>>>> copied;
   };
   struct Op {
@@ -30,10 +31,14 @@
   };
 
   /// Some nodes found the group; the others, if any, join it.
-  Group(std::uint64_t seed, std::size_t n, bool breakSync = false, std::size_t founders = 0) : g_(seed), breakSync_(breakSync), nodes_(n), founders_(founders ? founders : n) {
-    for (std::size_t i = 0; i < n; ++i) nodes_[i].self = Member{Identity(100 + i), "n" + std::to_string(i), "10.0.0." + std::to_string(i), "z", i < founders_, true};
+  Group(std::uint64_t seed, std::size_t n, bool breakSync = false, std::size_t founders = 0)
+      : g_(seed), breakSync_(breakSync), nodes_(n), founders_(founders ? founders : n) {
+    for (std::size_t i = 0; i < n; ++i)
+      nodes_[i].self =
+          Member{Identity(100 + i), "n" + std::to_string(i), "10.0.0." + std::to_string(i), "z", i < founders_, true};
     for (Node& x : nodes_) make(x);
-    if (!founders) for (std::size_t i = 0; i < n; ++i) found(i);
+    if (!founders)
+      for (std::size_t i = 0; i < n; ++i) found(i);
   }
   /// A founder that reaches all others installs the first group.
   void found(std::size_t i) {
@@ -44,8 +49,8 @@
     nodes_[i].reg->install(first, true);
     pump(nodes_[i]);
   }
-  bool joins = false;        ///< nodes outside the group ask to join, new members copy
-  bool keepIdentity = false; ///< the broken variant: a wiped disk comes back under its old identity, and votes
+  bool joins = false;         ///< nodes outside the group ask to join, new members copy
+  bool keepIdentity = false;  ///< the broken variant: a wiped disk comes back under its old identity, and votes
   std::int64_t survive = 0;
   /// The disk is lost: the node starts again empty, with a new identity.
   void wipe(std::size_t i) {
@@ -65,14 +70,15 @@
   }
   std::size_t members() const {
     std::size_t most = 0;
-    for (Node const& x : nodes_) if (x.up) most = std::max(most, x.reg->group().members.size());
+    for (Node const& x : nodes_)
+      if (x.up) most = std::max(most, x.reg->group().members.size());
     return most;
   }
   std::uint64_t dice(std::uint64_t n) { return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(g_); }
   Moment now() const { return now_; }
   vector<Node>& nodes() { return nodes_; }
   double loss = 0;
-  bool syncAtStart = true;  ///< a start syncs what a killed process left unsynced
+  bool syncAtStart = true;                             ///< a start syncs what a killed process left unsynced
   std::set<std::pair<std::size_t, std::size_t>> cuts;  ///< one-way
 
   /// One step of 5 ms.
@@ -82,7 +88,10 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       Node& x = nodes_[i];
       if (!x.up || x.frozen) continue;
-      if (turn_ % 10 == i % 10) { x.reg->tick(now_); pump(x); }
+      if (turn_ % 10 == i % 10) {
+        x.reg->tick(now_);
+        pump(x);
+      }
       if (turn_ % 30 == i % 30)
         for (std::size_t j = 0; j < nodes_.size(); ++j)
           if (j != i) deliver(i, j, x.reg->ping(now_));
@@ -138,7 +147,15 @@
     std::map<string, string> const& v = x.reg->view("charter");
     std::map<string, string>::const_iterator const c = v.find("current");
     std::uint64_t const value = (c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10)) + 1;
-    Op o{true, value, acked, i, x.life, x.reg->propose("charter", {{"current", std::to_string(value), false}, {"k" + std::to_string(value % 7), std::to_string(value), false}}, now_)};
+    Op o{true,
+         value,
+         acked,
+         i,
+         x.life,
+         x.reg->propose("charter",
+                        {{"current", std::to_string(value), false},
+                         {"k" + std::to_string(value % 7), std::to_string(value), false}},
+                        now_)};
     writing_.insert(i);
     ops_.push_back(o);
     pump(x);
@@ -172,7 +189,9 @@
   }
 
  private:
-  void fail(string const& s) { if (broken.empty()) broken = s; }
+  void fail(string const& s) {
+    if (broken.empty()) broken = s;
+  }
   void make(Node& x) {
     x.reg = std::make_unique<Registry>(x.self, Registry::Times{Ms(750), Ms(100)});
     x.reg->know("charter");
@@ -217,21 +236,29 @@
         if (nodes_[j].self.id == m.to) deliver(from, j, std::move(m));
     for (Outcome const& o : b.outcomes) outcome(from, o);
   }
-  template <class M> void deliver(std::size_t from, std::size_t to, M m) {
+  template <class M>
+  void deliver(std::size_t from, std::size_t to, M m) {
     if (from != to && (cuts.count({from, to}) || std::uniform_real_distribution<>(0, 1)(g_) < loss)) return;
     std::uint64_t const life = nodes_[to].life;
     Moment const at = now_ + Ms(from == to ? 0 : 1 + dice(loss > 0 ? 60 : 3));
     net_.emplace(at, [this, to, life, m = std::move(m)] {
       Node& y = nodes_[to];
       if (!y.up || y.life != life) return;
-      if (y.frozen) { late_.emplace_back(to, m); return; }
+      if (y.frozen) {
+        late_.emplace_back(to, m);
+        return;
+      }
       take(y, m);
     });
   }
-  void take(Node& y, Mail const& m) { y.reg->mail(m, now_); pump(y); }
+  void take(Node& y, Mail const& m) {
+    y.reg->mail(m, now_);
+    pump(y);
+  }
   void take(Node& y, Ping const& p) {
     for (Node& x : nodes_)
-      if (x.self.id == p.self.id && x.reg && x.reg->group().no > y.reg->group().no) y.reg->install(x.reg->group(), false);
+      if (x.self.id == p.self.id && x.reg && x.reg->group().no > y.reg->group().no)
+        y.reg->install(x.reg->group(), false);
     y.reg->heard(p, now_);
     pump(y);
   }
@@ -246,7 +273,10 @@
         std::map<string, string>::const_iterator const c = v.find("group");
         if (c != v.end()) {
           tealshelf::Group const y = msgpack::unpack(c->second.data(), c->second.size()).get().as<tealshelf::Group>();
-          if (y.no > g.no) { x.reg->install(y, false); pump(x); }
+          if (y.no > g.no) {
+            x.reg->install(y, false);
+            pump(x);
+          }
         }
       }
       return;
@@ -254,10 +284,14 @@
     if (!g.no.v && i < founders_ && x.self.founder) return;
     bool anyDisk = false;
     for (Member const& m : g.members) anyDisk = anyDisk || m.disk;
-    if (!x.lasting && (anyDisk || !g.no.v)) { if (g.no.v) return; }
+    if (!x.lasting && (anyDisk || !g.no.v)) {
+      if (g.no.v) return;
+    }
     std::size_t const j = dice(nodes_.size());
     Node& y = nodes_[j];
-    if (j == i || !y.up || y.frozen || cuts.count({i, j}) || cuts.count({j, i}) || !y.reg->owns("members") || !y.changes.empty()) return;
+    if (j == i || !y.up || y.frozen || cuts.count({i, j}) || cuts.count({j, i}) || !y.reg->owns("members") ||
+        !y.changes.empty())
+      return;
     Membership const rule{Ms(1500), true, std::max<std::size_t>(3, Membership::needed(survive))};
     std::optional<tealshelf::Group> const n = rule.next(*y.reg, x.self, false, now_);
     if (!n) return;
@@ -269,10 +303,15 @@
   }
   void copy(Node& x, std::size_t i) {
     tealshelf::Group const g = x.reg->group();
-    if (x.copyNo != g.no) { x.copyNo = g.no; x.copies.clear(); x.copied.clear(); }
+    if (x.copyNo != g.no) {
+      x.copyNo = g.no;
+      x.copies.clear();
+      x.copied.clear();
+    }
     std::size_t const j = dice(nodes_.size());
     Node& y = nodes_[j];
-    if (j != i && y.up && !y.frozen && !cuts.count({i, j}) && !cuts.count({j, i}) && y.reg->group().no == g.no && g.find(y.self.id) && y.reg->copied() && y.unsynced.empty() && !x.copies.count(j)) {
+    if (j != i && y.up && !y.frozen && !cuts.count({i, j}) && !cuts.count({j, i}) && y.reg->group().no == g.no &&
+        g.find(y.self.id) && y.reg->copied() && y.unsynced.empty() && !x.copies.count(j)) {
       x.copies.insert(j);
       x.copied.push_back(y.reg->dump());
     }
@@ -288,7 +327,10 @@
     if (std::map<std::uint64_t, tealshelf::Group>::iterator const c = m.changes.find(o.op); c != m.changes.end()) {
       tealshelf::Group const g = c->second;
       m.changes.erase(c);
-      if (o.ok && m.reg->group().no.v + 1 == g.no.v) { m.reg->install(g, false); pump(m); }
+      if (o.ok && m.reg->group().no.v + 1 == g.no.v) {
+        m.reg->install(g, false);
+        pump(m);
+      }
       return;
     }
     for (std::deque<Op>::iterator i = ops_.begin(); i != ops_.end(); ++i) {
@@ -315,7 +357,10 @@
     vector<std::pair<std::size_t, std::variant<Mail, Ping>>> l;
     l.swap(late_);
     for (std::pair<std::size_t, std::variant<Mail, Ping>>& p : l) {
-      if (p.first != i) { late_.push_back(std::move(p)); continue; }
+      if (p.first != i) {
+        late_.push_back(std::move(p));
+        continue;
+      }
       std::visit([&](auto const& m) { take(nodes_[i], m); }, p.second);
     }
   }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -31,7 +31,8 @@
   /// True if an ordinary ask is still answered.
   bool serves() {
     bool ok = false;
-    asio::co_spawn(io, rpc.ask(at, NewsAsk(), Ms(2000)), [&](std::exception_ptr p, NewsReply r) { ok = !p && r.charterVersion == 1; });
+    asio::co_spawn(io, rpc.ask(at, NewsAsk(), Ms(2000)),
+                   [&](std::exception_ptr p, NewsReply r) { ok = !p && r.charterVersion == 1; });
     return until([&] { return ok; });
   }
   static string head(std::uint32_t size, std::uint64_t id, std::uint16_t method, char sort) {
@@ -61,7 +62,7 @@
 };
 }  // namespace
 
-TEST_GROUP(wire) {};
+TEST_GROUP(wire){};
 
 TEST(wire, anOversizedMessageEndsItsConnectionOnly) {
   Loop l;
@@ -82,7 +83,8 @@
 }
 TEST(wire, aMalformedBodyIsAnsweredByNumber) {
   Loop l;
-  for (string const& body : {string("\xc1"), string("\x93\x01"), string(40, '\xff'), string(), packed(string("a text")), packed(vector<int>{7, 8})}) {
+  for (string const& body : {string("\xc1"), string("\x93\x01"), string(40, '\xff'), string(), packed(string("a text")),
+                             packed(vector<int>{7, 8})}) {
     tcp::socket s = l.raw();
     asio::write(s, asio::buffer(Loop::head(static_cast<std::uint32_t>(body.size()), 9, 6, 0) + body));
     char h[15];
--- a/tools/scale/hollow.cpp
+++ b/tools/scale/hollow.cpp
@@ -10,7 +10,11 @@
 
 namespace {
 struct Hollow {
-  Hollow(asio::io_context& io, Boot b) : boot(std::move(b)), rpc(io, Ms(boot.bounds.inTouch / 2)), server(io, boot.relayAt(boot.ip), Ms(boot.bounds.inTouch / 2)), view(io, boot, rpc, "edge", boot.relayAt(boot.ip)) {}
+  Hollow(asio::io_context& io, Boot b)
+      : boot(std::move(b)),
+        rpc(io, Ms(boot.bounds.inTouch / 2)),
+        server(io, boot.relayAt(boot.ip), Ms(boot.bounds.inTouch / 2)),
+        view(io, boot, rpc, "edge", boot.relayAt(boot.ip)) {}
   Boot boot;
   Rpc rpc;
   RpcServer server;
@@ -19,7 +23,8 @@
 };
 
 /// A worker that beats at a control node, and at the one that the answer names.
-Task<void> beats(asio::io_context& io, Boot boot, string id, string zone, int n, std::uint64_t& sent, std::uint64_t& failed) {
+Task<void> beats(asio::io_context& io, Boot boot, string id, string zone, int n, std::uint64_t& sent,
+                 std::uint64_t& failed) {
   Addr to = boot.seeds[static_cast<std::size_t>(n) % boot.seeds.size()];
   co_await pause(Ms((n * 37) % boot.reportEvery));
   for (std::uint64_t count = 1;; ++count) {
@@ -28,11 +33,14 @@
     Guard g(io, s);
     g.until(Clock::now() + Ms(1000));
     error_code e;
-    co_await s.async_connect({asio::ip::make_address(to.ip), static_cast<std::uint16_t>(to.port)}, asio::redirect_error(asio::use_awaitable, e));
+    co_await s.async_connect({asio::ip::make_address(to.ip), static_cast<std::uint16_t>(to.port)},
+                             asio::redirect_error(asio::use_awaitable, e));
     http::request<http::string_body> q(http::verb::put, "/servers/" + id, 11);
     q.set(http::field::host, to.text());
     q.set(http::field::connection, "close");
-    q.body() = "{\"service\":\"app\",\"address\":\"127.100.0.1:9\",\"zone\":\"" + zone + "\",\"version\":\"v1\",\"capacity\":16,\"state\":\"ready\",\"warmupLeftMs\":0,\"callCount\":" + std::to_string(count) + "}";
+    q.body() = "{\"service\":\"app\",\"address\":\"127.100.0.1:9\",\"zone\":\"" + zone +
+               "\",\"version\":\"v1\",\"capacity\":16,\"state\":\"ready\",\"warmupLeftMs\":0,\"callCount\":" +
+               std::to_string(count) + "}";
     q.prepare_payload();
     if (!e) co_await http::async_write(s, q, asio::redirect_error(asio::use_awaitable, e));
     beast::flat_buffer b;
@@ -43,7 +51,8 @@
     if (ok) {
       std::size_t const p = r.body().find("\"reportTo\":\"");
       Addr a;
-      if (p != string::npos && readAddr(string_view(r.body()).substr(p + 12, r.body().find('"', p + 12) - p - 12), a)) to = a;
+      if (p != string::npos && readAddr(string_view(r.body()).substr(p + 12, r.body().find('"', p + 12) - p - 12), a))
+        to = a;
     } else {
       to = boot.seeds[randomId() % boot.seeds.size()];
     }
@@ -88,7 +97,9 @@
     }
     std::uint64_t sent = 0, failed = 0;
     for (int i = 0; i < workers; ++i)
-      spawn(io, "worker", beats(io, boot, "w-" + std::to_string(first + i), zones[static_cast<std::size_t>(first + i) % zones.size()], first + i, sent, failed));
+      spawn(io, "worker",
+            beats(io, boot, "w-" + std::to_string(first + i), zones[static_cast<std::size_t>(first + i) % zones.size()],
+                  first + i, sent, failed));
     asio::steady_timer end(io, std::chrono::seconds(seconds));
     end.async_wait([&](error_code) { io.stop(); });
     io.run();
@@ -102,7 +113,10 @@
       known += h->view.workers().size();
       ready += h->view.near();
     }
-    std::cout << "hollow nodes " << nodes << " fresh " << ready << " asks " << asks << " relayed " << replies << " relayedBytes " << bytes << " mostHeld " << held << " workersKnown " << (nodes ? known / static_cast<std::uint64_t>(nodes) : 0) << " beats " << sent << " beatsFailed " << failed << std::endl;
+    std::cout << "hollow nodes " << nodes << " fresh " << ready << " asks " << asks << " relayed " << replies
+              << " relayedBytes " << bytes << " mostHeld " << held << " workersKnown "
+              << (nodes ? known / static_cast<std::uint64_t>(nodes) : 0) << " beats " << sent << " beatsFailed "
+              << failed << std::endl;
     std::_Exit(0);
   } catch (std::exception const& x) {
     std::cerr << "hollow: " << x.what() << "\n";
--- a/traffic/balance.cpp
+++ b/traffic/balance.cpp
@@ -19,7 +19,11 @@
   --r.unreadRequests;
   r.unread -= static_cast<std::int64_t>(tokens);
 }
-void Balance::ended(string const& id) { Row& r = rows_[id]; --r.own; --r.since; }
+void Balance::ended(string const& id) {
+  Row& r = rows_[id];
+  --r.own;
+  --r.since;
+}
 void Balance::told(string const& id, std::array<std::uint64_t, 3> const& b) {
   Row& r = rows_[id];
   r.base = static_cast<std::int64_t>(b[0] + b[1]);
@@ -27,13 +31,17 @@
   r.since = 0;
   r.told = Clock::now();
 }
-void Balance::full(string const& id) { rows_[id].fullUntil = Clock::now() + Ms(boot_.bounds.step); }
+void Balance::full(string const& id) {
+  rows_[id].fullUntil = Clock::now() + Ms(boot_.bounds.step);
+}
 void Balance::broke(string const& id, bool hard) {
   Row& r = rows_[id];
   r.breaks = std::min(r.breaks + 1, 5);
   if (hard || r.breaks >= 2) r.outUntil = Clock::now() + Ms((boot_.bounds.inTouch / 12) << r.breaks);
 }
-void Balance::well(string const& id) { rows_[id].breaks = 0; }
+void Balance::well(string const& id) {
+  rows_[id].breaks = 0;
+}
 
 double Balance::load(Row const& r, Worker const& w, Moment now) const {
   double base = 0;
@@ -81,7 +89,11 @@
     int const k = rank(c);
     if (k == 0 || k < bestRank) return;
     double const x = cost(*c.row, *c.worker, now) + more;
-    if (k > bestRank || x < least) { best = &c; least = x; bestRank = k; }
+    if (k > bestRank || x < least) {
+      best = &c;
+      least = x;
+      bestRank = k;
+    }
   };
   // A few drawn by lot do when nothing is pinned; all are weighed if those don't.
   if (want.sharedTokens < chunkTokens) {
@@ -102,8 +114,15 @@
     h ^= h >> 29;
     h *= 0xbf58476d1ce4e5b9ull;
     h ^= h >> 32;
-    if (!top[0] || h > high[0]) { top[1] = top[0]; high[1] = high[0]; top[0] = &c; high[0] = h; }
-    else if (!top[1] || h > high[1]) { top[1] = &c; high[1] = h; }
+    if (!top[0] || h > high[0]) {
+      top[1] = top[0];
+      high[1] = high[0];
+      top[0] = &c;
+      high[0] = h;
+    } else if (!top[1] || h > high[1]) {
+      top[1] = &c;
+      high[1] = h;
+    }
   }
   double const miss = chunkCost * static_cast<double>(want.sharedTokens) / chunkTokens;
   for (Candidate const& c : l) weigh(c, &c == top[0] ? 0 : &c == top[1] ? miss / 2 : miss);
@@ -112,8 +131,10 @@
 
 void Balance::sweep(FleetView const& s) {
   for (std::map<string, Row>::iterator i = rows_.begin(); i != rows_.end();) {
-    if (!s.find(i->first) && i->second.own <= 0) i = rows_.erase(i);
-    else ++i;
+    if (!s.find(i->first) && i->second.own <= 0)
+      i = rows_.erase(i);
+    else
+      ++i;
   }
   lineups_.clear();
 }
--- a/traffic/balance.hpp
+++ b/traffic/balance.hpp
@@ -6,12 +6,12 @@
 /// What the choice of a worker goes by.
 struct Want {
   string service;
-  std::uint64_t key = 0;          ///< hash of the shared parts of the prompt: the session that is pinned
-  std::uint64_t sharedTokens = 0; ///< tokens of the shared parts
-  std::uint64_t tokens = 0;       ///< work in tokens, in and ten times out
-  bool sticky = false;            ///< the route pins its sessions
-  bool behind = false;            ///< takes only what others leave
-  double leave = 0;               ///< part of the slots to be left free, if behind
+  std::uint64_t key = 0;           ///< hash of the shared parts of the prompt: the session that is pinned
+  std::uint64_t sharedTokens = 0;  ///< tokens of the shared parts
+  std::uint64_t tokens = 0;        ///< work in tokens, in and ten times out
+  bool sticky = false;             ///< the route pins its sessions
+  bool behind = false;             ///< takes only what others leave
+  double leave = 0;                ///< part of the slots to be left free, if behind
 };
 
 /// How loaded and how well each worker is, by what this node has seen of it.
--- a/traffic/carry_out.cpp
+++ b/traffic/carry_out.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 bool ofOneConnection(beast::string_view n) {
-  constexpr string_view own[] = {"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "TE", "Trailer", "Upgrade", "Content-Length"};
+  constexpr string_view own[] = {"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding",
+                                 "TE",         "Trailer",    "Upgrade",          "Content-Length"};
   for (string_view const o : own)
     if (beast::iequals(n, beast::string_view(o.data(), o.size()))) return true;
   return false;
@@ -37,7 +38,9 @@
     Verdict const v = co_await x.start(ask, l.attempt, l.deadline);
     balance_.first(id, unread);
     bool over = false;
-    say(Level::debug, "request", l.attempt + " at " + id + " verdict " + std::to_string(static_cast<int>(v)) + (v == Verdict::answered ? " status " + std::to_string(x.status()) : ""));
+    say(Level::debug, "request",
+        l.attempt + " at " + id + " verdict " + std::to_string(static_cast<int>(v)) +
+            (v == Verdict::answered ? " status " + std::to_string(x.status()) : ""));
     switch (v) {
       case Verdict::notSent:
         balance_.broke(id, true);
@@ -51,8 +54,8 @@
           // One that sheds while it has free slots is ill, whatever it says of its health.
           std::optional<std::array<std::uint64_t, 3>> const b = x.load();
           if (b && (*b)[0] < (*b)[2] / 2) view_.tally(id, false);
-        }
-        else balance_.broke(id, true);
+        } else
+          balance_.broke(id, true);
         why = Code::workersFull;
         break;
       case Verdict::unclear:
@@ -82,12 +85,31 @@
           x.cut();
         } else if (l.streams && s == 200) {
           over = co_await relay(p, l, x, ev, l.deadline);
-          if (!over) { balance_.broke(id, false); view_.tally(id, false); mayHaveRun = true; why = Code::workerBroke; over = !l.mayRepeat; }
+          if (!over) {
+            balance_.broke(id, false);
+            view_.tally(id, false);
+            mayHaveRun = true;
+            why = Code::workerBroke;
+            over = !l.mayRepeat;
+          }
         } else {
           over = co_await passWhole(p, l, x);
-          if (!over) { balance_.broke(id, false); view_.tally(id, false); mayHaveRun = true; why = Code::workerBroke; over = !l.mayRepeat; }
+          if (!over) {
+            balance_.broke(id, false);
+            view_.tally(id, false);
+            mayHaveRun = true;
+            why = Code::workerBroke;
+            over = !l.mayRepeat;
+          }
+        }
+        if (over && p->headSent) {
+          balance_.ended(id);
+          if (p->keep && s < 500) {
+            balance_.well(id);
+            view_.tally(id, true);
+          }
+          co_return;
         }
-        if (over && p->headSent) { balance_.ended(id); if (p->keep && s < 500) { balance_.well(id); view_.tally(id, true); } co_return; }
         break;
       }
     }
@@ -102,8 +124,10 @@
     co_return;
   }
   if (mayHaveRun) {
-    if (Clock::now() >= l.deadline) why = Code::deadlineBroken;
-    else if (lineOf(why).kind == Kind::refused) why = Code::workerBroke;
+    if (Clock::now() >= l.deadline)
+      why = Code::deadlineBroken;
+    else if (lineOf(why).kind == Kind::refused)
+      why = Code::workerBroke;
     co_await answer(p, Error(why));
     co_return;
   }
@@ -151,7 +175,11 @@
     p->headSent = true;
     http::response_serializer<http::empty_body> z(r);
     co_await http::async_write_header(p->sock, z, asio::redirect_error(asio::use_awaitable, e));
-    if (e) { x.cut(); p->keep = false; co_return true; }
+    if (e) {
+      x.cut();
+      p->keep = false;
+      co_return true;
+    }
   }
   Guard g(io_, p->sock);
   Piece s = Piece::some;
@@ -166,21 +194,34 @@
     g.until(Clock::now() + Ms(2 * boot_.bounds.inTouch));
     if (s == Piece::whole) {
       x.done();
-      if (events.empty()) co_await asio::async_write(p->sock, http::make_chunk_last(), asio::redirect_error(asio::use_awaitable, e));
+      if (events.empty())
+        co_await asio::async_write(p->sock, http::make_chunk_last(), asio::redirect_error(asio::use_awaitable, e));
       else {
-        co_await asio::async_write(p->sock, http::make_chunk(asio::buffer(events)), asio::redirect_error(asio::use_awaitable, e));
-        if (!e) co_await asio::async_write(p->sock, http::make_chunk_last(), asio::redirect_error(asio::use_awaitable, e));
+        co_await asio::async_write(p->sock, http::make_chunk(asio::buffer(events)),
+                                   asio::redirect_error(asio::use_awaitable, e));
+        if (!e)
+          co_await asio::async_write(p->sock, http::make_chunk_last(), asio::redirect_error(asio::use_awaitable, e));
       }
     } else {
-      co_await asio::async_write(p->sock, http::make_chunk(asio::buffer(events)), asio::redirect_error(asio::use_awaitable, e));
+      co_await asio::async_write(p->sock, http::make_chunk(asio::buffer(events)),
+                                 asio::redirect_error(asio::use_awaitable, e));
     }
     g.hold();
-    if (e) { x.cut(); p->keep = false; co_return true; }
+    if (e) {
+      x.cut();
+      p->keep = false;
+      co_return true;
+    }
   }
   if (s == Piece::whole) co_return true;
   ev.restart();
   x.cut();
-  if (Clock::now() >= until) { p->keep = false; error_code y; p->sock.close(y); co_return true; }
+  if (Clock::now() >= until) {
+    p->keep = false;
+    error_code y;
+    p->sock.close(y);
+    co_return true;
+  }
   co_return false;
 }
 
--- a/traffic/edge_node.cpp
+++ b/traffic/edge_node.cpp
@@ -3,14 +3,22 @@
 namespace tealshelf {
 
 EdgeNode::EdgeNode(asio::io_context& io, Boot const& boot)
-    : io_(io), boot_(boot), rpc_(io, Ms(boot.bounds.inTouch / 2)), server_(io, boot.relayAt(boot.ip), Ms(boot.bounds.inTouch / 2)), view_(io, boot, rpc_, "edge", boot.relayAt(boot.ip)), pools_(io, boot), balance_(boot), desk_(io, boot, rpc_, view_),
-      readiness_(io, boot.readiness,
-                 [this](Call c) -> Task<CallAnswer> {
-                   CallAnswer a;
-                   a.status = c.path == "/readiness" ? (view_.healthy() && !stopping_ ? 200 : 503) : 404;
-                   co_return a;
-                 },
-                 1u << 16, Ms(5 * boot.bounds.inTouch)),
+    : io_(io),
+      boot_(boot),
+      rpc_(io, Ms(boot.bounds.inTouch / 2)),
+      server_(io, boot.relayAt(boot.ip), Ms(boot.bounds.inTouch / 2)),
+      view_(io, boot, rpc_, "edge", boot.relayAt(boot.ip)),
+      pools_(io, boot),
+      balance_(boot),
+      desk_(io, boot, rpc_, view_),
+      readiness_(
+          io, boot.readiness,
+          [this](Call c) -> Task<CallAnswer> {
+            CallAnswer a;
+            a.status = c.path == "/readiness" ? (view_.healthy() && !stopping_ ? 200 : 503) : 404;
+            co_return a;
+          },
+          1u << 16, Ms(5 * boot.bounds.inTouch)),
       acceptor_(io) {}
 
 void EdgeNode::start() {
@@ -47,7 +55,11 @@
   while (acceptor_.is_open()) {
     error_code e;
     tcp::socket s = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, e));
-    if (e) { if (e == asio::error::operation_aborted) co_return; co_await pause(Ms(10)); continue; }
+    if (e) {
+      if (e == asio::error::operation_aborted) co_return;
+      co_await pause(Ms(10));
+      continue;
+    }
     spawn(io_, "client", serve(std::make_shared<ClientConnection>(std::move(s))));
   }
 }
@@ -82,9 +94,13 @@
     if (timeUp || !p->sock.is_open()) break;
     if (e) {
       p->keep = false;
-      if (e == http::error::header_limit) co_await answer(p, Error(Code::headTooLong));
-      else if (e == http::error::body_limit) co_await answer(p, Error(Code::bodyTooLong));
-      else if (e != http::error::end_of_stream && e.category() == http::make_error_code(http::error::end_of_stream).category()) co_await answer(p, Error(Code::badHead));
+      if (e == http::error::header_limit)
+        co_await answer(p, Error(Code::headTooLong));
+      else if (e == http::error::body_limit)
+        co_await answer(p, Error(Code::bodyTooLong));
+      else if (e != http::error::end_of_stream &&
+               e.category() == http::make_error_code(http::error::end_of_stream).category())
+        co_await answer(p, Error(Code::badHead));
       break;
     }
     ++live_;
@@ -104,7 +120,9 @@
   p->sock.close(e);
 }
 
-Task<void> EdgeNode::answer(ConnectionPtr p, Error const& x) { co_await answer(p, answerOf(x)); }
+Task<void> EdgeNode::answer(ConnectionPtr p, Error const& x) {
+  co_await answer(p, answerOf(x));
+}
 
 Task<void> EdgeNode::answer(ConnectionPtr p, CallAnswer a) {
   http::response<http::string_body> r(static_cast<http::status>(a.status), 11);
@@ -138,7 +156,8 @@
   std::uint64_t left = 0;
   beast::string_view const tl = q["Time-Left-Ms"];
   std::int64_t span = m.timeLimit;
-  if (readNumber(string_view(tl.data(), tl.size()), left)) span = std::min<std::int64_t>(span, static_cast<std::int64_t>(left));
+  if (readNumber(string_view(tl.data(), tl.size()), left))
+    span = std::min<std::int64_t>(span, static_cast<std::int64_t>(left));
   l.deadline = now + Ms(span);
   l.service = m.serviceFor(hashOf(l.attempt));
   l.tries = m.tries;
@@ -153,7 +172,10 @@
     std::uint64_t n = 0;
     if (c == string::npos || !readNumber(string_view(parts[i]).substr(c + 1), n)) continue;
     l.want.tokens += n;
-    if (i + 1 < parts.size()) { l.want.sharedTokens += n; key += parts[i]; }
+    if (i + 1 < parts.size()) {
+      l.want.sharedTokens += n;
+      key += parts[i];
+    }
   }
   l.want.key = hashOf(key);
   return l;
@@ -212,12 +234,15 @@
 }
 
 Ask EdgeNode::forWorker(Ask const& q, Plan const& l, Worker const& w, EventReader const& ev) const {
-  constexpr string_view own[] = {"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "TE", "Trailer", "Upgrade", "Content-Length", "Time-Left-Ms", "Wanted-Server", "Expect"};
+  constexpr string_view own[] = {"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "TE",
+                                 "Trailer",    "Upgrade",    "Content-Length",   "Time-Left-Ms",      "Wanted-Server",
+                                 "Expect"};
   Ask r(q.method(), q.target(), 11);
   if (q.method() == http::verb::unknown) r.method_string(q.method_string());
   for (Ask::const_iterator f = q.begin(); f != q.end(); ++f) {
     bool skip = false;
-    for (string_view const o : own) skip = skip || beast::iequals(f->name_string(), beast::string_view(o.data(), o.size()));
+    for (string_view const o : own)
+      skip = skip || beast::iequals(f->name_string(), beast::string_view(o.data(), o.size()));
     if (!skip) r.insert(f->name_string(), f->value());
   }
   r.set("Time-Left-Ms", std::to_string(std::max<std::int64_t>(1, leftMs(l.deadline))));
--- a/traffic/exchange.cpp
+++ b/traffic/exchange.cpp
@@ -12,7 +12,10 @@
     Moment const now = Clock::now();
     if (now >= p->keepUntil) continue;
     // The one given back last lies on top; below it are only older ones, which others may use.
-    if (!mayRepeat && now - p->idleSince > age_.trusted()) { v.push_back(std::move(p)); break; }
+    if (!mayRepeat && now - p->idleSince > age_.trusted()) {
+      v.push_back(std::move(p));
+      break;
+    }
     char c = 0;
     ssize_t const n = ::recv(p->sock.native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return p;
@@ -28,18 +31,26 @@
   Moment const now = Clock::now();
   for (std::map<string, vector<std::unique_ptr<WorkerConnection>>>::iterator i = idle_.begin(); i != idle_.end();) {
     std::erase_if(i->second, [&](std::unique_ptr<WorkerConnection> const& p) { return now >= p->keepUntil; });
-    if (!view.find(i->first)) i = idle_.erase(i);
-    else ++i;
+    if (!view.find(i->first))
+      i = idle_.erase(i);
+    else
+      ++i;
   }
 }
 
 Exchange::~Exchange() {
   guard_.reset();
-  if (conn_) { error_code e; conn_->sock.close(e); }
+  if (conn_) {
+    error_code e;
+    conn_->sock.close(e);
+  }
 }
 void Exchange::cut() {
   guard_.reset();
-  if (conn_) { error_code e; conn_->sock.close(e); }
+  if (conn_) {
+    error_code e;
+    conn_->sock.close(e);
+  }
   conn_.reset();
 }
 
@@ -65,8 +76,13 @@
   error_code e;
   if (fresh_) {
     guard_->until(std::min(until, Clock::now() + Ms(pools_.boot().bounds.inTouch / 6)));
-    co_await conn_->sock.async_connect({asio::ip::make_address(worker_.at.ip), static_cast<std::uint16_t>(worker_.at.port)}, asio::redirect_error(asio::use_awaitable, e));
-    if (e || guard_->fired()) { cut(); co_return Verdict::notSent; }
+    co_await conn_->sock.async_connect(
+        {asio::ip::make_address(worker_.at.ip), static_cast<std::uint16_t>(worker_.at.port)},
+        asio::redirect_error(asio::use_awaitable, e));
+    if (e || guard_->fired()) {
+      cut();
+      co_return Verdict::notSent;
+    }
     tune(conn_->sock, Ms(pools_.boot().bounds.inTouch));
   }
   guard_->until(until);
@@ -95,14 +111,21 @@
     string junk;
     Piece p = Piece::some;
     while (p == Piece::some) p = co_await read(junk, until);
-    if (p == Piece::broken || !conn_) { cut(); co_return Verdict::unclear; }
+    if (p == Piece::broken || !conn_) {
+      cut();
+      co_return Verdict::unclear;
+    }
   }
   bool const other = !headText("Attempt-Id").empty() && headText("Attempt-Id") != attempt;
-  if (other && headText("Not-Run").empty()) { cut(); co_return Verdict::unclear; }
+  if (other && headText("Not-Run").empty()) {
+    cut();
+    co_return Verdict::unclear;
+  }
   if (!headText("Not-Run").empty() || status() == 421) {
     string junk;
     Piece p = Piece::some;
-    while (p == Piece::some && junk.size() < (1u << 16)) p = co_await read(junk, std::min(until, Clock::now() + Ms(pools_.boot().bounds.slack)));
+    while (p == Piece::some && junk.size() < (1u << 16))
+      p = co_await read(junk, std::min(until, Clock::now() + Ms(pools_.boot().bounds.slack)));
     if (p == Piece::whole) release();
     co_return Verdict::notRun;
   }
@@ -112,7 +135,10 @@
 Task<Piece> Exchange::read(string& out, Moment until) {
   if (!conn_) co_return Piece::broken;
   if (parser_->is_done()) co_return Piece::whole;
-  if (parser_->get().need_eof()) { cut(); co_return Piece::broken; }
+  if (parser_->get().need_eof()) {
+    cut();
+    co_return Piece::broken;
+  }
   char b[8192];
   guard_->until(until);
   parser_->get().body().data = b;
@@ -121,7 +147,10 @@
   error_code e;
   co_await http::async_read_some(conn_->sock, conn_->buf, *parser_, asio::redirect_error(asio::use_awaitable, e));
   if (e == http::error::need_buffer) e = {};
-  if (e) { cut(); co_return Piece::broken; }
+  if (e) {
+    cut();
+    co_return Piece::broken;
+  }
   out.append(b, sizeof b - parser_->get().body().size);
   if (!parser_->is_done()) co_return Piece::some;
   co_return Piece::whole;
@@ -166,7 +195,10 @@
     std::uint64_t n = 0;
     if (l.substr(0, 3) == "id:") {
       l.remove_prefix(l.size() > 3 && l[3] == ' ' ? 4 : 3);
-      if (readNumber(l, n)) { last_ = n; any_ = true; }
+      if (readNumber(l, n)) {
+        last_ = n;
+        any_ = true;
+      }
     } else if (data && l.substr(0, 5) == "data:") {
       l.remove_prefix(l.size() > 5 && l[5] == ' ' ? 6 : 5);
       if (!data->empty()) *data += '\n';
--- a/traffic/exchange.hpp
+++ b/traffic/exchange.hpp
@@ -23,7 +23,12 @@
   /// A connection idle for so long was reset when a request was sent on it.
   void reset(Ms idle) { age_ = std::max(least_, std::min(age_, idle / 2)); }
   /// One idle for so long still worked: what was learnt fades.
-  void worked(Ms idle) { if (idle > age_) age_ = std::min(most_, age_ + (idle - age_) / 4); else age_ = std::min(most_, age_ + Ms(1)); }
+  void worked(Ms idle) {
+    if (idle > age_)
+      age_ = std::min(most_, age_ + (idle - age_) / 4);
+    else
+      age_ = std::min(most_, age_ + Ms(1));
+  }
   Ms trusted() const { return age_; }
 
  private:
@@ -33,7 +38,8 @@
 /// Idle connections to workers.
 class Pools {
  public:
-  Pools(asio::io_context& io, Boot const& boot) : io_(io), boot_(boot), age_(Ms(4 * boot.bounds.inTouch), Ms(boot.bounds.step / 8)) {}
+  Pools(asio::io_context& io, Boot const& boot)
+      : io_(io), boot_(boot), age_(Ms(4 * boot.bounds.inTouch), Ms(boot.bounds.step / 8)) {}
   /// A clean idle connection, or a new one not yet connected. A request that must not be sent twice
   /// gets none that was idle for longer than is trusted.
   std::unique_ptr<WorkerConnection> take(Worker const& w, bool mayRepeat);
--- a/wire/http.cpp
+++ b/wire/http.cpp
@@ -19,7 +19,8 @@
 CallAnswer answerOf(Error const& x) {
   CallAnswer a;
   a.status = x.status();
-  a.body = "{\"error\":\"E" + std::to_string(static_cast<int>(x.code())) + "\",\"message\":\"" + string(lineOf(x.code()).text) + "\"}";
+  a.body = "{\"error\":\"E" + std::to_string(static_cast<int>(x.code())) + "\",\"message\":\"" +
+           string(lineOf(x.code()).text) + "\"}";
   return a;
 }
 
@@ -31,13 +32,19 @@
   acceptor_.bind(p);
   acceptor_.listen(512);
 }
-void HttpServer::start() { spawn(io_, "http listener", take()); }
+void HttpServer::start() {
+  spawn(io_, "http listener", take());
+}
 
 Task<void> HttpServer::take() {
   while (acceptor_.is_open()) {
     error_code e;
     tcp::socket s = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, e));
-    if (e) { if (e == asio::error::operation_aborted) co_return; co_await pause(Ms(10)); continue; }
+    if (e) {
+      if (e == asio::error::operation_aborted) co_return;
+      co_await pause(Ms(10));
+      continue;
+    }
     spawn(io_, "http connection", serve(std::make_shared<tcp::socket>(std::move(s))));
   }
 }
@@ -56,15 +63,20 @@
     CallAnswer a;
     bool keep = false;
     unsigned version = 11;
-    if (e == http::error::body_limit) a = answerOf(Error(Code::bodyTooLong));
-    else if (e == http::error::end_of_stream || !s->is_open() || g.fired()) break;
-    else if (e && e.category() != http::make_error_code(http::error::end_of_stream).category()) break;
-    else if (e) a = answerOf(Error(Code::badHead));
+    if (e == http::error::body_limit)
+      a = answerOf(Error(Code::bodyTooLong));
+    else if (e == http::error::end_of_stream || !s->is_open() || g.fired())
+      break;
+    else if (e && e.category() != http::make_error_code(http::error::end_of_stream).category())
+      break;
+    else if (e)
+      a = answerOf(Error(Code::badHead));
     else {
       http::request<http::string_body>& q = p.get();
       keep = q.keep_alive();
       version = q.version();
-      Call c{string(q.method_string().data(), q.method_string().size()), string(q.target().data(), q.target().size()), std::move(q.body()), std::move(q.base())};
+      Call c{string(q.method_string().data(), q.method_string().size()), string(q.target().data(), q.target().size()),
+             std::move(q.body()), std::move(q.base())};
       try {
         a = co_await handler_(std::move(c));
       } catch (Error const& x) {
--- a/wire/http.hpp
+++ b/wire/http.hpp
@@ -27,7 +27,10 @@
  public:
   HttpServer(asio::io_context& io, Addr at, CallHandler h, std::uint64_t bodyLimit, Ms idle);
   void start();
-  void stop() { error_code e; acceptor_.close(e); }
+  void stop() {
+    error_code e;
+    acceptor_.close(e);
+  }
 
  private:
   Task<void> take();
@@ -43,10 +46,16 @@
 class Guard {
  public:
   Guard(asio::io_context& io, tcp::socket& s) : state_(std::make_shared<State>(io, s)) {}
-  ~Guard() { state_->sock = nullptr; state_->timer.cancel(); }
+  ~Guard() {
+    state_->sock = nullptr;
+    state_->timer.cancel();
+  }
   Guard(Guard const&) = delete;
   void until(Moment m);
-  void hold() { state_->timer.cancel(); ++state_->turn; }
+  void hold() {
+    state_->timer.cancel();
+    ++state_->turn;
+  }
   bool fired() const { return state_->fired; }
 
  private:
--- a/wire/messages.hpp
+++ b/wire/messages.hpp
@@ -11,11 +11,12 @@
   std::uint64_t capacity = 1, callCount = 0;
   bool draining = false, gone = false;
   std::int64_t warmupLeft = 0;
-  bool lost = false;   ///< its beats are missing, by the word of the control node that heard them
-  Identity hearer;     ///< the control node that hears its beats
+  bool lost = false;       ///< its beats are missing, by the word of the control node that heard them
+  Identity hearer;         ///< the control node that hears its beats
   bool resting = false;    ///< it fails more than its like, whatever its health answers: used last
   std::uint64_t turn = 0;  ///< rises with each change of that
-  MSGPACK_DEFINE(id, service, zone, version, at, capacity, callCount, draining, gone, warmupLeft, lost, hearer, resting, turn)
+  MSGPACK_DEFINE(id, service, zone, version, at, capacity, callCount, draining, gone, warmupLeft, lost, hearer, resting,
+                 turn)
 };
 
 /// How requests at a worker went, as seen by those who sent them.
@@ -28,8 +29,8 @@
 /// A data-plane node as the others know it; it may relay news.
 struct NodeRow {
   string name, zone, role;
-  Addr at;                 ///< where it serves news
-  std::uint32_t cpu = 0;   ///< its processor share in thousandths of a core
+  Addr at;                ///< where it serves news
+  std::uint32_t cpu = 0;  ///< its processor share in thousandths of a core
   bool operator==(NodeRow const&) const = default;
   MSGPACK_DEFINE(name, zone, role, at, cpu)
 };
@@ -56,12 +57,12 @@
   Ping ping;
   Group group;
   vector<Worker> workers;
-  bool full = false;             ///< the whole register of workers is carried
-  std::uint64_t digest = 0;      ///< of the register of workers, so that a gap is seen
-  std::uint64_t nodesDigest = 0; ///< of the data-plane nodes that ask at this control node
+  bool full = false;              ///< the whole register of workers is carried
+  std::uint64_t digest = 0;       ///< of the register of workers, so that a gap is seen
+  std::uint64_t nodesDigest = 0;  ///< of the data-plane nodes that ask at this control node
   bool hasNodes = false;
   vector<NodeRow> nodes;
-  vector<WorkerTally> tallies;   ///< of workers that failed requests lately, by who asks at this control node
+  vector<WorkerTally> tallies;  ///< of workers that failed requests lately, by who asks at this control node
   MSGPACK_DEFINE(ping, group, workers, full, digest, nodesDigest, hasNodes, nodes, tallies)
 };
 struct HelloReply {
--- a/wire/rpc.cpp
+++ b/wire/rpc.cpp
@@ -47,19 +47,27 @@
     if (!ok) co_return false;
     body.assign(buf_, at_, h.size);
     at_ += h.size;
-    if (at_ == buf_.size()) { buf_.clear(); at_ = 0; if (buf_.capacity() > (1u << 16)) buf_.shrink_to_fit(); }
+    if (at_ == buf_.size()) {
+      buf_.clear();
+      at_ = 0;
+      if (buf_.capacity() > (1u << 16)) buf_.shrink_to_fit();
+    }
     co_return true;
   }
 
  private:
   Task<bool> fill(tcp::socket& s, std::size_t n) {
     while (buf_.size() - at_ < n) {
-      if (at_) { buf_.erase(0, at_); at_ = 0; }
+      if (at_) {
+        buf_.erase(0, at_);
+        at_ = 0;
+      }
       std::size_t const had = buf_.size();
       std::size_t const room = std::max<std::size_t>(4096, n - had);
       buf_.resize(had + room);
       error_code e;
-      std::size_t const got = co_await s.async_read_some(asio::buffer(&buf_[had], room), asio::redirect_error(asio::use_awaitable, e));
+      std::size_t const got =
+          co_await s.async_read_some(asio::buffer(&buf_[had], room), asio::redirect_error(asio::use_awaitable, e));
       buf_.resize(had + got);
       if (e) co_return false;
     }
@@ -149,18 +157,25 @@
     while (!out_.empty()) {
       if (!open_) {
         bool const ok = co_await connect();
-        if (!ok) { drop(Code::noPath); continue; }
+        if (!ok) {
+          drop(Code::noPath);
+          continue;
+        }
       }
       std::uint64_t const life = life_;
       string all;
       vector<std::uint64_t> ids;
       while (!out_.empty() && all.size() < (1u << 18)) {
-        if (all.empty()) all = std::move(out_.front().first); else all += out_.front().first;
+        if (all.empty())
+          all = std::move(out_.front().first);
+        else
+          all += out_.front().first;
         if (out_.front().second) ids.push_back(out_.front().second);
         out_.pop_front();
       }
       for (std::uint64_t const id : ids)
-        if (std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(id); w != waits_.end()) w->second->sent = true;
+        if (std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(id); w != waits_.end())
+          w->second->sent = true;
       error_code e;
       co_await asio::async_write(sock_, asio::buffer(all), asio::redirect_error(asio::use_awaitable, e));
       if (e && life == life_) drop(Code::connectionBroke);
@@ -175,9 +190,13 @@
     std::weak_ptr<Link> const weak = weak_from_this();
     t.async_wait([weak, life](error_code x) {
       std::shared_ptr<Link> const l = weak.lock();
-      if (!x && l && l->life_ == life && !l->open_) { error_code y; l->sock_.close(y); }
+      if (!x && l && l->life_ == life && !l->open_) {
+        error_code y;
+        l->sock_.close(y);
+      }
     });
-    co_await sock_.async_connect({asio::ip::make_address(to_.ip), static_cast<std::uint16_t>(to_.port)}, asio::redirect_error(asio::use_awaitable, e));
+    co_await sock_.async_connect({asio::ip::make_address(to_.ip), static_cast<std::uint16_t>(to_.port)},
+                                 asio::redirect_error(asio::use_awaitable, e));
     if (e || life != life_ || !sock_.is_open()) co_return false;
     open_ = true;
     tune(sock_, silence_);
@@ -195,7 +214,8 @@
       ++heard_;
       std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(h.id);
       if (w == waits_.end()) continue;
-      if (h.sort == Sort::reply) w->second->reply = std::move(body);
+      if (h.sort == Sort::reply)
+        w->second->reply = std::move(body);
       else {
         std::pair<int, string> const p = unpacked<std::pair<int, string>>(body);
         w->second->error = Error(static_cast<Code>(p.first), p.second);
@@ -246,13 +266,19 @@
   acceptor_.bind(p);
   acceptor_.listen(256);
 }
-void RpcServer::start() { spawn(io_, "rpc listener", take()); }
+void RpcServer::start() {
+  spawn(io_, "rpc listener", take());
+}
 
 Task<void> RpcServer::take() {
   while (acceptor_.is_open()) {
     error_code e;
     tcp::socket s = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, e));
-    if (e) { if (e == asio::error::operation_aborted) co_return; co_await pause(Ms(10)); continue; }
+    if (e) {
+      if (e == asio::error::operation_aborted) co_return;
+      co_await pause(Ms(10));
+      continue;
+    }
     tune(s, silence_);
     spawn(io_, "rpc connection", serve(std::make_shared<Connection>(std::move(s))));
   }
@@ -295,7 +321,10 @@
   while (!p->out.empty() && p->sock.is_open()) {
     string all = std::move(p->out.front());
     p->out.pop_front();
-    while (!p->out.empty() && all.size() < (1u << 18)) { all += p->out.front(); p->out.pop_front(); }
+    while (!p->out.empty() && all.size() < (1u << 18)) {
+      all += p->out.front();
+      p->out.pop_front();
+    }
     p->queued -= std::min(p->queued, all.size());
     error_code e;
     co_await asio::async_write(p->sock, asio::buffer(all), asio::redirect_error(asio::use_awaitable, e));
--- a/wire/rpc.hpp
+++ b/wire/rpc.hpp
@@ -5,23 +5,45 @@
 
 /// Messages between the system's own processes; the number is the wire's.
 enum class Method : std::uint16_t {
-  registryMail = 1, ping = 2, hello = 3, copyAll = 4, joinGroup = 5, news = 6,
-  forwardCall = 10, beatRelay = 11,
-  storeBeat = 20, storeFence = 21,
-  lotOpen = 30, lotAccept = 31, lotFind = 32, lotEnd = 33, relyCount = 34,
-  segCreate = 40, segAppend = 41, segInspect = 42, segSettle = 43, segCopy = 44, segRead = 45, segItem = 46, segDrop = 47, segFetch = 48, lotStart = 49,
-  believe = 60, crowding = 61
+  registryMail = 1,
+  ping = 2,
+  hello = 3,
+  copyAll = 4,
+  joinGroup = 5,
+  news = 6,
+  forwardCall = 10,
+  beatRelay = 11,
+  storeBeat = 20,
+  storeFence = 21,
+  lotOpen = 30,
+  lotAccept = 31,
+  lotFind = 32,
+  lotEnd = 33,
+  relyCount = 34,
+  segCreate = 40,
+  segAppend = 41,
+  segInspect = 42,
+  segSettle = 43,
+  segCopy = 44,
+  segRead = 45,
+  segItem = 46,
+  segDrop = 47,
+  segFetch = 48,
+  lotStart = 49,
+  believe = 60,
+  crowding = 61
 };
 
-
 /// Packs a value for the wire or the disk.
-template <class T> string packed(T const& t) {
+template <class T>
+string packed(T const& t) {
   msgpack::sbuffer b;
   msgpack::pack(b, t);
   return string(b.data(), b.size());
 }
 /// Reads a packed value; throws badMessage.
-template <class T> T unpacked(string_view s) {
+template <class T>
+T unpacked(string_view s) {
   try {
     msgpack::object_handle const h = msgpack::unpack(s.data(), s.size());
     return h.get().as<T>();
@@ -51,12 +73,19 @@
   /// Sends a message that has no answer; it may be lost.
   void cast(Addr const& to, Method m, string body);
   /// Not a coroutine itself, so that no message has to live in the caller's frame.
-  template <class Q> Task<typename Q::Reply> ask(Addr const& to, Q const& q, Ms limit) { return typed<typename Q::Reply>(to, Q::method, packed(q), limit); }
-  template <class Q> void tellTo(Addr const& to, Q const& q) { cast(to, Q::method, packed(q)); }
+  template <class Q>
+  Task<typename Q::Reply> ask(Addr const& to, Q const& q, Ms limit) {
+    return typed<typename Q::Reply>(to, Q::method, packed(q), limit);
+  }
+  template <class Q>
+  void tellTo(Addr const& to, Q const& q) {
+    cast(to, Q::method, packed(q));
+  }
   asio::io_context& io() { return io_; }
 
  private:
-  template <class R> Task<R> typed(Addr to, Method m, string body, Ms limit) {
+  template <class R>
+  Task<R> typed(Addr to, Method m, string body, Ms limit) {
     string const r = co_await call(to, m, std::move(body), limit);
     co_return unpacked<R>(r);
   }
@@ -73,14 +102,18 @@
  public:
   RpcServer(asio::io_context& io, Addr at, Ms silence);
   void on(Method m, Handler h) { handlers_[m] = std::move(h); }
-  template <class Q> void on(std::function<Task<typename Q::Reply>(Q)> f) {
+  template <class Q>
+  void on(std::function<Task<typename Q::Reply>(Q)> f) {
     handlers_[Q::method] = [f](string b) -> Task<string> {
       typename Q::Reply const r = co_await f(unpacked<Q>(b));
       co_return packed(r);
     };
   }
   void start();
-  void stop() { error_code e; acceptor_.close(e); }
+  void stop() {
+    error_code e;
+    acceptor_.close(e);
+  }
 
  private:
   struct Connection;
