--- a/registry/control_node.cpp
+++ b/registry/control_node.cpp
@@ -66,7 +66,7 @@
   keeper_.start(server_);
   server_.on<NewsAsk>([this](NewsAsk q) { return hub_.serve(std::move(q)); });
   server_.on<ForwardCall>([this](ForwardCall q) -> Task<CallReply> {
-    if (q.path.rfind("/settings", 0) == 0) co_return co_await settings(std::move(q));
+    if (q.path.rfind("/settings", 0) == 0) co_return co_await configurationCall(std::move(q));
     co_return co_await retire(std::move(q));
   });
   server_.start();
@@ -139,7 +139,7 @@
   if (c.path.rfind("/servers/", 0) == 0)
     r = co_await servers(std::move(q));
   else if (c.path == "/settings")
-    r = co_await settings(std::move(q));
+    r = co_await configurationCall(std::move(q));
   else if (c.path.rfind("/retire/", 0) == 0)
     r = co_await retire(std::move(q));
   co_return CallAnswer{r.status, r.body, "application/json", {}};
@@ -199,10 +199,10 @@
   co_return std::nullopt;
 }
 
-Task<CallReply> ControlNode::settings(ForwardCall q) {
+Task<CallReply> ControlNode::configurationCall(ForwardCall q) {
   if (q.verb != "PUT" && q.verb != "GET") co_return CallReply{405, ""};
   if (std::optional<CallReply> r = co_await elsewhere("charter", q)) co_return *r;
-  if (q.verb == "PUT") co_return co_await putSettings(std::move(q));
+  if (q.verb == "PUT") co_return co_await putConfiguration(std::move(q));
   if (!co_await driver_.confirm("charter", Ms(boot_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
   std::map<string, string> const& v = driver_.reg().view("charter");
   std::map<string, string>::const_iterator const i = v.find("current");
@@ -210,7 +210,7 @@
   co_return CallReply{200, i->second};
 }
 
-Task<CallReply> ControlNode::putSettings(ForwardCall q) {
+Task<CallReply> ControlNode::putConfiguration(ForwardCall q) {
   while (changing_) co_await pause(Ms(3));
   changing_ = true;
   struct Unlock {
--- a/registry/control_node.hpp
+++ b/registry/control_node.hpp
@@ -19,8 +19,8 @@
  private:
   Task<CallAnswer> handle(Call c);
   Task<CallReply> servers(ForwardCall q);
-  Task<CallReply> settings(ForwardCall q);
-  Task<CallReply> putSettings(ForwardCall q);
+  Task<CallReply> configurationCall(ForwardCall q);
+  Task<CallReply> putConfiguration(ForwardCall q);
   Task<CallReply> retire(ForwardCall q);
   Task<std::optional<CallReply>> elsewhere(string const& shelf, ForwardCall q);
   Task<void> sweepLoop();
--- a/registry/registry.hpp
+++ b/registry/registry.hpp
@@ -196,7 +196,7 @@
   void post(Mail m) { out_.mails.push_back(std::move(m)); }
   void record(int sort, string const& shelf, Epoch e, Mail const* m);
   void apply(Shelf& s, Epoch e, bool full, std::uint64_t prev, std::uint64_t upTo, Entries const& es);
-  bool votes() const { return copied_ && group_.find(self_.id); }
+  bool mayVote() const { return copied_ && group_.find(self_.id); }
   void finish(vector<std::uint64_t> const& ops, bool ok);
 
   Member self_;
--- a/registry/rounds.cpp
+++ b/registry/rounds.cpp
@@ -83,7 +83,7 @@
 }
 
 void Registry::tick(Moment now) {
-  if (!votes()) return;
+  if (!mayVote()) return;
   for (std::pair<string const, Shelf>& p : shelves_) {
     Shelf& s = p.second;
     Member const* const w = wanted(p.first, now);
@@ -112,7 +112,7 @@
 std::uint64_t Registry::propose(string const& shelf, vector<Change> cs, Moment now) {
   Shelf& s = shelves_[shelf];
   std::uint64_t const op = ++lastOp_;
-  if (s.phase != Phase::owning || !votes()) {
+  if (s.phase != Phase::owning || !mayVote()) {
     finish({op}, false);
     return op;
   }
@@ -129,7 +129,7 @@
 std::uint64_t Registry::confirm(string const& shelf, Moment now) {
   Shelf& s = shelves_[shelf];
   std::uint64_t const op = ++lastOp_;
-  if (s.phase != Phase::owning || !votes()) {
+  if (s.phase != Phase::owning || !mayVote()) {
     finish({op}, false);
     return op;
   }
@@ -155,7 +155,7 @@
 }
 
 void Registry::mail(Mail const& m, Moment now) {
-  if (m.group != group_.no || m.to != self_.id || !group_.find(m.from) || !votes()) return;
+  if (m.group != group_.no || m.to != self_.id || !group_.find(m.from) || !mayVote()) return;
   Shelf& s = shelves_[m.shelf];
   s.seen = std::max({s.seen, m.epoch, m.promised});
   switch (m.sort) {
