--- a/apps/run.cpp
+++ b/apps/run.cpp
@@ -8,17 +8,17 @@
 namespace tealshelf {
 
 namespace {
-Task<void> ending(asio::io_context& io, Boot const& boot, Daemon& d) {
+Task<void> ending(asio::io_context& io, Settings const& settings, Daemon& d) {
   Moment const t = Clock::now();
   d.stop();
-  while (Clock::now() - t < d.least || (!d.idle() && Clock::now() - t < Ms(boot.bounds.grace * 9 / 10)))
-    co_await pause(Ms(boot.bounds.step / 4));
+  while (Clock::now() - t < d.least || (!d.idle() && Clock::now() - t < Ms(settings.bounds.grace * 9 / 10)))
+    co_await pause(Ms(settings.bounds.step / 4));
   io.stop();
 }
 }  // namespace
 
-int runDaemon(string const& bootPath, string const& level,
-              std::function<void(asio::io_context&, Boot const&, Daemon&)> start) {
+int runDaemon(string const& settingsPath, string const& level,
+              std::function<void(asio::io_context&, Settings const&, Daemon&)> start) {
   std::signal(SIGPIPE, SIG_IGN);
   Level l = Level::info;
   if (!readLevel(level, l)) {
@@ -27,24 +27,24 @@
   }
   startLog(l);
   try {
-    Boot const boot = loadBoot(bootPath);
-    for (string const& u : boot.unknown) tell("boot", "unknown field " + u + " is ignored");
+    Settings const settings = loadSettings(settingsPath);
+    for (string const& u : settings.unknown) tell("settings", "unknown field " + u + " is ignored");
     asio::io_context io(1);
     Daemon d;
-    start(io, boot, d);
+    start(io, settings, d);
     asio::signal_set ends(io, SIGTERM, SIGINT), hup(io, SIGHUP);
     ends.async_wait([&](error_code e, int) {
       if (e) return;
       tell("run", "told to end");
-      spawn(io, "ending", ending(io, boot, d));
+      spawn(io, "ending", ending(io, settings, d));
     });
     std::function<void(error_code, int)> onHup = [&](error_code e, int) {
       if (e) return;
       try {
-        loadBoot(boot.path);
-        tell("boot", "the boot file was read again");
+        loadSettings(settings.path);
+        tell("settings", "the settings file was read again");
       } catch (Error const& x) {
-        warn("boot", x.what());
+        warn("settings", x.what());
       }
       hup.async_wait(onHup);
     };
@@ -61,7 +61,7 @@
     std::_Exit(0);
   } catch (Error const& x) {
     say(Level::error, "run", x.what());
-    return x.kind() == Kind::badBoot ? 2 : 3;
+    return x.kind() == Kind::badSettings ? 2 : 3;
   } catch (std::exception const& x) {
     say(Level::error, "run", x.what());
     return 3;
--- a/apps/run.hpp
+++ b/apps/run.hpp
@@ -11,8 +11,8 @@
   std::function<bool()> idle;  ///< true once nothing is under way
   Ms least{0};                 ///< waits at least so long
 };
-/// Reads the boot file, runs the daemon until SIGTERM, and gives its exit code.
-int runDaemon(string const& bootPath, string const& level,
-              std::function<void(asio::io_context&, Boot const&, Daemon&)> start);
+/// Reads the settings file, runs the daemon until SIGTERM, and gives its exit code.
+int runDaemon(string const& settingsPath, string const& level,
+              std::function<void(asio::io_context&, Settings const&, Daemon&)> start);
 
 }  // namespace tealshelf
--- a/base/errors.cpp
+++ b/base/errors.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 constexpr CodeLine table[] = {
-    {Code::unreadable, Kind::badInput, "the charter can't be read whole"},
+    {Code::unreadable, Kind::badInput, "the configuration can't be read whole"},
     {Code::unknownService, Kind::badInput, "a route names an unknown service"},
     {Code::samePlace, Kind::badInput, "two routes share host and prefix"},
     {Code::noWeight, Kind::badInput, "a route's weights add up to 0"},
@@ -36,9 +36,9 @@
     {Code::noStores, Kind::refused, "too few stores for safe copies"},
     {Code::staleStamp, Kind::stale, "the stamp doesn't match"},
     {Code::lotEnded, Kind::conflict, "the lot was ended"},
-    {Code::noOwner, Kind::refused, "the shelf has no owner just now"},
+    {Code::noOwner, Kind::refused, "the keyspace has no owner just now"},
     {Code::noQuorum, Kind::unclear, "no majority answered in time"},
-    {Code::notMember, Kind::refused, "the node is not in the group"},
+    {Code::notMember, Kind::refused, "the node is not in the membership"},
     {Code::unknownNode, Kind::notFound, "there is no such machine"},
     {Code::tooFewLeft, Kind::conflict, "too few machines would be left"},
     {Code::lateBeat, Kind::conflict, "a newer beat was taken before"},
@@ -47,8 +47,8 @@
     {Code::connectionBroke, Kind::unclear, "the connection to the other node broke"},
     {Code::timeUp, Kind::unclear, "the other node didn't answer in time"},
     {Code::badMessage, Kind::badInput, "a message can't be read"},
-    {Code::bootMissing, Kind::badBoot, "the boot file can't be read"},
-    {Code::bootBad, Kind::badBoot, "a field of the boot file is bad"},
+    {Code::settingsMissing, Kind::badSettings, "the settings file can't be read"},
+    {Code::settingsInvalid, Kind::badSettings, "a field of the settings file is bad"},
     {Code::diskFailed, Kind::disk, "the disk failed"},
     {Code::recordTorn, Kind::disk, "a record at the end of a log is torn"},
     {Code::recordCorrupt, Kind::disk, "a record in the middle of a log is corrupt"},
@@ -66,7 +66,7 @@
     {Kind::tooLarge, 413, "Payload Too Large"},  {Kind::headTooLarge, 431, "Request Header Fields Too Large"},
     {Kind::slowSender, 408, "Request Timeout"},  {Kind::overQuota, 429, "Too Many Requests"},
     {Kind::refused, 503, "Service Unavailable"}, {Kind::unclear, 502, "Bad Gateway"},
-    {Kind::late, 504, "Gateway Timeout"},        {Kind::badBoot, 500, "Internal Server Error"},
+    {Kind::late, 504, "Gateway Timeout"},        {Kind::badSettings, 500, "Internal Server Error"},
     {Kind::disk, 500, "Internal Server Error"},
 };
 Answer const& answerOf(Kind k) {
--- a/base/errors.hpp
+++ b/base/errors.hpp
@@ -18,7 +18,7 @@
   refused,
   unclear,
   late,
-  badBoot,
+  badSettings,
   disk
 };
 
@@ -67,8 +67,8 @@
   connectionBroke = 501,
   timeUp = 502,
   badMessage = 503,
-  bootMissing = 600,
-  bootBad = 601,
+  settingsMissing = 600,
+  settingsInvalid = 601,
   diskFailed = 602,
   recordTorn = 603,
   recordCorrupt = 604,
--- a/base/boot.cpp
+++ b/base/settings.cpp
@@ -6,15 +6,15 @@
 namespace tealshelf {
 
 namespace {
-using Put = std::function<bool(Boot&, string const&)>;
+using Put = std::function<bool(Settings&, string const&)>;
 
 bool toReal(string const& s, double& out) {
   char* e = nullptr;
   out = std::strtod(s.c_str(), &e);
   return !s.empty() && e && !*e && out >= 0 && out < 1e15;
 }
-Put whole(std::int64_t Boot::*f, std::int64_t lo, std::int64_t hi) {
-  return [=](Boot& b, string const& s) {
+Put whole(std::int64_t Settings::*f, std::int64_t lo, std::int64_t hi) {
+  return [=](Settings& b, string const& s) {
     std::uint64_t v = 0;
     if (!readNumber(s, v) || static_cast<std::int64_t>(v) < lo || static_cast<std::int64_t>(v) > hi) return false;
     b.*f = static_cast<std::int64_t>(v);
@@ -22,30 +22,30 @@
   };
 }
 Put span(std::int64_t Bounds::*f, double unit) {
-  return [=](Boot& b, string const& s) {
+  return [=](Settings& b, string const& s) {
     double v = 0;
     if (!toReal(s, v) || v * unit > 1e12) return false;
     b.bounds.*f = static_cast<std::int64_t>(v * unit);
     return true;
   };
 }
-Put text(string Boot::*f) {
-  return [=](Boot& b, string const& s) {
+Put text(string Settings::*f) {
+  return [=](Settings& b, string const& s) {
     b.*f = s;
     return true;
   };
 }
-Put list(vector<string> Boot::*f) {
-  return [=](Boot& b, string const& s) {
+Put list(vector<string> Settings::*f) {
+  return [=](Settings& b, string const& s) {
     b.*f = split(s, ',');
     return true;
   };
 }
-Put addr(Addr Boot::*f) {
-  return [=](Boot& b, string const& s) { return readAddr(s, b.*f); };
+Put addr(Addr Settings::*f) {
+  return [=](Settings& b, string const& s) { return readAddr(s, b.*f); };
 }
-Put flag(bool Boot::*f) {
-  return [=](Boot& b, string const& s) {
+Put flag(bool Settings::*f) {
+  return [=](Settings& b, string const& s) {
     b.*f = s == "true";
     return s == "true" || s == "false";
   };
@@ -53,18 +53,18 @@
 
 std::map<string, Put> const& fields() {
   static std::map<string, Put> const m = {
-      {"nodeName", text(&Boot::nodeName)},
-      {"role", text(&Boot::role)},
-      {"machineClass", text(&Boot::machineClass)},
-      {"serves", list(&Boot::serves)},
-      {"ipAddress", text(&Boot::ip)},
-      {"zone", text(&Boot::zone)},
-      {"region", text(&Boot::region)},
-      {"listenOn.outside", addr(&Boot::outside)},
-      {"listenOn.readiness", addr(&Boot::readiness)},
-      {"listenOn.control", addr(&Boot::control)},
+      {"nodeName", text(&Settings::nodeName)},
+      {"role", text(&Settings::role)},
+      {"machineClass", text(&Settings::machineClass)},
+      {"serves", list(&Settings::serves)},
+      {"ipAddress", text(&Settings::ip)},
+      {"zone", text(&Settings::zone)},
+      {"region", text(&Settings::region)},
+      {"listenOn.outside", addr(&Settings::outside)},
+      {"listenOn.readiness", addr(&Settings::readiness)},
+      {"listenOn.control", addr(&Settings::control)},
       {"internalPorts",
-       [](Boot& b, string const& s) {
+       [](Settings& b, string const& s) {
          vector<string> const p = split(s, ',');
          std::uint64_t x = 0, y = 0;
          if (p.size() != 2 || !readNumber(p[0], x) || !readNumber(p[1], y) || !x || x + 2 > y || y > 65535)
@@ -74,7 +74,7 @@
          return true;
        }},
       {"seedNodes",
-       [](Boot& b, string const& s) {
+       [](Settings& b, string const& s) {
          b.seeds.clear();
          for (string const& t : split(s, ',')) {
            Addr a;
@@ -83,26 +83,27 @@
          }
          return true;
        }},
-      {"firstBoot", flag(&Boot::firstBoot)},
-      {"countsAsLoss", flag(&Boot::countsAsLoss)},
-      {"limits.cpuFraction", [](Boot& b, string const& s) { return toReal(s, b.cpuFraction) && b.cpuFraction > 0; }},
-      {"limits.cpuCores", whole(&Boot::cpuCores, 1, 4096)},
-      {"limits.memoryMb", whole(&Boot::memoryMb, 1, 1 << 24)},
-      {"limits.openFiles", whole(&Boot::openFiles, 64, 1 << 24)},
+      {"firstBoot", flag(&Settings::firstStart)},
+      {"countsAsLoss", flag(&Settings::countsAsLoss)},
+      {"limits.cpuFraction",
+       [](Settings& b, string const& s) { return toReal(s, b.cpuFraction) && b.cpuFraction > 0; }},
+      {"limits.cpuCores", whole(&Settings::cpuCores, 1, 4096)},
+      {"limits.memoryMb", whole(&Settings::memoryMb, 1, 1 << 24)},
+      {"limits.openFiles", whole(&Settings::openFiles, 64, 1 << 24)},
       {"limits.networkMbps",
-       [](Boot&, string const& s) {
+       [](Settings&, string const& s) {
          double v = 0;
          return toReal(s, v);
        }},
-      {"limits.diskMb", whole(&Boot::diskMb, 0, 1 << 30)},
-      {"dataFolder", text(&Boot::dataFolder)},
-      {"discovery", text(&Boot::discovery)},
-      {"entry", text(&Boot::entry)},
-      {"reportEveryMs", whole(&Boot::reportEvery, 1, 1 << 24)},
-      {"rulesInForce", list(&Boot::rulesInForce)},
-      {"survive.machines", whole(&Boot::surviveMachines, 0, 1000)},
-      {"survive.zones", whole(&Boot::surviveZones, 0, 1000)},
-      {"survive.regions", whole(&Boot::surviveRegions, 0, 1000)},
+      {"limits.diskMb", whole(&Settings::diskMb, 0, 1 << 30)},
+      {"dataFolder", text(&Settings::dataFolder)},
+      {"discovery", text(&Settings::discovery)},
+      {"entry", text(&Settings::entry)},
+      {"reportEveryMs", whole(&Settings::reportEvery, 1, 1 << 24)},
+      {"rulesInForce", list(&Settings::rulesInForce)},
+      {"survive.machines", whole(&Settings::surviveMachines, 0, 1000)},
+      {"survive.zones", whole(&Settings::surviveZones, 0, 1000)},
+      {"survive.regions", whole(&Settings::surviveRegions, 0, 1000)},
       {"bounds.seedDelayS", span(&Bounds::seedDelay, 1000)},
       {"bounds.reuseAfterS", span(&Bounds::reuseAfter, 1000)},
       {"bounds.inTouchMs", span(&Bounds::inTouch, 1)},
@@ -120,7 +121,7 @@
       {"bounds.statusEveryS", span(&Bounds::statusEvery, 1000)},
       {"bounds.cancelWithinMs", span(&Bounds::cancelWithin, 1)},
       {"bounds.settleWithinMs", span(&Bounds::settleWithin, 1)},
-      {"bounds.quotaOverrun", [](Boot& b, string const& s) { return toReal(s, b.bounds.quotaOverrun); }},
+      {"bounds.quotaOverrun", [](Settings& b, string const& s) { return toReal(s, b.bounds.quotaOverrun); }},
   };
   return m;
 }
@@ -137,12 +138,12 @@
   return true;
 }
 
-bool Boot::servesKind(std::string_view s) const {
+bool Settings::servesKind(std::string_view s) const {
   return std::find(serves.begin(), serves.end(), s) != serves.end();
 }
 
-Boot readBoot(string const& text, vector<BootFault>& faults) {
-  Boot b;
+Settings readSettings(string const& text, vector<SettingsFault>& faults) {
+  Settings b;
   std::istringstream in(text);
   string l;
   for (int n = 1; std::getline(in, l); ++n) {
@@ -171,18 +172,19 @@
   return b;
 }
 
-Boot loadBoot(string path) {
+Settings loadSettings(string path) {
   if (path.empty()) {
     char const* p = std::getenv("TEALSHELF_BOOT");
     path = p ? p : "/etc/tealshelf/boot.conf";
   }
   std::ifstream f(path);
-  if (!f) throw Error(Code::bootMissing, path);
+  if (!f) throw Error(Code::settingsMissing, path);
   std::stringstream s;
   s << f.rdbuf();
-  vector<BootFault> faults;
-  Boot b = readBoot(s.str(), faults);
-  if (!faults.empty()) throw Error(Code::bootBad, "line " + std::to_string(faults[0].line) + ": " + faults[0].text);
+  vector<SettingsFault> faults;
+  Settings b = readSettings(s.str(), faults);
+  if (!faults.empty())
+    throw Error(Code::settingsInvalid, "line " + std::to_string(faults[0].line) + ": " + faults[0].text);
   b.path = path;
   return b;
 }
--- a/base/boot.hpp
+++ b/base/settings.hpp
@@ -25,14 +25,14 @@
 };
 
 /// What a process is told at its start.
-struct Boot {
+struct Settings {
   std::string path, nodeName, role, machineClass, ip, zone, region, dataFolder, discovery, entry;
   std::vector<std::string> serves, rulesInForce;
   std::map<std::string, std::string> zones;  ///< zone to region
   Addr outside, readiness, control;
   int firstPort = 0, lastPort = 0;
   std::vector<Addr> seeds;
-  bool firstBoot = false, countsAsLoss = false;
+  bool firstStart = false, countsAsLoss = false;
   double cpuFraction = 1;
   std::int64_t cpuCores = 1, memoryMb = 256, openFiles = 1024, diskMb = 0, reportEvery = 1000;
   std::int64_t surviveMachines = 0, surviveZones = 0, surviveRegions = 0;
@@ -46,14 +46,14 @@
   Addr relayAt(std::string const& h) const { return {h, firstPort + 2}; }
 };
 
-/// One fault found in a boot file.
-struct BootFault {
+/// One fault found in a settings file.
+struct SettingsFault {
   int line;
   std::string text;
 };
-/// Reads the text of a boot file; all faults are listed in one pass.
-Boot readBoot(std::string const& text, std::vector<BootFault>& faults);
-/// Reads the boot file that TEALSHELF_BOOT names (or the usual path); throws on a bad value.
-Boot loadBoot(std::string path = "");
+/// Reads the text of a settings file; all faults are listed in one pass.
+Settings readSettings(std::string const& text, std::vector<SettingsFault>& faults);
+/// Reads the settings file that TEALSHELF_BOOT names (or the usual path); throws on a bad value.
+Settings loadSettings(std::string path = "");
 
 }  // namespace tealshelf
--- a/base/tealshelf.hpp
+++ b/base/tealshelf.hpp
@@ -57,9 +57,9 @@
   void msgpack_unpack(msgpack::object const& o) { o.convert(v); }
 };
 
-using Identity = Strong<std::uint64_t, struct IdentityTag>;  ///< of a disk, made when its folder is empty
-using Stamp = Strong<std::uint64_t, struct StampTag>;        ///< generation stamp of a segment
-using GroupNo = Strong<std::uint64_t, struct GroupTag>;      ///< number of a membership
+using Identity = Strong<std::uint64_t, struct IdentityTag>;            ///< of a disk, made when its folder is empty
+using Stamp = Strong<std::uint64_t, struct StampTag>;                  ///< generation stamp of a segment
+using MembershipNumber = Strong<std::uint64_t, struct MembershipTag>;  ///< number of a membership
 
 /// Milliseconds since the epoch by the time of day.
 std::int64_t wallMs();
@@ -93,6 +93,6 @@
 
 }  // namespace tealshelf
 
-#include "base/boot.hpp"
 #include "base/errors.hpp"
 #include "base/log.hpp"
+#include "base/settings.hpp"
--- a/charter/charter.cpp
+++ b/configuration/configuration.cpp
@@ -1,4 +1,4 @@
-#include "charter/charter.hpp"
+#include "configuration/configuration.hpp"
 
 #include <boost/property_tree/json_parser.hpp>
 #include <sstream>
@@ -10,7 +10,7 @@
 
 class Reader {
  public:
-  explicit Reader(vector<CharterFault>& f) : faults_(f) {}
+  explicit Reader(vector<ConfigurationFault>& f) : faults_(f) {}
   void fault(Code c, string const& t) { faults_.push_back({c, t}); }
 
   string text(Tree const& t, char const* k, string const& where, bool must) {
@@ -46,7 +46,7 @@
   }
 
  private:
-  vector<CharterFault>& faults_;
+  vector<ConfigurationFault>& faults_;
 };
 
 constexpr std::pair<string_view, RouteKind> kinds[] = {{"repeatable", RouteKind::repeatable},
@@ -54,7 +54,7 @@
                                                        {"streaming", RouteKind::streaming},
                                                        {"bulk", RouteKind::bulk}};
 
-Route readRoute(Reader& r, Tree const& t, Charter const& c) {
+Route readRoute(Reader& r, Tree const& t, Configuration const& c) {
   Route m;
   m.name = r.text(t, "name", "route", true);
   string const w = "route " + m.name;
@@ -106,7 +106,7 @@
   return shares.front().service;
 }
 
-Route const* Charter::find(string_view host, string_view path) const {
+Route const* Configuration::find(string_view host, string_view path) const {
   string_view const p = path.substr(0, path.find('?'));
   std::map<string, vector<std::uint32_t>, std::less<>>::const_iterator const i = table.find(host);
   if (i == table.end()) return nullptr;
@@ -116,14 +116,14 @@
   }
   return nullptr;
 }
-Route const* Charter::byName(string_view name) const {
+Route const* Configuration::byName(string_view name) const {
   for (Route const& m : routes)
     if (m.name == name) return &m;
   return nullptr;
 }
 
-std::shared_ptr<Charter const> readCharter(string const& text, vector<CharterFault>& faults) {
-  std::shared_ptr<Charter> const c = std::make_shared<Charter>();
+std::shared_ptr<Configuration const> readConfiguration(string const& text, vector<ConfigurationFault>& faults) {
+  std::shared_ptr<Configuration> const c = std::make_shared<Configuration>();
   Reader r(faults);
   Tree read;
   try {
@@ -136,7 +136,7 @@
     return c;
   }
   Tree const& t = read;
-  c->version = r.number(t, "version", "charter", 0, true);
+  c->version = r.number(t, "version", "configuration", 0, true);
   boost::optional<Tree const&> const ss = t.get_child_optional("services"), rs = t.get_child_optional("routes"),
                                      ls = t.get_child_optional("limits");
   if (!ss || !rs) r.fault(Code::unreadable, "routes or services are missing");
@@ -175,9 +175,9 @@
   return c;
 }
 
-std::shared_ptr<Charter const> compileCharter(string const& text) {
-  vector<CharterFault> f;
-  std::shared_ptr<Charter const> const c = readCharter(text, f);
+std::shared_ptr<Configuration const> compileConfiguration(string const& text) {
+  vector<ConfigurationFault> f;
+  std::shared_ptr<Configuration const> const c = readConfiguration(text, f);
   if (!f.empty()) throw Error(f[0].code, f[0].text);
   return c;
 }
--- a/charter/charter.hpp
+++ b/configuration/configuration.hpp
@@ -33,7 +33,7 @@
   std::int64_t headerWait = 3000, idleLimit = 15000;
 };
 /// A whole configuration, checked; immutable once compiled.
-struct Charter {
+struct Configuration {
   std::uint64_t version = 0;
   vector<Route> routes;
   std::map<string, ServiceLine> services;
@@ -44,14 +44,14 @@
   Route const* find(string_view host, string_view path) const;
   Route const* byName(string_view name) const;
 };
-/// A fault found in a charter.
-struct CharterFault {
+/// A fault found in a configuration.
+struct ConfigurationFault {
   Code code;
   string text;
 };
-/// Reads and compiles a charter; lists all faults in one pass.
-std::shared_ptr<Charter const> readCharter(string const& text, vector<CharterFault>& faults);
+/// Reads and compiles a configuration; lists all faults in one pass.
+std::shared_ptr<Configuration const> readConfiguration(string const& text, vector<ConfigurationFault>& faults);
 /// The same; throws the first fault.
-std::shared_ptr<Charter const> compileCharter(string const& text);
+std::shared_ptr<Configuration const> compileConfiguration(string const& text);
 
 }  // namespace tealshelf
--- a/registry/registry.cpp
+++ b/consensus/consensus.cpp
@@ -1,19 +1,19 @@
-#include "registry/registry.hpp"
+#include "consensus/consensus.hpp"
 
 namespace tealshelf {
 
 namespace {
-enum RecordSort { recPromise = 1, recAccept = 2, recGroup = 3, recDump = 4 };
+enum RecordSort { recVote = 1, recAccept = 2, recMembership = 3, recDump = 4 };
 struct Record {
   int sort = 0;
-  string shelf;
+  string keyspace;
   Epoch epoch;
   std::uint64_t prev = 0, upTo = 0;
   bool full = false;
   Entries entries;
-  Group group;
+  Membership membership;
   bool copied = false;
-  MSGPACK_DEFINE(sort, shelf, epoch, prev, upTo, full, entries, group, copied)
+  MSGPACK_DEFINE(sort, keyspace, epoch, prev, upTo, full, entries, membership, copied)
 };
 string packRecord(Record const& r) {
   msgpack::sbuffer b;
@@ -22,16 +22,16 @@
 }
 }  // namespace
 
-Member const* Group::find(Identity id) const {
+Member const* Membership::find(Identity id) const {
   for (Member const& m : members)
     if (m.id == id) return &m;
   return nullptr;
 }
 
-void Registry::record(int sort, string const& shelf, Epoch e, Mail const* m) {
+void Consensus::record(int sort, string const& keyspace, Epoch e, Message const* m) {
   Record r;
   r.sort = sort;
-  r.shelf = shelf;
+  r.keyspace = keyspace;
   r.epoch = e;
   if (m) {
     r.prev = m->prev;
@@ -39,28 +39,28 @@
     r.full = m->full;
     r.entries = m->entries;
   }
-  if (sort == recGroup) {
-    r.group = group_;
+  if (sort == recMembership) {
+    r.membership = membership_;
     r.copied = copied_;
   }
   out_.records.push_back(packRecord(r));
   out_.sync = true;
 }
 
-void Registry::replay(string const& bytes) {
+void Consensus::replay(string const& bytes) {
   Record r;
   try {
     r = msgpack::unpack(bytes.data(), bytes.size()).get().as<Record>();
   } catch (std::exception const&) {
-    throw Error(Code::badMessage, "registry record");
+    throw Error(Code::badMessage, "consensus record");
   }
-  if (r.sort == recGroup) {
-    group_ = r.group;
+  if (r.sort == recMembership) {
+    membership_ = r.membership;
     copied_ = r.copied;
     return;
   }
-  Shelf& s = shelves_[r.shelf];
-  s.promised = std::max(s.promised, r.epoch);
+  Keyspace& s = keyspaces_[r.keyspace];
+  s.votedEpoch = std::max(s.votedEpoch, r.epoch);
   s.seen = std::max(s.seen, r.epoch);
   if (r.sort == recAccept) apply(s, r.epoch, r.full, r.prev, r.upTo, r.entries);
   if (r.sort == recDump) {
@@ -69,43 +69,43 @@
   }
 }
 
-vector<string> Registry::snapshot() const {
+vector<string> Consensus::snapshot() const {
   vector<string> v;
   Record g;
-  g.sort = recGroup;
-  g.group = group_;
+  g.sort = recMembership;
+  g.membership = membership_;
   g.copied = copied_;
   v.push_back(packRecord(g));
-  for (std::pair<string const, Shelf> const& p : shelves_) {
+  for (std::pair<string const, Keyspace> const& p : keyspaces_) {
     Record r;
     r.sort = recDump;
-    r.shelf = p.first;
-    r.epoch = p.second.promised;
+    r.keyspace = p.first;
+    r.epoch = p.second.votedEpoch;
     r.entries = p.second.entries;
     v.push_back(packRecord(r));
   }
   return v;
 }
 
-void Registry::install(Group const& g, bool copied) {
-  if (g.no <= group_.no && group_.no.v) return;
-  group_ = g;
-  Member const* const me = group_.find(self_.id);
+void Consensus::install(Membership const& g, bool copied) {
+  if (g.no <= membership_.no && membership_.no.v) return;
+  membership_ = g;
+  Member const* const me = membership_.find(self_.id);
   copied_ = me && (copied_ || copied || me->founder);
-  record(recGroup, "", Epoch(), nullptr);
-  for (std::pair<string const, Shelf>& p : shelves_) stepDown(p.second);
+  record(recMembership, "", Epoch(), nullptr);
+  for (std::pair<string const, Keyspace>& p : keyspaces_) stepDown(p.second);
 }
 
-void Registry::markCopied() {
+void Consensus::markCopied() {
   copied_ = true;
-  record(recGroup, "", Epoch(), nullptr);
+  record(recMembership, "", Epoch(), nullptr);
 }
 
-void Registry::absorb(vector<std::pair<string, std::pair<Epoch, Entries>>> const& l) {
+void Consensus::absorb(vector<std::pair<string, std::pair<Epoch, Entries>>> const& l) {
   for (std::pair<string, std::pair<Epoch, Entries>> const& p : l) {
-    Shelf& s = shelves_[p.first];
-    s.promised = std::max(s.promised, p.second.first);
-    s.seen = std::max(s.seen, s.promised);
+    Keyspace& s = keyspaces_[p.first];
+    s.votedEpoch = std::max(s.votedEpoch, p.second.first);
+    s.seen = std::max(s.seen, s.votedEpoch);
     for (std::pair<string const, Entry> const& e : p.second.second) {
       Entry& x = s.entries[e.first];
       if (std::tie(x.epoch, x.seq) < std::tie(e.second.epoch, e.second.seq)) x = e.second;
@@ -113,83 +113,84 @@
     s.upTo = 0;
     Record r;
     r.sort = recDump;
-    r.shelf = p.first;
-    r.epoch = s.promised;
+    r.keyspace = p.first;
+    r.epoch = s.votedEpoch;
     r.entries = s.entries;
     out_.records.push_back(packRecord(r));
   }
   out_.sync = true;
 }
 
-vector<std::pair<string, std::pair<Epoch, Entries>>> Registry::dump() const {
+vector<std::pair<string, std::pair<Epoch, Entries>>> Consensus::dump() const {
   vector<std::pair<string, std::pair<Epoch, Entries>>> v;
-  for (std::pair<string const, Shelf> const& p : shelves_)
-    v.push_back({p.first, {p.second.promised, p.second.entries}});
+  for (std::pair<string const, Keyspace> const& p : keyspaces_)
+    v.push_back({p.first, {p.second.votedEpoch, p.second.entries}});
   return v;
 }
 
-void Registry::know(string const& shelf) {
-  shelves_[shelf];
+void Consensus::know(string const& keyspace) {
+  keyspaces_[keyspace];
 }
-vector<string> Registry::shelves() const {
+vector<string> Consensus::keyspaces() const {
   vector<string> v;
-  for (std::pair<string const, Shelf> const& p : shelves_) v.push_back(p.first);
+  for (std::pair<string const, Keyspace> const& p : keyspaces_) v.push_back(p.first);
   return v;
 }
 
-bool Registry::alive(Identity id, Moment now) const {
+bool Consensus::alive(Identity id, Moment now) const {
   if (id == self_.id) return true;
   std::map<Identity, Peer>::const_iterator const p = peers_.find(id);
   if (p == peers_.end() || now - p->second.at > times_.alive) return false;
   std::size_t n = 1;
-  for (Identity const& h : p->second.ping.hears)
-    if (h != id && group_.find(h)) ++n;
-  return n >= group_.most();
+  for (Identity const& h : p->second.heartbeat.hears)
+    if (h != id && membership_.find(h)) ++n;
+  return n >= membership_.most();
 }
-/// Both ways: a member counts only if its own ping says that it hears this node.
-bool Registry::mutual(Peer const& p) const {
-  return std::find(p.ping.hears.begin(), p.ping.hears.end(), self_.id) != p.ping.hears.end();
+/// Both ways: a member counts only if its own heartbeat says that it hears this node.
+bool Consensus::mutual(Peer const& p) const {
+  return std::find(p.heartbeat.hears.begin(), p.heartbeat.hears.end(), self_.id) != p.heartbeat.hears.end();
 }
-bool Registry::inMajority(Moment now) const {
+bool Consensus::inMajority(Moment now) const {
   std::size_t n = 0;
-  for (Member const& m : group_.members) {
+  for (Member const& m : membership_.members) {
     std::map<Identity, Peer>::const_iterator const p = peers_.find(m.id);
     if (m.id == self_.id || (p != peers_.end() && now - p->second.at <= times_.alive && mutual(p->second))) ++n;
   }
-  return !group_.members.empty() && n >= group_.most();
+  return !membership_.members.empty() && n >= membership_.most();
 }
-Moment Registry::provenAt(Moment now) const {
+Moment Consensus::provenAt(Moment now) const {
   vector<Moment> at;
-  for (Member const& m : group_.members) {
+  for (Member const& m : membership_.members) {
     std::map<Identity, Peer>::const_iterator const p = peers_.find(m.id);
     if (m.id == self_.id)
       at.push_back(now);
     else if (p != peers_.end() && mutual(p->second))
       at.push_back(p->second.at);
   }
-  if (group_.members.empty() || at.size() < group_.most()) return Moment();
+  if (membership_.members.empty() || at.size() < membership_.most()) return Moment();
   std::sort(at.begin(), at.end(), std::greater<Moment>());
-  return at[group_.most() - 1];
+  return at[membership_.most() - 1];
 }
-bool Registry::ready(Identity id, Moment now) const {
+bool Consensus::ready(Identity id, Moment now) const {
   if (id == self_.id) return copied_;
   std::map<Identity, Peer>::const_iterator const p = peers_.find(id);
-  return p != peers_.end() && alive(id, now) && p->second.ping.copied && p->second.ping.group == group_.no;
+  return p != peers_.end() && alive(id, now) && p->second.heartbeat.copied &&
+         p->second.heartbeat.membership == membership_.no;
 }
-Moment Registry::lastHeard(Identity id) const {
+Moment Consensus::lastHeard(Identity id) const {
   std::map<Identity, Peer>::const_iterator const p = peers_.find(id);
   return p == peers_.end() ? Moment() : p->second.at;
 }
 
-Member const* Registry::wanted(string const& shelf, Moment now) const {
+Member const* Consensus::wanted(string const& keyspace, Moment now) const {
   Member const* best = nullptr;
   std::pair<bool, std::uint64_t> top;
-  for (Member const& m : group_.members) {
+  for (Member const& m : membership_.members) {
     if (!alive(m.id, now)) continue;
     std::map<Identity, Peer>::const_iterator const p = peers_.find(m.id);
-    if (m.id == self_.id ? !copied_ : (p == peers_.end() || !p->second.ping.copied)) continue;
+    if (m.id == self_.id ? !copied_ : (p == peers_.end() || !p->second.heartbeat.copied)) continue;
     // One without a disk owns nothing while one with a disk can.
-    std::pair<bool, std::uint64_t> const rank(m.disk, hashOf(hex(m.id.v), hashOf(shelf)));
+    std::pair<bool, std::uint64_t> const rank(m.disk, hashOf(hex(m.id.v), hashOf(keyspace)));
     if (!best || rank > top) {
       best = &m;
       top = rank;
@@ -198,17 +199,17 @@
   return best;
 }
 
-Ping Registry::ping(Moment now) const {
-  Ping p;
+Heartbeat Consensus::heartbeat(Moment now) const {
+  Heartbeat p;
   p.self = self_;
-  p.group = group_.no;
+  p.membership = membership_.no;
   p.copied = copied_;
   for (std::pair<Identity const, Peer> const& q : peers_)
     if (now - q.second.at <= times_.alive) p.hears.push_back(q.first);
-  for (std::pair<string const, Shelf> const& q : shelves_) {
-    Shelf const& s = q.second;
-    ShelfMark k;
-    k.shelf = q.first;
+  for (std::pair<string const, Keyspace> const& q : keyspaces_) {
+    Keyspace const& s = q.second;
+    KeyspaceProgress k;
+    k.keyspace = q.first;
     k.owned = s.phase == Phase::owning;
     k.epoch = k.owned ? s.epoch : s.applied;
     k.upTo = s.upTo;
@@ -218,12 +219,12 @@
   return p;
 }
 
-void Registry::heard(Ping const& p, Moment now) {
+void Consensus::heard(Heartbeat const& p, Moment now) {
   if (p.self.id == self_.id) return;
   peers_[p.self.id] = {now, p};
-  if (p.group != group_.no || !group_.find(p.self.id)) return;
-  for (ShelfMark const& k : p.marks) {
-    Shelf& s = shelves_[k.shelf];
+  if (p.membership != membership_.no || !membership_.find(p.self.id)) return;
+  for (KeyspaceProgress const& k : p.marks) {
+    Keyspace& s = keyspaces_[k.keyspace];
     s.seen = std::max(s.seen, k.epoch);
     if (k.owned && std::tie(s.knownEpoch, s.knownCommitted) < std::tie(k.epoch, k.committed)) {
       s.knownEpoch = k.epoch;
@@ -241,12 +242,12 @@
     }
     if (now - b.first < 2 * times_.again || now - b.second < 4 * times_.again) continue;
     b.second = now;
-    Mail m;
-    m.sort = Mail::accept;
-    m.group = group_.no;
+    Message m;
+    m.sort = Message::accept;
+    m.membership = membership_.no;
     m.from = self_.id;
     m.to = p.self.id;
-    m.shelf = k.shelf;
+    m.keyspace = k.keyspace;
     m.epoch = s.epoch;
     m.full = true;
     m.upTo = s.committed;
@@ -258,10 +259,10 @@
   }
 }
 
-std::optional<std::map<string, string>> Registry::settled(string const& shelf) const {
-  std::map<string, Shelf>::const_iterator const i = shelves_.find(shelf);
-  if (i == shelves_.end()) return std::nullopt;
-  Shelf const& s = i->second;
+std::optional<std::map<string, string>> Consensus::settled(string const& keyspace) const {
+  std::map<string, Keyspace>::const_iterator const i = keyspaces_.find(keyspace);
+  if (i == keyspaces_.end()) return std::nullopt;
+  Keyspace const& s = i->second;
   if (s.phase == Phase::owning) return s.view;
   if (s.applied != s.knownEpoch || s.upTo < s.knownCommitted || !s.knownCommitted) return std::nullopt;
   std::map<string, string> v;
@@ -272,18 +273,18 @@
   return v;
 }
 
-bool Registry::owns(string const& shelf) const {
-  std::map<string, Shelf>::const_iterator const i = shelves_.find(shelf);
-  return i != shelves_.end() && i->second.phase == Phase::owning;
+bool Consensus::owns(string const& keyspace) const {
+  std::map<string, Keyspace>::const_iterator const i = keyspaces_.find(keyspace);
+  return i != keyspaces_.end() && i->second.phase == Phase::owning;
 }
-Epoch Registry::epochOf(string const& shelf) const {
-  std::map<string, Shelf>::const_iterator const i = shelves_.find(shelf);
-  return i == shelves_.end() ? Epoch() : i->second.epoch;
+Epoch Consensus::epochOf(string const& keyspace) const {
+  std::map<string, Keyspace>::const_iterator const i = keyspaces_.find(keyspace);
+  return i == keyspaces_.end() ? Epoch() : i->second.epoch;
 }
-std::map<string, string> const& Registry::view(string const& shelf) const {
+std::map<string, string> const& Consensus::view(string const& keyspace) const {
   static std::map<string, string> const none;
-  std::map<string, Shelf>::const_iterator const i = shelves_.find(shelf);
-  return i == shelves_.end() ? none : i->second.view;
+  std::map<string, Keyspace>::const_iterator const i = keyspaces_.find(keyspace);
+  return i == keyspaces_.end() ? none : i->second.view;
 }
 
 }  // namespace tealshelf
--- /dev/null
+++ b/consensus/driver.cpp
@@ -0,0 +1,226 @@
+#include "consensus/driver.hpp"
+
+namespace tealshelf {
+
+namespace {
+Identity ownIdentity(Settings const& b, bool& fresh) {
+  if (!b.dataFolder.empty()) return identityOf(b.dataFolder, fresh);
+  fresh = true;
+  return Identity(randomId());
+}
+}  // namespace
+
+Driver::Driver(asio::io_context& io, Settings const& settings, Rpc& rpc)
+    : io_(io),
+      settings_(settings),
+      rpc_(rpc),
+      period_(settings.bounds.inTouch / 20),
+      id_(ownIdentity(settings, fresh_)),
+      consensus_(Member{id_, settings.nodeName, settings.ip, settings.zone, false, !settings.dataFolder.empty()},
+                 Consensus::Times{Ms(settings.bounds.inTouch / 4), Ms(settings.bounds.inTouch / 30)}) {
+  if (!settings.dataFolder.empty()) {
+    std::size_t const turn = static_cast<std::size_t>(std::max<std::int64_t>(settings.diskMb, 8)) * (1u << 20) / 8;
+    log_ = std::make_unique<DiskLog>(io, settings.dataFolder + "/registry", turn,
+                                     [this] { return consensus_.snapshot(); });
+    for (string const& r : log_->found().records) consensus_.replay(r);
+    if (log_->found().torn)
+      warn("consensus", "a torn tail of " + std::to_string(log_->found().torn) + " bytes was cut");
+    for (string const& c : log_->found().corrupt) warn("consensus", "a corrupt record was passed over: " + c);
+    log_->forget();
+  }
+  consensus_.know("configuration");
+  consensus_.know("members");
+}
+
+void Driver::start(RpcServer& server) {
+  server.on<ConsensusMessages>([this](ConsensusMessages m) -> Task<Done> {
+    for (Message const& x : m.messages) consensus_.receive(x, Clock::now());
+    pump();
+    co_return Done{};
+  });
+  server.on<HeartbeatMessage>([this](HeartbeatMessage m) -> Task<Done> {
+    Moment const now = Clock::now();
+    if (m.membership.no > consensus_.membership().no && m.membership.no.v) consensus_.install(m.membership, false);
+    consensus_.heard(m.heartbeat, now);
+    HeartbeatMessage& kept = others_[m.heartbeat.self.id].first;
+    kept = HeartbeatMessage();
+    kept.heartbeat = m.heartbeat;
+    others_[m.heartbeat.self.id].second = now;
+    if (onHeartbeat) {
+      bool const differs = onHeartbeat(m);
+      int& n = differ_[m.heartbeat.self.ip];
+      n = differs ? n + 1 : 0;
+    }
+    consensus_.tick(now);
+    pump();
+    // One that doesn't hear this node yet gets a heartbeat at once, so that a start takes no whole period.
+    bool const known = std::find(m.heartbeat.hears.begin(), m.heartbeat.hears.end(), id_) != m.heartbeat.hears.end();
+    Moment& back = backAt_[m.heartbeat.self.ip];
+    if (!known && now - back > period_ / 5) {
+      back = now;
+      rpc_.tellTo(at(m.heartbeat.self.ip), heartbeatFor(m.heartbeat.membership, true));
+    }
+    if (onChange) onChange();
+    co_return Done{};
+  });
+  server.on<Hello>([this](Hello) -> Task<HelloReply> {
+    co_return HelloReply{consensus_.self(), consensus_.membership(), settings_.firstStart,
+                         !settings_.dataFolder.empty(), consensus_.copied()};
+  });
+  server.on<CopyAll>([this](CopyAll q) -> Task<CopyReply> {
+    if (q.membership != consensus_.membership().no || !consensus_.copied()) throw Error(Code::notMember);
+    CopyReply r{consensus_.membership(), consensus_.dump()};
+    if (log_) co_await log_->settled();
+    co_return r;
+  });
+  server.on<JoinRequest>([this](JoinRequest q) -> Task<Done> { co_return Done{co_await joined(q)}; });
+  spawn(io_, "consensus tick", tickLoop());
+  spawn(io_, "consensus heartbeat", heartbeatLoop());
+  spawn(io_, "consensus join", joinLoop());
+  spawn(io_, "consensus prune", pruneLoop());
+}
+
+void Driver::pump() {
+  std::shared_ptr<Batch> const b = std::make_shared<Batch>(consensus_.take());
+  bool updated = false;
+  for (string const& s : {string("configuration"), string("members")}) {
+    if (!consensus_.owns(s))
+      owned_.erase(s);
+    else
+      updated = owned_.insert(s).second || updated;
+  }
+  if (updated) asio::post(io_, [this] { sendHeartbeats(); });
+  if (b->records.empty() && b->messages.empty() && b->outcomes.empty()) return;
+  if (log_)
+    for (string const& r : b->records) log_->append(r);
+  if (b->sync && log_)
+    log_->synced([this, b] { send(b); });
+  else
+    send(b);
+}
+
+void Driver::send(std::shared_ptr<Batch> b) {
+  std::map<Identity, ConsensusMessages> by;
+  vector<Message> own;
+  for (Message& m : b->messages) {
+    if (m.to == id_)
+      own.push_back(std::move(m));
+    else
+      by[m.to].messages.push_back(std::move(m));
+  }
+  for (std::pair<Identity const, ConsensusMessages>& p : by) {
+    Member const* const m = consensus_.membership().find(p.first);
+    if (m) rpc_.tellTo(at(m->ip), p.second);
+  }
+  for (Outcome const& o : b->outcomes) {
+    std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(o.op);
+    if (w == waits_.end()) {
+      early_[o.op] = o.ok;
+      continue;
+    }
+    w->second->done = true;
+    w->second->ok = o.ok;
+    w->second->timer.cancel();
+  }
+  if (!b->outcomes.empty() && onChange) onChange();
+  if (own.empty()) return;
+  asio::post(io_, [this, own = std::move(own)] {
+    for (Message const& m : own) consensus_.receive(m, Clock::now());
+    pump();
+  });
+}
+
+Task<bool> Driver::await(std::uint64_t op, Ms limit) {
+  std::shared_ptr<Wait> const w = std::make_shared<Wait>(io_);
+  w->timer.expires_after(limit);
+  waits_[op] = w;
+  pump();
+  if (std::map<std::uint64_t, bool>::iterator const e = early_.find(op); e != early_.end()) {
+    w->done = true;
+    w->ok = e->second;
+    early_.erase(e);
+  }
+  error_code e;
+  if (!w->done) co_await w->timer.async_wait(asio::redirect_error(asio::use_awaitable, e));
+  waits_.erase(op);
+  co_return w->ok;
+}
+Task<bool> Driver::propose(string keyspace, vector<Consensus::Change> changes) {
+  std::uint64_t const op = consensus_.propose(keyspace, std::move(changes), Clock::now());
+  bool const ok = co_await await(op, std::chrono::hours(24));
+  if (ok && (keyspace == "configuration" || keyspace == "members")) sendHeartbeats();
+  co_return ok;
+}
+Task<bool> Driver::confirm(string keyspace, Ms limit) {
+  co_return co_await await(consensus_.confirm(keyspace, Clock::now()), limit);
+}
+
+std::optional<Addr> Driver::ownerOf(string const& keyspace) const {
+  Member const* const m = consensus_.wanted(keyspace, Clock::now());
+  if (!m) return std::nullopt;
+  return at(m->ip);
+}
+
+HeartbeatMessage Driver::heartbeatFor(MembershipNumber theirs, bool full) {
+  HeartbeatMessage m;
+  m.heartbeat = consensus_.heartbeat(Clock::now());
+  if (leaving_) m.heartbeat.copied = false;
+  if (fillHeartbeat) fillHeartbeat(m, full);
+  if (theirs < consensus_.membership().no) m.membership = consensus_.membership();
+  return m;
+}
+
+void Driver::sendHeartbeats() {
+  Moment const now = Clock::now();
+  ++heartbeats_;
+  HeartbeatMessage m = heartbeatFor(consensus_.membership().no, false);
+  std::optional<HeartbeatMessage> whole;
+  std::map<string, MembershipNumber> to;
+  for (Member const& x : consensus_.membership().members)
+    if (x.id != id_) to[x.ip] = MembershipNumber(0);
+  if (!consensus_.membership().find(id_))
+    for (Addr const& s : settings_.seeds)
+      if (s.ip != settings_.ip) to[s.ip] = MembershipNumber(0);
+  for (std::pair<Identity const, std::pair<HeartbeatMessage, Moment>> const& o : others_) {
+    string const& ip = o.second.first.heartbeat.self.ip;
+    if (now - o.second.second < Ms(settings_.bounds.inTouch) && ip != settings_.ip)
+      to[ip] = o.second.first.heartbeat.membership;
+  }
+  for (std::pair<string const, MembershipNumber> const& p : to) {
+    // The whole register goes to those that lately had another one, and to all after a start.
+    bool const full = differ_[p.first] >= 2 || now - started_ < Ms(settings_.bounds.inTouch / 2);
+    if (full) differ_[p.first] = 0;
+    if (full && !whole) whole = heartbeatFor(consensus_.membership().no, true);
+    HeartbeatMessage& x = full ? *whole : m;
+    x.membership = p.second < consensus_.membership().no ? consensus_.membership() : Membership();
+    sendHeartbeat(p.first, x);
+  }
+}
+
+/// A heartbeat wants an answer, so that a connection on which nothing comes through is found and opened
+/// anew, even where all else that goes over it is told without waiting.
+void Driver::sendHeartbeat(string const& ip, HeartbeatMessage const& m) {
+  if (!awaitingHeartbeat_.insert(ip).second) {
+    rpc_.tellTo(at(ip), m);
+    return;
+  }
+  asio::co_spawn(io_, rpc_.ask(at(ip), m, Ms(settings_.bounds.inTouch / 8)),
+                 [this, ip](std::exception_ptr, Done) { awaitingHeartbeat_.erase(ip); });
+}
+
+Task<void> Driver::tickLoop() {
+  for (;;) {
+    co_await pause(Ms(settings_.bounds.inTouch / 60));
+    consensus_.tick(Clock::now());
+    pump();
+  }
+}
+Task<void> Driver::heartbeatLoop() {
+  for (;;) {
+    sendHeartbeats();
+    if (onChange) onChange();
+    co_await pause(period_);
+  }
+}
+
+}  // namespace tealshelf
--- /dev/null
+++ b/consensus/driver.hpp
@@ -0,0 +1,82 @@
+#pragma once
+#include "base/disk.hpp"
+#include "consensus/membership.hpp"
+#include "wire/messages.hpp"
+
+namespace tealshelf {
+
+/// Runs a Consensus against the disk, the connections and the clock.
+class Driver {
+ public:
+  Driver(asio::io_context& io, Settings const& settings, Rpc& rpc);
+  /// Starts heartbeats, founding or joining, and the listeners of the consensus's messages.
+  void start(RpcServer& server);
+  /// Has a change on a majority of the disks; false once it is sure that this node won't do so.
+  /// It waits as long as that takes: a change given up on could still come into force later,
+  /// after another was made on what stood before it.
+  Task<bool> propose(string keyspace, vector<Consensus::Change> changes);
+  /// True once a majority says that this node still owns the keyspace.
+  Task<bool> confirm(string keyspace, Ms limit);
+  Consensus& consensus() { return consensus_; }
+  Consensus const& consensus() const { return consensus_; }
+  bool healthy() const { return consensus_.inMajority(Clock::now()); }
+  /// True if the membership bears the losses that it should.
+  bool wide() const { return MembershipPolicy::bears(consensus_.membership(), settings_.surviveMachines); }
+  /// Where the wanted owner of a keyspace is; nothing if unknown.
+  std::optional<Addr> ownerOf(string const& keyspace) const;
+  /// Hands everything over: this node is wanted no more.
+  void leave() {
+    leaving_ = true;
+    sendHeartbeats();
+  }
+  void sendHeartbeats();
+  /// Called for each heartbeat that comes in, with what it carries; true if the registers differ.
+  std::function<bool(HeartbeatMessage const&)> onHeartbeat;
+  /// Fills in the workers and nodes that a heartbeat shall carry; full asks for the whole register.
+  std::function<void(HeartbeatMessage&, bool full)> fillHeartbeat;
+  /// Called whenever the control state may have changed.
+  std::function<void()> onChange;
+  Ms period() const { return period_; }
+
+ private:
+  struct Wait {
+    explicit Wait(asio::io_context& io) : timer(io) {}
+    asio::steady_timer timer;
+    bool done = false, ok = false;
+  };
+  void pump();
+  HeartbeatMessage heartbeatFor(MembershipNumber theirs, bool full);
+  void send(std::shared_ptr<Batch> b);
+  Task<bool> await(std::uint64_t op, Ms limit);
+  Task<void> tickLoop();
+  Task<void> heartbeatLoop();
+  Task<void> joinLoop();
+  bool mayJoin() const;
+  Task<bool> found();
+  Task<bool> copyAll();
+  Task<bool> joined(JoinRequest q);
+  Task<bool> changeMembership(JoinRequest const& q);
+  Task<void> pruneLoop();
+  Addr at(string const& ip) const { return settings_.controlAt(ip); }
+
+  asio::io_context& io_;
+  Settings const& settings_;
+  Rpc& rpc_;
+  Ms period_;
+  bool fresh_ = false, leaving_ = false, changing_ = false, warned_ = false;
+  Identity id_;
+  Consensus consensus_;
+  std::unique_ptr<DiskLog> log_;
+  std::map<std::uint64_t, std::shared_ptr<Wait>> waits_;
+  std::map<std::uint64_t, bool> early_;
+  std::map<Identity, std::pair<HeartbeatMessage, Moment>> others_;
+  void sendHeartbeat(string const& ip, HeartbeatMessage const& m);
+  std::set<string> awaitingHeartbeat_;  ///< addresses whose answer to a heartbeat is awaited
+  std::map<string, int> differ_;        ///< how many heartbeats in a row came with another register, by address
+  std::map<string, Moment> backAt_;     ///< when a heartbeat was last sent back at once
+  std::set<string> owned_;
+  std::uint64_t heartbeats_ = 0;
+  Moment started_ = Clock::now();
+};
+
+}  // namespace tealshelf
--- a/registry/rounds.cpp
+++ b/consensus/rounds.cpp
@@ -1,17 +1,17 @@
-#include "registry/registry.hpp"
+#include "consensus/consensus.hpp"
 
 namespace tealshelf {
 
 namespace {
-enum RecordSort { recPromise = 1, recAccept = 2 };
+enum RecordSort { recVote = 1, recAccept = 2 };
 }
 
-void Registry::finish(vector<std::uint64_t> const& ops, bool ok) {
+void Consensus::finish(vector<std::uint64_t> const& ops, bool ok) {
   for (std::uint64_t const op : ops)
     if (op) out_.outcomes.push_back({op, ok});
 }
 
-void Registry::stepDown(Shelf& s) {
+void Consensus::stepDown(Keyspace& s) {
   for (Write const& w : s.writes)
     if (!w.done) finish({w.op}, false);
   for (Read const& r : s.reads) finish(r.ops, false);
@@ -21,42 +21,42 @@
   s.phase = Phase::none;
 }
 
-void Registry::startTaking(string const& name, Shelf& s, Moment now) {
+void Consensus::startTakeover(string const& name, Keyspace& s, Moment now) {
   stepDown(s);
   s.phase = Phase::taking;
   s.since = now;
-  s.epoch = {std::max(s.seen.n, s.promised.n) + 1, self_.id.v};
+  s.epoch = {std::max(s.seen.n, s.votedEpoch.n) + 1, self_.id.v};
   s.seen = s.epoch;
-  s.grants.clear();
+  s.votes.clear();
   s.gathered.clear();
-  sendPrepare(name, s, now);
+  sendVoteRequests(name, s, now);
 }
 
-void Registry::sendPrepare(string const& name, Shelf& s, Moment now) {
+void Consensus::sendVoteRequests(string const& name, Keyspace& s, Moment now) {
   s.sent = now;
-  for (Member const& m : group_.members) {
-    if (s.grants.count(m.id)) continue;
-    Mail x;
-    x.sort = Mail::prepare;
-    x.group = group_.no;
+  for (Member const& m : membership_.members) {
+    if (s.votes.count(m.id)) continue;
+    Message x;
+    x.sort = Message::requestVote;
+    x.membership = membership_.no;
     x.from = self_.id;
     x.to = m.id;
-    x.shelf = name;
+    x.keyspace = name;
     x.epoch = s.epoch;
     post(std::move(x));
   }
 }
 
-void Registry::sendWrite(string const& name, Shelf& s, Write& w, Moment now) {
+void Consensus::sendWrite(string const& name, Keyspace& s, Write& w, Moment now) {
   w.sent = now;
-  for (Member const& m : group_.members) {
+  for (Member const& m : membership_.members) {
     if (w.acks.count(m.id)) continue;
-    Mail x;
-    x.sort = Mail::accept;
-    x.group = group_.no;
+    Message x;
+    x.sort = Message::accept;
+    x.membership = membership_.no;
     x.from = self_.id;
     x.to = m.id;
-    x.shelf = name;
+    x.keyspace = name;
     x.epoch = s.epoch;
     x.prev = w.first - 1;
     x.upTo = w.last;
@@ -66,35 +66,35 @@
   }
 }
 
-void Registry::sendRead(string const& name, Shelf& s, Read& r, Moment now) {
+void Consensus::sendRead(string const& name, Keyspace& s, Read& r, Moment now) {
   r.sent = now;
-  for (Member const& m : group_.members) {
+  for (Member const& m : membership_.members) {
     if (r.acks.count(m.id)) continue;
-    Mail x;
-    x.sort = Mail::confirm;
-    x.group = group_.no;
+    Message x;
+    x.sort = Message::confirm;
+    x.membership = membership_.no;
     x.from = self_.id;
     x.to = m.id;
-    x.shelf = name;
+    x.keyspace = name;
     x.epoch = s.epoch;
     x.round = r.round;
     post(std::move(x));
   }
 }
 
-void Registry::tick(Moment now) {
+void Consensus::tick(Moment now) {
   if (!mayVote()) return;
-  for (std::pair<string const, Shelf>& p : shelves_) {
-    Shelf& s = p.second;
+  for (std::pair<string const, Keyspace>& p : keyspaces_) {
+    Keyspace& s = p.second;
     Member const* const w = wanted(p.first, now);
     bool const mine = w && w->id == self_.id && inMajority(now);
     if (s.phase == Phase::none && mine)
-      startTaking(p.first, s, now);
+      startTakeover(p.first, s, now);
     else if (s.phase == Phase::taking || s.phase == Phase::writing) {
       if (now - s.since > 20 * times_.again && (!mine || s.seen > s.epoch))
         stepDown(s);
       else if (s.phase == Phase::taking && now - s.sent > times_.again)
-        sendPrepare(p.first, s, now);
+        sendVoteRequests(p.first, s, now);
     }
     for (Write& x : s.writes)
       if (now - x.sent > times_.again) sendWrite(p.first, s, x, now);
@@ -102,15 +102,15 @@
       if (now - x.sent > times_.again) sendRead(p.first, s, x, now);
     while (!s.writes.empty() && s.writes.front().done) {
       bool all = true;
-      for (Member const& m : group_.members) all = all && (s.writes.front().acks.count(m.id) || !alive(m.id, now));
+      for (Member const& m : membership_.members) all = all && (s.writes.front().acks.count(m.id) || !alive(m.id, now));
       if (!all && s.writes.size() < 64) break;
       s.writes.pop_front();
     }
   }
 }
 
-std::uint64_t Registry::propose(string const& shelf, vector<Change> cs, Moment now) {
-  Shelf& s = shelves_[shelf];
+std::uint64_t Consensus::propose(string const& keyspace, vector<Change> cs, Moment now) {
+  Keyspace& s = keyspaces_[keyspace];
   std::uint64_t const op = ++lastOp_;
   if (s.phase != Phase::owning || !mayVote()) {
     finish({op}, false);
@@ -122,12 +122,12 @@
   for (Change& c : cs) w.entries[c.key] = Entry{s.epoch, s.next++, std::move(c.value), c.gone};
   w.last = s.next - 1;
   s.writes.push_back(std::move(w));
-  sendWrite(shelf, s, s.writes.back(), now);
+  sendWrite(keyspace, s, s.writes.back(), now);
   return op;
 }
 
-std::uint64_t Registry::confirm(string const& shelf, Moment now) {
-  Shelf& s = shelves_[shelf];
+std::uint64_t Consensus::confirm(string const& keyspace, Moment now) {
+  Keyspace& s = keyspaces_[keyspace];
   std::uint64_t const op = ++lastOp_;
   if (s.phase != Phase::owning || !mayVote()) {
     finish({op}, false);
@@ -137,44 +137,44 @@
   r.round = ++lastRound_;
   r.ops.push_back(op);
   s.reads.push_back(std::move(r));
-  sendRead(shelf, s, s.reads.back(), now);
+  sendRead(keyspace, s, s.reads.back(), now);
   return op;
 }
 
-Mail Registry::reply(Mail const& m, int sort) const {
-  Mail r;
+Message Consensus::reply(Message const& m, int sort) const {
+  Message r;
   r.sort = sort;
-  r.group = group_.no;
+  r.membership = membership_.no;
   r.from = self_.id;
   r.to = m.from;
-  r.shelf = m.shelf;
+  r.keyspace = m.keyspace;
   r.epoch = m.epoch;
   r.round = m.round;
   r.upTo = m.upTo;
   return r;
 }
 
-void Registry::mail(Mail const& m, Moment now) {
-  if (m.group != group_.no || m.to != self_.id || !group_.find(m.from) || !mayVote()) return;
-  Shelf& s = shelves_[m.shelf];
-  s.seen = std::max({s.seen, m.epoch, m.promised});
+void Consensus::receive(Message const& m, Moment now) {
+  if (m.membership != membership_.no || m.to != self_.id || !membership_.find(m.from) || !mayVote()) return;
+  Keyspace& s = keyspaces_[m.keyspace];
+  s.seen = std::max({s.seen, m.epoch, m.votedEpoch});
   switch (m.sort) {
-    case Mail::prepare:
-      onPrepare(m, s);
+    case Message::requestVote:
+      onRequestVote(m, s);
       break;
-    case Mail::promise:
-      onPromise(m, s, now);
+    case Message::vote:
+      onVote(m, s, now);
       break;
-    case Mail::accept:
+    case Message::accept:
       onAccept(m, s);
       break;
-    case Mail::accepted:
+    case Message::accepted:
       onAccepted(m, s);
       break;
-    case Mail::confirm:
+    case Message::confirm:
       onConfirm(m, s);
       break;
-    case Mail::confirmed:
+    case Message::confirmed:
       onConfirmed(m, s);
       break;
     default:
@@ -182,36 +182,36 @@
   }
 }
 
-void Registry::onPrepare(Mail const& m, Shelf& s) {
-  Mail r = reply(m, Mail::promise);
-  if (m.epoch == s.promised || m.epoch.n > s.promised.n) {
-    if (m.epoch > s.promised) {
-      s.promised = m.epoch;
-      record(recPromise, m.shelf, m.epoch, nullptr);
+void Consensus::onRequestVote(Message const& m, Keyspace& s) {
+  Message r = reply(m, Message::vote);
+  if (m.epoch == s.votedEpoch || m.epoch.n > s.votedEpoch.n) {
+    if (m.epoch > s.votedEpoch) {
+      s.votedEpoch = m.epoch;
+      record(recVote, m.keyspace, m.epoch, nullptr);
       if (s.epoch < m.epoch) stepDown(s);
     }
     out_.sync = true;
     r.ok = true;
     r.entries = s.entries;
   }
-  r.promised = s.promised;
+  r.votedEpoch = s.votedEpoch;
   post(std::move(r));
 }
 
-void Registry::refused(Mail const& m, Shelf& s) {
-  // A promise under the same number but for another owner refuses just as a higher one does.
-  if (m.promised != s.epoch && m.promised.n >= s.epoch.n && s.phase != Phase::none) stepDown(s);
+void Consensus::refused(Message const& m, Keyspace& s) {
+  // A vote under the same number but for another owner refuses just as a higher one does.
+  if (m.votedEpoch != s.epoch && m.votedEpoch.n >= s.epoch.n && s.phase != Phase::none) stepDown(s);
 }
 
-void Registry::onPromise(Mail const& m, Shelf& s, Moment now) {
+void Consensus::onVote(Message const& m, Keyspace& s, Moment now) {
   if (s.phase != Phase::taking || m.epoch != s.epoch) return;
   if (!m.ok) return refused(m, s);
-  s.grants.insert(m.from);
+  s.votes.insert(m.from);
   for (std::pair<string const, Entry> const& e : m.entries) {
     Entry& x = s.gathered[e.first];
     if (std::tie(x.epoch, x.seq) < std::tie(e.second.epoch, e.second.seq)) x = e.second;
   }
-  if (s.grants.size() < group_.most()) return;
+  if (s.votes.size() < membership_.most()) return;
   s.phase = Phase::writing;
   s.next = 1;
   s.committed = 0;
@@ -225,10 +225,10 @@
   w.last = s.next - 1;
   s.gathered.clear();
   s.writes.push_back(std::move(w));
-  sendWrite(m.shelf, s, s.writes.back(), now);
+  sendWrite(m.keyspace, s, s.writes.back(), now);
 }
 
-void Registry::apply(Shelf& s, Epoch e, bool full, std::uint64_t prev, std::uint64_t upTo, Entries const& es) {
+void Consensus::apply(Keyspace& s, Epoch e, bool full, std::uint64_t prev, std::uint64_t upTo, Entries const& es) {
   if (full) {
     if (s.applied == e && s.upTo > upTo) return;
     Entries keep;
@@ -247,20 +247,20 @@
   if (s.applied == e && prev <= s.upTo) s.upTo = std::max(s.upTo, upTo);
 }
 
-void Registry::onAccept(Mail const& m, Shelf& s) {
-  Mail r = reply(m, Mail::accepted);
-  if (m.epoch >= s.promised) {
+void Consensus::onAccept(Message const& m, Keyspace& s) {
+  Message r = reply(m, Message::accepted);
+  if (m.epoch >= s.votedEpoch) {
     if (s.epoch < m.epoch && s.phase != Phase::none) stepDown(s);
-    s.promised = m.epoch;
-    record(recAccept, m.shelf, m.epoch, &m);
+    s.votedEpoch = m.epoch;
+    record(recAccept, m.keyspace, m.epoch, &m);
     apply(s, m.epoch, m.full, m.prev, m.upTo, m.entries);
     r.ok = true;
   }
-  r.promised = s.promised;
+  r.votedEpoch = s.votedEpoch;
   post(std::move(r));
 }
 
-void Registry::onAccepted(Mail const& m, Shelf& s) {
+void Consensus::onAccepted(Message const& m, Keyspace& s) {
   if (m.epoch != s.epoch || (s.phase != Phase::writing && s.phase != Phase::owning)) return;
   if (!m.ok) return refused(m, s);
   for (Write& w : s.writes)
@@ -268,10 +268,10 @@
   commit(s);
 }
 
-void Registry::commit(Shelf& s) {
+void Consensus::commit(Keyspace& s) {
   for (Write& w : s.writes) {
     if (w.done) continue;
-    if (w.acks.size() < group_.most()) break;
+    if (w.acks.size() < membership_.most()) break;
     w.done = true;
     s.committed = w.last;
     for (std::pair<string const, Entry> const& e : w.entries) {
@@ -285,20 +285,20 @@
   }
 }
 
-void Registry::onConfirm(Mail const& m, Shelf& s) {
-  Mail r = reply(m, Mail::confirmed);
-  r.ok = m.epoch >= s.promised;
-  r.promised = s.promised;
+void Consensus::onConfirm(Message const& m, Keyspace& s) {
+  Message r = reply(m, Message::confirmed);
+  r.ok = m.epoch >= s.votedEpoch;
+  r.votedEpoch = s.votedEpoch;
   post(std::move(r));
 }
 
-void Registry::onConfirmed(Mail const& m, Shelf& s) {
+void Consensus::onConfirmed(Message const& m, Keyspace& s) {
   if (m.epoch != s.epoch || s.phase != Phase::owning) return;
   if (!m.ok) return refused(m, s);
   for (std::deque<Read>::iterator r = s.reads.begin(); r != s.reads.end(); ++r) {
     if (r->round != m.round) continue;
     r->acks.insert(m.from);
-    if (r->acks.size() < group_.most()) return;
+    if (r->acks.size() < membership_.most()) return;
     finish(r->ops, true);
     s.reads.erase(r);
     return;
--- /dev/null
+++ b/control/control_node.cpp
@@ -0,0 +1,276 @@
+#include "control/control_node.hpp"
+
+namespace tealshelf {
+
+ControlNode::ControlNode(asio::io_context& io, Settings const& settings)
+    : io_(io),
+      settings_(settings),
+      rpc_(io, Ms(settings.bounds.inTouch / 2)),
+      driver_(io, settings, rpc_),
+      coordinator_(io, settings, rpc_, driver_),
+      table_(Ms(3 * settings.reportEvery), driver_.consensus().self().id),
+      server_(io, settings.controlAt(settings.ip), Ms(settings.bounds.inTouch / 2)),
+      http_(
+          io, settings.control, [this](Call c) { return handle(std::move(c)); }, 16u << 20,
+          Ms(5 * settings.bounds.inTouch)),
+      publisher_(io, settings, 0),
+      health_(Ms(settings.bounds.inTouch / 4), WorkerHealth::Rule()) {
+  if (!settings.dataFolder.empty()) {
+    log_ = std::make_unique<DiskLog>(
+        io, settings.dataFolder + "/workers",
+        static_cast<std::size_t>(std::max<std::int64_t>(settings.diskMb, 8)) * (1u << 20) / 32, [this] {
+          vector<string> v;
+          for (Worker const& w : table_.all()) v.push_back(packed(w));
+          return v;
+        });
+    for (string const& r : log_->found().records) table_.merge(unpacked<Worker>(r), Clock::now());
+    table_.fresh();
+    noted_ = table_.rev();
+    log_->forget();
+  }
+  publisher_.proof = [this] {
+    return UpdatePublisher::Proof{driver_.healthy() && tableWhole() && !stopping_, 0,
+                                  driver_.consensus().provenAt(Clock::now())};
+  };
+  driver_.onHeartbeat = [this](HeartbeatMessage const& m) { return onHeartbeat(m); };
+  driver_.fillHeartbeat = [this](HeartbeatMessage& m, bool full) { fillHeartbeat(m, full); };
+  driver_.onChange = [this] {
+    bool updated = false;
+    if (std::optional<std::map<string, string>> const v = driver_.consensus().settled("configuration")) {
+      std::map<string, string>::const_iterator const i = v->find("current");
+      if (i != v->end() && i->second != publisher_.configuration()) {
+        std::shared_ptr<Configuration const> const c = compileConfiguration(i->second);
+        if (c->version > publisher_.configurationVersion()) {
+          publisher_.setConfiguration(c->version, i->second);
+          for (Route const& m : c->routes)
+            if (m.kind == RouteKind::bulk) driver_.consensus().know(LotCoordinator::keyspaceOf(m.host));
+          tell("configuration", "version " + std::to_string(c->version) + " is in force");
+          updated = true;
+        }
+      }
+    }
+    bool const healthy = publisher_.proof().healthy;
+    if (updated || healthy != wasHealthy_ || driver_.consensus().membership().no != membershipNumber_) changed();
+    wasHealthy_ = healthy;
+  };
+  coordinator_.retiring = [this] {
+    std::set<string> s;
+    std::optional<std::map<string, string>> const v = driver_.consensus().settled("members");
+    if (v)
+      for (std::pair<string const, string> const& p : *v)
+        if (p.first.rfind("retire/", 0) == 0) s.insert(p.first.substr(7));
+    return s;
+  };
+}
+
+void ControlNode::start() {
+  driver_.start(server_);
+  coordinator_.start(server_);
+  server_.on<UpdateRequest>([this](UpdateRequest q) { return publisher_.serve(std::move(q)); });
+  server_.on<ForwardCall>([this](ForwardCall q) -> Task<CallReply> {
+    if (q.path.rfind("/settings", 0) == 0) co_return co_await configurationCall(std::move(q));
+    co_return co_await retire(std::move(q));
+  });
+  server_.start();
+  http_.start();
+  spawn(io_, "sweep", sweepLoop());
+  tell("control", settings_.nodeName + " serves control at " + settings_.control.text());
+}
+
+void ControlNode::stop() {
+  stopping_ = true;
+  driver_.leave();
+  http_.stop();
+}
+
+void ControlNode::note() {
+  if (!log_) return;
+  for (Worker const& w : table_.all(noted_)) log_->append(packed(w));
+  noted_ = table_.rev();
+  log_->synced([] {});
+}
+
+void ControlNode::changed() {
+  note();
+  for (Worker const& w : table_.since(publishedRevision_)) {
+    if (w.gone) {
+      publisher_.common.erase("w/" + w.id);
+      continue;
+    }
+    Worker x = w;
+    x.callCount = 0;
+    x.warmupLeft = 0;
+    x.registrar = Identity();
+    x.turn = 0;
+    publisher_.common.put("w/" + w.id, packed(x));
+  }
+  publishedRevision_ = table_.rev();
+  Membership const& g = driver_.consensus().membership();
+  membershipNumber_ = g.no;
+  std::set<string> named;
+  for (Member const& m : g.members) {
+    publisher_.common.put("m/" + hex(m.id.v), packed(m));
+    named.insert("m/" + hex(m.id.v));
+  }
+  vector<string> out;
+  for (std::map<string, string>::const_iterator i = publisher_.common.rows().lower_bound("m/");
+       i != publisher_.common.rows().end() && i->first[0] == 'm'; ++i)
+    if (!named.count(i->first)) out.push_back(i->first);
+  for (string const& k : out) publisher_.common.erase(k);
+  publisher_.changed(Ms(settings_.bounds.inTouch / 80));
+}
+
+/// A register is whole once a majority's registers are in it, or all live workers have sent a beat.
+bool ControlNode::tableWhole() const {
+  return (table_.size() && tables_.size() + 1 >= driver_.consensus().membership().most()) ||
+         Clock::now() - started_ > Ms(settings_.reportEvery * 3 / 2);
+}
+
+Task<void> ControlNode::sweepLoop() {
+  for (;;) {
+    co_await pause(Ms(settings_.reportEvery / 4));
+    if (driver_.healthy() && table_.sweep(Clock::now())) changed();
+    listNodes();
+    if (driver_.healthy()) judge();
+  }
+}
+
+Task<CallAnswer> ControlNode::handle(Call c) {
+  ForwardCall q{c.verb, c.path, c.head("If-Match"), std::move(c.body), 0};
+  CallReply r{404, ""};
+  if (c.path.rfind("/servers/", 0) == 0)
+    r = co_await servers(std::move(q));
+  else if (c.path == "/settings")
+    r = co_await configurationCall(std::move(q));
+  else if (c.path.rfind("/retire/", 0) == 0)
+    r = co_await retire(std::move(q));
+  co_return CallAnswer{r.status, r.body, "application/json", {}};
+}
+
+Task<CallReply> ControlNode::servers(ForwardCall q) {
+  string const id = q.path.substr(9);
+  if (id.empty()) throw Error(Code::badBeat);
+  if (!driver_.healthy()) throw Error(Code::noQuorum);
+  Worker w;
+  if (q.verb == "PUT")
+    w = readBeat(id, q.body);
+  else if (q.verb == "DELETE") {
+    if (Worker const* const had = table_.find(id)) w = *had;
+    w.id = id;
+    w.gone = true;
+  } else
+    throw Error(Code::badBeat);
+  w.registrar = driver_.consensus().self().id;
+  bool const updated = table_.merge(w, Clock::now());
+  if (updated) {
+    changed();
+    HeartbeatMessage m;
+    m.heartbeat = driver_.consensus().heartbeat(Clock::now());
+    m.heartbeat.copied = m.heartbeat.copied && !stopping_;
+    m.workers = {*table_.find(id)};
+    std::shared_ptr<std::size_t> const left = std::make_shared<std::size_t>(0);
+    std::shared_ptr<asio::steady_timer> const t =
+        std::make_shared<asio::steady_timer>(io_, Ms(settings_.bounds.drain / 5));
+    for (Member const& x : driver_.consensus().membership().members) {
+      if (x.id == driver_.consensus().self().id || !driver_.consensus().alive(x.id, Clock::now())) continue;
+      ++*left;
+      asio::co_spawn(io_, rpc_.ask(settings_.controlAt(x.ip), m, Ms(settings_.bounds.drain / 5)),
+                     [left, t](std::exception_ptr, Done) {
+                       if (!--*left) t->cancel();
+                     });
+    }
+    if (log_ && (w.draining || w.gone)) co_await log_->settled();
+    error_code e;
+    if (*left && (w.draining || w.gone)) co_await t->async_wait(asio::redirect_error(asio::use_awaitable, e));
+  }
+  std::optional<Addr> const to = w.gone || stopping_ ? std::nullopt : registrarOf(w);
+  co_return CallReply{200, to ? "{\"reportTo\":\"" + to->text() + "\"}" : "{}"};
+}
+
+/// Hands a call to the owner of a keyspace if that is another node.
+Task<std::optional<CallReply>> ControlNode::elsewhere(string const& keyspace, ForwardCall q) {
+  Moment const until = Clock::now() + Ms(settings_.bounds.confirmWithin / 8);
+  while (!driver_.consensus().owns(keyspace)) {
+    std::optional<Addr> const o = driver_.ownerOf(keyspace);
+    if (o && o->ip != settings_.ip && q.hops < 2) {
+      ++q.hops;
+      co_return co_await rpc_.ask(*o, q, Ms(settings_.bounds.confirmWithin / 5));
+    }
+    if (Clock::now() > until) throw Error(Code::noOwner);
+    co_await pause(Ms(settings_.bounds.inTouch / 100));
+  }
+  co_return std::nullopt;
+}
+
+Task<CallReply> ControlNode::configurationCall(ForwardCall q) {
+  if (q.verb != "PUT" && q.verb != "GET") co_return CallReply{405, ""};
+  if (std::optional<CallReply> r = co_await elsewhere("configuration", q)) co_return *r;
+  if (q.verb == "PUT") co_return co_await putConfiguration(std::move(q));
+  if (!co_await driver_.confirm("configuration", Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+  std::map<string, string> const& v = driver_.consensus().view("configuration");
+  std::map<string, string>::const_iterator const i = v.find("current");
+  if (i == v.end()) co_return CallReply{404, "{}"};
+  co_return CallReply{200, i->second};
+}
+
+Task<CallReply> ControlNode::putConfiguration(ForwardCall q) {
+  while (changing_) co_await pause(Ms(3));
+  changing_ = true;
+  struct Unlock {
+    bool& b;
+    ~Unlock() { b = false; }
+  } const u{changing_};
+  // The first configuration waits a while for a membership that bears the losses it should.
+  Moment const until = started_ + Ms(settings_.bounds.inTouch);
+  while (!driver_.wide() && Clock::now() < until && !driver_.consensus().view("configuration").count("current"))
+    co_await pause(Ms(settings_.bounds.inTouch / 60));
+  if (!co_await driver_.confirm("configuration", Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+  std::map<string, string> const& v = driver_.consensus().view("configuration");
+  std::map<string, string>::const_iterator const i = v.find("current");
+  std::uint64_t current = 0;
+  if (i != v.end()) {
+    if (i->second == q.body) co_return CallReply{200, "{}"};
+    current = compileConfiguration(i->second)->version;
+  }
+  std::shared_ptr<Configuration const> c;
+  try {
+    c = compileConfiguration(q.body);
+  } catch (Error const& x) {
+    tell("configuration", string("a configuration was refused: ") + x.what());
+    throw;
+  }
+  std::uint64_t on = 0;
+  if (!readNumber(q.ifMatch, on) || on != current) throw Error(Code::lostRace, std::to_string(current));
+  if (c->version <= current) throw Error(Code::oldVersion, std::to_string(c->version));
+  vector<Consensus::Change> cs(1, Consensus::Change{"current", q.body, false});
+  if (!co_await driver_.propose("configuration", std::move(cs))) throw Error(Code::noQuorum);
+  driver_.onChange();
+  co_return CallReply{200, "{}"};
+}
+
+Task<CallReply> ControlNode::retire(ForwardCall q) {
+  string const node = q.path.substr(8);
+  if (std::optional<CallReply> r = co_await elsewhere("members", q)) co_return *r;
+  if (!co_await driver_.confirm("members", Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+  bool const asked = driver_.consensus().view("members").count("retire/" + node) != 0;
+  if (!asked && !coordinator_.knownStore(node)) throw Error(Code::unknownNode, node);
+  if (q.verb == "POST" && !asked) {
+    std::size_t left = 0;
+    std::set<string> const going = coordinator_.retiring();
+    for (StoreRef const& s : coordinator_.liveStores(Clock::now()))
+      if (s.name != node && !going.count(s.name)) ++left;
+    if (left < static_cast<std::size_t>(settings_.surviveMachines) + 1) throw Error(Code::tooFewLeft);
+    vector<Consensus::Change> cs(1, Consensus::Change{"retire/" + node, "1", false});
+    if (!co_await driver_.propose("members", std::move(cs))) throw Error(Code::noQuorum);
+    tell("control", node + " is to be emptied");
+  }
+  if (q.verb == "POST") co_return CallReply{200, "{}"};
+  bool finished = false;
+  if (asked) {
+    std::uint64_t const n = co_await coordinator_.reliesOn(node);
+    finished = n == 0;
+  }
+  co_return CallReply{200, finished ? "{\"state\":\"finished\"}" : "{\"state\":\"serving\"}"};
+}
+
+}  // namespace tealshelf
--- a/registry/control_node.hpp
+++ b/control/control_node.hpp
@@ -1,17 +1,17 @@
 #pragma once
-#include "charter/charter.hpp"
-#include "lots/keeper.hpp"
-#include "news/hub.hpp"
-#include "registry/health.hpp"
-#include "registry/workers.hpp"
+#include "configuration/configuration.hpp"
+#include "lots/lot_coordinator.hpp"
+#include "updates/publisher.hpp"
 #include "wire/http.hpp"
+#include "workers/worker_health.hpp"
+#include "workers/worker_registry.hpp"
 
 namespace tealshelf {
 
-/// The control plane of one machine: registry, register of workers, charter, lots and news.
+/// The control plane of one machine: consensus, register of workers, configuration, lots and updated.
 class ControlNode {
  public:
-  ControlNode(asio::io_context& io, Boot const& boot);
+  ControlNode(asio::io_context& io, Settings const& settings);
   void start();
   /// Hands everything over and ends inside the grace.
   void stop();
@@ -22,27 +22,27 @@
   Task<CallReply> configurationCall(ForwardCall q);
   Task<CallReply> putConfiguration(ForwardCall q);
   Task<CallReply> retire(ForwardCall q);
-  Task<std::optional<CallReply>> elsewhere(string const& shelf, ForwardCall q);
+  Task<std::optional<CallReply>> elsewhere(string const& keyspace, ForwardCall q);
   Task<void> sweepLoop();
-  /// Brings the news book up to the register and the group, and tells those who ask.
+  /// Brings the updated table up to the register and the membership, and tells those who ask.
   void changed();
   /// Brings the lists of the zones' nodes up to who asks here and at the other control nodes.
   void listNodes();
-  bool onPing(PingMsg const& m);
-  void fillPing(PingMsg& m, bool full);
+  bool onHeartbeat(HeartbeatMessage const& m);
+  void fillHeartbeat(HeartbeatMessage& m, bool full);
   /// Has workers rest that fail more than their like.
   void judge();
   /// Where the next beats of a worker should go: a control node of its zone if there is one.
-  std::optional<Addr> hearerOf(Worker const& w) const;
+  std::optional<Addr> registrarOf(Worker const& w) const;
   /// Notes changed rows of the register on the disk, without waiting.
   void note();
   bool tableWhole() const;
 
   asio::io_context& io_;
-  Boot const& boot_;
+  Settings const& settings_;
   Rpc rpc_;
   Driver driver_;
-  LotKeeper keeper_;
+  LotCoordinator coordinator_;
   WorkerTable table_;
   RpcServer server_;
   HttpServer http_;
@@ -55,11 +55,11 @@
     vector<NodeRow> nodes;
     Moment at;
   };
-  NewsHub hub_;
+  UpdatePublisher publisher_;
   WorkerHealth health_;
   std::map<Identity, Part> parts_;  ///< which nodes ask at which other control node
-  std::uint64_t booked_ = 0, noted_ = 0, nodesDigest_ = 0;
-  GroupNo groupNo_;
+  std::uint64_t publishedRevision_ = 0, noted_ = 0, nodesDigest_ = 0;
+  MembershipNumber membershipNumber_;
   int nodesTurns_ = 0;
   bool wasHealthy_ = false;
 };
--- a/registry/news_duty.cpp
+++ b/control/worker_exchange.cpp
@@ -1,18 +1,18 @@
-#include "registry/control_node.hpp"
+#include "control/control_node.hpp"
 
 namespace tealshelf {
 
 /// What the control nodes tell each other of workers and data-plane nodes.
-bool ControlNode::onPing(PingMsg const& m) {
+bool ControlNode::onHeartbeat(HeartbeatMessage const& m) {
   Moment const now = Clock::now();
-  Identity const from = m.ping.self.id;
-  bool news = false;
+  Identity const from = m.heartbeat.self.id;
+  bool updated = false;
   table_.alive(from, now);
   if (m.full)
-    news = table_.mergeAll(m.workers, from, now);
+    updated = table_.mergeAll(m.workers, from, now);
   else
-    for (Worker const& w : m.workers) news = table_.merge(w, now) || news;
-  if ((m.full || m.digest == hub_.common.digest()) && tables_.insert(from).second) news = true;
+    for (Worker const& w : m.workers) updated = table_.merge(w, now) || updated;
+  if ((m.full || m.digest == publisher_.common.digest()) && tables_.insert(from).second) updated = true;
   health_.heard(from, m.tallies, now);
   Part& p = parts_[from];
   p.at = now;
@@ -20,35 +20,35 @@
     p.nodes = m.nodes;
     p.digest = m.nodesDigest;
   }
-  if (news) changed();
-  return !m.full && m.digest != hub_.common.digest();
+  if (updated) changed();
+  return !m.full && m.digest != publisher_.common.digest();
 }
 
-void ControlNode::fillPing(PingMsg& m, bool full) {
+void ControlNode::fillHeartbeat(HeartbeatMessage& m, bool full) {
   // Before its own register can be whole, a node doesn't call it so.
   m.full = full && (table_.size() || tableWhole());
   if (m.full)
     m.workers = table_.all();
   else if (!full)
     m.workers = table_.fresh();
-  health_.note(hub_.takeTallies(), Clock::now());
+  health_.note(publisher_.takeTallies(), Clock::now());
   m.tallies = health_.report(Clock::now());
-  m.digest = hub_.common.digest();
-  vector<NodeRow> const here = hub_.heard(Clock::now());
+  m.digest = publisher_.common.digest();
+  vector<NodeRow> const here = publisher_.heard(Clock::now());
   m.nodesDigest = Relays::digest(here);
   if (m.nodesDigest != nodesDigest_) {
     nodesDigest_ = m.nodesDigest;
     nodesTurns_ = 0;
   }
-  // A list that changed goes with three pings, and now and then again.
+  // A list that changed goes with three heartbeats, and now and then again.
   m.hasNodes = full || nodesTurns_ < 3 || nodesTurns_ % 16 == 0;
   if (!full) ++nodesTurns_;
   if (m.hasNodes) m.nodes = here;
 }
 
 void ControlNode::judge() {
-  health_.note(hub_.takeTallies(), Clock::now());
-  vector<std::pair<string, bool>> const l = health_.judge(table_.all(), driver_.reg().self().id, Clock::now());
+  health_.note(publisher_.takeTallies(), Clock::now());
+  vector<std::pair<string, bool>> const l = health_.judge(table_.all(), driver_.consensus().self().id, Clock::now());
   for (std::pair<string, bool> const& p : l) {
     table_.rest(p.first, p.second);
     tell("workers", p.first + (p.second ? " fails more than its like and rests" : " is tried again"));
@@ -59,34 +59,34 @@
 void ControlNode::listNodes() {
   Moment const now = Clock::now();
   std::map<string, NodeRow> all;
-  for (NodeRow const& n : hub_.heard(now)) all[n.name] = n;
+  for (NodeRow const& n : publisher_.heard(now)) all[n.name] = n;
   for (std::pair<Identity const, Part> const& p : parts_)
-    if (now - p.second.at <= Ms(boot_.bounds.inTouch / 2))
+    if (now - p.second.at <= Ms(settings_.bounds.inTouch / 2))
       for (NodeRow const& n : p.second.nodes) all.emplace(n.name, n);
-  bool news = false;
+  bool updated = false;
   std::set<string> zones;
   for (std::pair<string const, NodeRow> const& p : all) {
-    news = hub_.zones[p.second.zone].put(p.first, packed(p.second)) || news;
+    updated = publisher_.zones[p.second.zone].put(p.first, packed(p.second)) || updated;
     zones.insert(p.second.zone);
   }
-  for (std::pair<string const, Book>& z : hub_.zones) {
+  for (std::pair<string const, VersionedTable>& z : publisher_.zones) {
     vector<string> out;
     for (std::pair<string const, string> const& r : z.second.rows())
       if (!all.count(r.first)) out.push_back(r.first);
-    for (string const& k : out) news = z.second.erase(k) || news;
+    for (string const& k : out) updated = z.second.erase(k) || updated;
   }
-  if (news) hub_.changed(Ms(boot_.bounds.inTouch / 80));
+  if (updated) publisher_.changed(Ms(settings_.bounds.inTouch / 80));
 }
 
-std::optional<Addr> ControlNode::hearerOf(Worker const& w) const {
+std::optional<Addr> ControlNode::registrarOf(Worker const& w) const {
   Moment const now = Clock::now();
   std::optional<Addr> best;
   std::pair<bool, std::uint64_t> top;
-  for (Member const& m : driver_.reg().group().members) {
-    if (m.id != driver_.reg().self().id && !driver_.reg().ready(m.id, now)) continue;
+  for (Member const& m : driver_.consensus().membership().members) {
+    if (m.id != driver_.consensus().self().id && !driver_.consensus().ready(m.id, now)) continue;
     std::pair<bool, std::uint64_t> const rank(m.zone == w.zone, hashOf(hex(m.id.v), hashOf(w.id)));
     if (best && rank <= top) continue;
-    best = Addr{m.ip, boot_.control.port};
+    best = Addr{m.ip, settings_.control.port};
     top = rank;
   }
   return best;
--- a/lots/desk.cpp
+++ b/lots/lot_api.cpp
@@ -1,4 +1,4 @@
-#include "lots/desk.hpp"
+#include "lots/lot_api.hpp"
 
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
@@ -103,7 +103,7 @@
   return v;
 }
 
-bool LotDesk::isLotCall(Charter const& c, string_view verb, string_view host, string_view path) const {
+bool LotApi::isLotCall(Configuration const& c, string_view verb, string_view host, string_view path) const {
   bool const list = path.substr(0, 6) == "/lots/", one = path.substr(0, 7) == "/items/";
   if (!(list && (verb == "GET" || verb == "DELETE")) && !(one && verb == "GET")) return false;
   for (Route const& m : c.routes)
@@ -113,7 +113,7 @@
 
 /// Asks the control node in use, then the others.
 template <class Q>
-Task<typename Q::Reply> LotDesk::keeper(Q q, Ms limit) {
+Task<typename Q::Reply> LotApi::coordinator(Q q, Ms limit) {
   std::optional<Error> last;
   int tries = 0;
   for (Addr const& a : view_.controls()) {
@@ -133,7 +133,7 @@
   throw last ? *last : Error(Code::noPath);
 }
 
-Task<CallAnswer> LotDesk::handIn(Route const& m, string id, string const& body) {
+Task<CallAnswer> LotApi::handIn(Route const& m, string id, string const& body) {
   vector<ItemRecord> items = readLot(body);
   if (!view_.near()) throw Error(Code::lotUnsure);
   if (id.empty()) throw Error(Code::lotUnreadable, "no id");
@@ -149,10 +149,10 @@
   q.most = m.mostQueued;
   string const packedItems = packed(items);
   items.clear();
-  Ms const limit(boot_.bounds.inTouch / 5);
+  Ms const limit(settings_.bounds.inTouch / 5);
   try {
     for (int turn = 0;; ++turn) {
-      LotOpenReply const o = co_await keeper(q, limit);
+      LotOpenReply const o = co_await coordinator(q, limit);
       if (o.taken) break;
       std::optional<Error> failed;
       try {
@@ -168,7 +168,7 @@
         continue;
       }
       LotAccept const then{m.host, id, o.lot.stamp, 0};
-      co_await keeper(then, limit);
+      co_await coordinator(then, limit);
       break;
     }
   } catch (Error const& x) {
@@ -187,18 +187,18 @@
   co_return CallAnswer{202, "{}", "application/json", {}};
 }
 
-Task<LotRecord> LotDesk::where(string host, string id, bool anew) {
+Task<LotRecord> LotApi::where(string host, string id, bool anew) {
   std::pair<string, string> const k(host, id);
   if (!anew && known_.count(k)) co_return known_[k];
   LotFind const ask{host, id, 0};
-  LotFindReply const r = co_await keeper(ask, Ms(boot_.bounds.settleWithin / 2));
+  LotFindReply const r = co_await coordinator(ask, Ms(settings_.bounds.settleWithin / 2));
   if (!r.known) throw Error(Code::lotUnknown);
   if (known_.size() > 4096) known_.clear();
   known_[k] = r.lot;
   co_return r.lot;
 }
 
-Task<CallAnswer> LotDesk::call(string verb, string host, string target, std::int64_t holdMs) {
+Task<CallAnswer> LotApi::call(string verb, string host, string target, std::int64_t holdMs) {
   string_view const path = string_view(target).substr(0, target.find('?'));
   try {
     if (!view_.near()) throw Error(Code::lotUnsure);
@@ -207,7 +207,7 @@
     string const id(path.substr(6));
     if (verb == "DELETE") {
       LotEnd const ask{host, id, 0};
-      LotFindReply const r = co_await keeper(ask, Ms(boot_.bounds.inTouch / 2));
+      LotFindReply const r = co_await coordinator(ask, Ms(settings_.bounds.inTouch / 2));
       if (!r.known) throw Error(Code::lotUnknown);
       known_[{host, id}] = r.lot;
       co_return CallAnswer{200, "{}", "application/json", {}};
@@ -225,8 +225,8 @@
   }
 }
 
-Task<CallAnswer> LotDesk::list(string host, string id, std::uint64_t from, std::int64_t holdMs) {
-  Moment const until = Clock::now() + Ms(std::max<std::int64_t>(holdMs, boot_.bounds.settleWithin));
+Task<CallAnswer> LotApi::list(string host, string id, std::uint64_t from, std::int64_t holdMs) {
+  Moment const until = Clock::now() + Ms(std::max<std::int64_t>(holdMs, settings_.bounds.settleWithin));
   std::optional<SegReadReply> got;
   for (int turn = 0; !got; ++turn) {
     LotRecord const l = co_await where(host, id, turn > 0);
@@ -234,11 +234,11 @@
     try {
       std::int64_t const left = std::min<std::int64_t>(holdMs, leftMs(until));
       SegRead const ask{host, id, l.stamp, from, mostBytes, left};
-      got = co_await rpc_.ask(l.holders[0].at, ask, Ms(left + boot_.bounds.settleWithin / 2));
+      got = co_await rpc_.ask(l.holders[0].at, ask, Ms(left + settings_.bounds.settleWithin / 2));
     } catch (Error const& x) {
-      if (Clock::now() + Ms(boot_.bounds.step) > until) throw Error(Code::lotUnsure);
+      if (Clock::now() + Ms(settings_.bounds.step) > until) throw Error(Code::lotUnsure);
     }
-    if (!got) co_await pause(Ms(boot_.bounds.step / 2));
+    if (!got) co_await pause(Ms(settings_.bounds.step / 2));
   }
   rapidjson::StringBuffer b;
   rapidjson::Writer<rapidjson::StringBuffer> w(b);
@@ -265,21 +265,21 @@
   co_return CallAnswer{200, string(b.GetString(), b.GetSize()), "application/json", {}};
 }
 
-Task<CallAnswer> LotDesk::item(string host, string id, string item) {
-  Moment const until = Clock::now() + Ms(boot_.bounds.settleWithin);
+Task<CallAnswer> LotApi::item(string host, string id, string item) {
+  Moment const until = Clock::now() + Ms(settings_.bounds.settleWithin);
   for (int turn = 0;; ++turn) {
     LotRecord const l = co_await where(host, id, turn > 0);
     if (l.holders.empty()) throw Error(Code::lotUnsure);
     try {
       SegItem const ask{host, id, item, l.stamp};
-      SegItemReply r = co_await rpc_.ask(l.holders[0].at, ask, Ms(boot_.bounds.settleWithin / 2));
+      SegItemReply r = co_await rpc_.ask(l.holders[0].at, ask, Ms(settings_.bounds.settleWithin / 2));
       if (!r.known) throw Error(Code::itemUnknown);
       co_return CallAnswer{200, std::move(r.body), "application/octet-stream", {}};
     } catch (Error const& x) {
       if (x.code() == Code::itemUnknown) throw;
-      if (Clock::now() + Ms(boot_.bounds.step) > until) throw Error(Code::lotUnsure);
+      if (Clock::now() + Ms(settings_.bounds.step) > until) throw Error(Code::lotUnsure);
     }
-    co_await pause(Ms(boot_.bounds.step / 2));
+    co_await pause(Ms(settings_.bounds.step / 2));
   }
 }
 
--- a/lots/desk.hpp
+++ b/lots/lot_api.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "news/fleet_view.hpp"
+#include "updates/fleet_view.hpp"
 #include "wire/http.hpp"
 
 namespace tealshelf {
@@ -10,23 +10,23 @@
 bool unbase64(string_view s, string& out);
 
 /// The lot calls of clients at an edge node; one handler for the resource.
-class LotDesk {
+class LotApi {
  public:
-  LotDesk(asio::io_context& io, Boot const& boot, Rpc& rpc, FleetView& view)
-      : io_(io), boot_(boot), rpc_(rpc), view_(view) {}
+  LotApi(asio::io_context& io, Settings const& settings, Rpc& rpc, FleetView& view)
+      : io_(io), settings_(settings), rpc_(rpc), view_(view) {}
   /// True if a call is one of lots by its verb and path.
-  bool isLotCall(Charter const& c, string_view verb, string_view host, string_view path) const;
+  bool isLotCall(Configuration const& c, string_view verb, string_view host, string_view path) const;
   Task<CallAnswer> call(string verb, string host, string target, std::int64_t holdMs);
   Task<CallAnswer> handIn(Route const& m, string id, string const& body);
 
  private:
   template <class Q>
-  Task<typename Q::Reply> keeper(Q q, Ms limit);
+  Task<typename Q::Reply> coordinator(Q q, Ms limit);
   Task<LotRecord> where(string host, string id, bool anew);
   Task<CallAnswer> list(string host, string id, std::uint64_t from, std::int64_t holdMs);
   Task<CallAnswer> item(string host, string id, string item);
   asio::io_context& io_;
-  Boot const& boot_;
+  Settings const& settings_;
   Rpc& rpc_;
   FleetView& view_;
   std::map<std::pair<string, string>, LotRecord> known_;
--- a/lots/keeper.cpp
+++ b/lots/lot_coordinator.cpp
@@ -1,11 +1,11 @@
-#include "lots/keeper.hpp"
+#include "lots/lot_coordinator.hpp"
 
 namespace tealshelf {
 
-LotKeeper::LotKeeper(asio::io_context& io, Boot const& boot, Rpc& rpc, Driver& driver)
-    : io_(io), boot_(boot), rpc_(rpc), driver_(driver) {}
+LotCoordinator::LotCoordinator(asio::io_context& io, Settings const& settings, Rpc& rpc, Driver& driver)
+    : io_(io), settings_(settings), rpc_(rpc), driver_(driver) {}
 
-void LotKeeper::start(RpcServer& s) {
+void LotCoordinator::start(RpcServer& s) {
   s.on<LotOpen>([this](LotOpen q) { return open(std::move(q)); });
   s.on<LotAccept>([this](LotAccept q) { return accept(std::move(q)); });
   s.on<LotFind>([this](LotFind q) { return find(std::move(q)); });
@@ -14,9 +14,9 @@
   s.on<StoreFence>([this](StoreFence q) { return fence(std::move(q)); });
   s.on<RelyCount>([this](RelyCount q) -> Task<RelyCountReply> {
     if (std::optional<RelyCountReply> r = co_await elsewhere(q.host, q)) co_return *r;
-    if (!co_await driver_.confirm(shelfOf(q.host), Ms(boot_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+    if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
     RelyCountReply n;
-    for (std::pair<string const, string> const& p : driver_.reg().view(shelfOf(q.host)))
+    for (std::pair<string const, string> const& p : driver_.consensus().view(keyspaceOf(q.host)))
       for (StoreRef const& h : unpacked<LotRecord>(p.second).holders)
         if (h.name == q.store) ++n.lots;
     co_return n;
@@ -24,65 +24,65 @@
   spawn(io_, "lot upkeep", maintain());
 }
 
-/// Hands a call to the owner of the shelf if that is another node.
+/// Hands a call to the owner of the keyspace if that is another node.
 template <class Q>
-Task<std::optional<typename Q::Reply>> LotKeeper::elsewhere(string const& host, Q q) {
-  string const shelf = shelfOf(host);
-  driver_.reg().know(shelf);
-  Moment const until = Clock::now() + Ms(boot_.bounds.inTouch / 2);
-  while (!driver_.reg().owns(shelf)) {
-    std::optional<Addr> const o = driver_.ownerOf(shelf);
-    if (o && o->ip != boot_.ip && q.hops < 2) {
+Task<std::optional<typename Q::Reply>> LotCoordinator::elsewhere(string const& host, Q q) {
+  string const keyspace = keyspaceOf(host);
+  driver_.consensus().know(keyspace);
+  Moment const until = Clock::now() + Ms(settings_.bounds.inTouch / 2);
+  while (!driver_.consensus().owns(keyspace)) {
+    std::optional<Addr> const o = driver_.ownerOf(keyspace);
+    if (o && o->ip != settings_.ip && q.hops < 2) {
       ++q.hops;
-      co_return co_await rpc_.ask(*o, q, Ms(boot_.bounds.inTouch / 2));
+      co_return co_await rpc_.ask(*o, q, Ms(settings_.bounds.inTouch / 2));
     }
     if (Clock::now() > until) throw Error(Code::noOwner);
-    co_await pause(Ms(boot_.bounds.inTouch / 100));
+    co_await pause(Ms(settings_.bounds.inTouch / 100));
   }
   co_return std::nullopt;
 }
 
-std::optional<LotRecord> LotKeeper::load(string const& host, string const& id) const {
-  std::map<string, string> const& v = driver_.reg().view(shelfOf(host));
+std::optional<LotRecord> LotCoordinator::load(string const& host, string const& id) const {
+  std::map<string, string> const& v = driver_.consensus().view(keyspaceOf(host));
   std::map<string, string>::const_iterator const i = v.find(id);
   if (i == v.end()) return std::nullopt;
   return unpacked<LotRecord>(i->second);
 }
-Task<bool> LotKeeper::save(LotRecord const& r) {
+Task<bool> LotCoordinator::save(LotRecord const& r) {
   string const host = r.host, id = r.id, body = packed(r);
-  vector<Registry::Change> cs(1, Registry::Change{id, body, false});
-  bool const ok = co_await driver_.propose(shelfOf(host), std::move(cs));
+  vector<Consensus::Change> cs(1, Consensus::Change{id, body, false});
+  bool const ok = co_await driver_.propose(keyspaceOf(host), std::move(cs));
   if (ok) soft_[{host, id}].rev = ++rev_;
   co_return ok;
 }
-Task<void> LotKeeper::lock(Key k) {
+Task<void> LotCoordinator::lock(Key k) {
   while (soft_[k].locked) co_await pause(Ms(3));
   soft_[k].locked = true;
 }
-Stamp LotKeeper::fresh(string const& host) {
-  return Stamp((driver_.reg().epochOf(shelfOf(host)).n << 32) | (++counter_ & 0xffffffffu));
+Stamp LotCoordinator::fresh(string const& host) {
+  return Stamp((driver_.consensus().epochOf(keyspaceOf(host)).n << 32) | (++counter_ & 0xffffffffu));
 }
 
-bool LotKeeper::dead(Identity id, Moment now) const {
+bool LotCoordinator::dead(Identity id, Moment now) const {
   std::map<Identity, Seen>::const_iterator const i = stores_.find(id);
-  Moment const at = i == stores_.end() ? started_ + Ms(boot_.bounds.catchUp / 2) : i->second.at;
-  return now > at && now - at > Ms(boot_.bounds.inTouch * 3 / 10);
+  Moment const at = i == stores_.end() ? started_ + Ms(settings_.bounds.catchUp / 2) : i->second.at;
+  return now > at && now - at > Ms(settings_.bounds.inTouch * 3 / 10);
 }
-vector<StoreRef> LotKeeper::liveStores(Moment now) const {
+vector<StoreRef> LotCoordinator::liveStores(Moment now) const {
   vector<StoreRef> v;
   for (std::pair<Identity const, Seen> const& p : stores_)
-    if (!p.second.leaving && now - p.second.at <= Ms(boot_.bounds.inTouch / 4)) v.push_back(p.second.ref);
+    if (!p.second.leaving && now - p.second.at <= Ms(settings_.bounds.inTouch / 4)) v.push_back(p.second.ref);
   return v;
 }
-bool LotKeeper::knownStore(string const& name) const {
+bool LotCoordinator::knownStore(string const& name) const {
   for (std::pair<Identity const, Seen> const& p : stores_)
     if (p.second.ref.name == name) return true;
   return false;
 }
 
 /// Adds stores to the ones a lot has, in other zones first, in rendezvous order.
-vector<StoreRef> LotKeeper::choose(string const& id, std::set<Identity> const& bar, vector<StoreRef> have,
-                                   std::size_t count, Moment now) const {
+vector<StoreRef> LotCoordinator::choose(string const& id, std::set<Identity> const& bar, vector<StoreRef> have,
+                                        std::size_t count, Moment now) const {
   std::set<string> const leaving = retiring ? retiring() : std::set<string>();
   vector<StoreRef> live = liveStores(now);
   std::sort(live.begin(), live.end(), [&](StoreRef const& a, StoreRef const& b) {
@@ -101,23 +101,24 @@
 }
 
 /// True while a lot that was opened here may still be accepted.
-bool LotKeeper::mayAccept(Key const& k, Ms within) const {
+bool LotCoordinator::mayAccept(Key const& k, Ms within) const {
   std::map<Key, Soft>::const_iterator const s = soft_.find(k);
   return s != soft_.end() && Clock::now() - s->second.opened < within;
 }
 
-Task<LotOpenReply> LotKeeper::open(LotOpen q) {
+Task<LotOpenReply> LotCoordinator::open(LotOpen q) {
   if (std::optional<LotOpenReply> r = co_await elsewhere(q.lot.host, q)) co_return *r;
   Key const k(q.lot.host, q.lot.id);
   co_await lock(k);
   struct Unlock {
-    LotKeeper* k;
+    LotCoordinator* k;
     Key key;
     ~Unlock() { k->unlock(key); }
   } const u{this, k};
   std::optional<LotRecord> const had = load(q.lot.host, q.lot.id);
   if (had && had->state != static_cast<int>(LotState::taking)) {
-    if (!co_await driver_.confirm(shelfOf(q.lot.host), Ms(boot_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+    if (!co_await driver_.confirm(keyspaceOf(q.lot.host), Ms(settings_.bounds.inTouch / 3)))
+      throw Error(Code::noQuorum);
     co_return LotOpenReply{true, *had};
   }
   std::int64_t const wall = wallMs();
@@ -125,11 +126,11 @@
   r.sentAt = had ? had->sentAt : wall;
   if (q.most) {
     std::uint64_t waiting = 0;
-    for (std::pair<string const, string> const& p : driver_.reg().view(shelfOf(r.host))) {
+    for (std::pair<string const, string> const& p : driver_.consensus().view(keyspaceOf(r.host))) {
       LotRecord const o = unpacked<LotRecord>(p.second);
       if (o.id == r.id || o.route != r.route || o.state == static_cast<int>(LotState::ended)) continue;
       // A lot that was never accepted stops counting only when it can't be accepted any more.
-      if (o.state == static_cast<int>(LotState::taking) && !mayAccept({o.host, o.id}, Ms(boot_.bounds.inTouch)))
+      if (o.state == static_cast<int>(LotState::taking) && !mayAccept({o.host, o.id}, Ms(settings_.bounds.inTouch)))
         continue;
       if (opening_.count({o.host, o.id})) continue;
       std::map<Key, Soft>::const_iterator const s = soft_.find({o.host, o.id});
@@ -152,44 +153,44 @@
   co_return LotOpenReply{false, r};
 }
 
-Task<Done> LotKeeper::accept(LotAccept q) {
+Task<Done> LotCoordinator::accept(LotAccept q) {
   if (std::optional<Done> r = co_await elsewhere(q.host, q)) co_return *r;
   Key const k(q.host, q.id);
   co_await lock(k);
   struct Unlock {
-    LotKeeper* k;
+    LotCoordinator* k;
     Key key;
     ~Unlock() { k->unlock(key); }
   } const u{this, k};
   std::optional<LotRecord> r = load(q.host, q.id);
   if (!r) throw Error(Code::lotUnknown);
   if (r->state != static_cast<int>(LotState::taking)) co_return Done{};
-  if (r->stamp != q.stamp || !mayAccept(k, Ms(boot_.bounds.inTouch / 2))) throw Error(Code::staleStamp);
+  if (r->stamp != q.stamp || !mayAccept(k, Ms(settings_.bounds.inTouch / 2))) throw Error(Code::staleStamp);
   r->state = static_cast<int>(LotState::accepted);
   if (!co_await save(*r)) throw Error(Code::noQuorum);
   co_return Done{};
 }
 
-Task<LotFindReply> LotKeeper::find(LotFind q) {
+Task<LotFindReply> LotCoordinator::find(LotFind q) {
   if (std::optional<LotFindReply> r = co_await elsewhere(q.host, q)) co_return *r;
-  if (!co_await driver_.confirm(shelfOf(q.host), Ms(boot_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+  if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
   std::optional<LotRecord> const r = load(q.host, q.id);
   if (!r || r->state == static_cast<int>(LotState::taking)) co_return LotFindReply{false, {}};
   co_return LotFindReply{true, *r};
 }
 
-Task<LotFindReply> LotKeeper::end(LotEnd q) {
+Task<LotFindReply> LotCoordinator::end(LotEnd q) {
   if (std::optional<LotFindReply> r = co_await elsewhere(q.host, q)) co_return *r;
   Key const k(q.host, q.id);
   co_await lock(k);
   struct Unlock {
-    LotKeeper* k;
+    LotCoordinator* k;
     Key key;
     ~Unlock() { k->unlock(key); }
   } const u{this, k};
   std::optional<LotRecord> r = load(q.host, q.id);
   if (!r || r->state == static_cast<int>(LotState::taking)) {
-    if (!co_await driver_.confirm(shelfOf(q.host), Ms(boot_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+    if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
     co_return LotFindReply{false, {}};
   }
   r->state = static_cast<int>(LotState::ended);
@@ -198,7 +199,7 @@
   co_return LotFindReply{true, *r};
 }
 
-Task<StoreBeatReply> LotKeeper::beat(StoreBeat q) {
+Task<StoreBeatReply> LotCoordinator::beat(StoreBeat q) {
   Moment const now = Clock::now();
   Seen& s = stores_[q.self.id];
   s.ref = q.self;
@@ -210,14 +211,14 @@
   r.fenced = w == LeaseGrants::Word::fenced;
   r.life = life_;
   r.rev = rev_;
-  r.members = driver_.reg().group().members;
+  r.members = driver_.consensus().membership().members;
   for (LotProgress const& p : q.progress) {
     Soft& x = soft_[{p.host, p.id}];
     x.doneTokens = std::max(x.doneTokens, p.doneTokens);
     x.done = std::max(x.done, p.done);
   }
   for (Complaint const& c : q.complaints) {
-    std::optional<LotRecord> const l = driver_.reg().owns(shelfOf(c.host)) ? load(c.host, c.id) : std::nullopt;
+    std::optional<LotRecord> const l = driver_.consensus().owns(keyspaceOf(c.host)) ? load(c.host, c.id) : std::nullopt;
     if (!l || l->stamp != c.stamp) continue;
     Soft& x = soft_[{c.host, c.id}];
     if (c.about == q.self.id)
@@ -228,24 +229,24 @@
     }
   }
   std::uint64_t const since = q.life == life_ ? q.rev : 0;
-  for (string const& shelf : driver_.reg().shelves()) {
-    if (shelf.rfind("lots/", 0) != 0 || !driver_.reg().owns(shelf)) continue;
-    r.owned.push_back(shelf);
-    if (ownedSince_[shelf] != driver_.reg().epochOf(shelf)) {
-      ownedSince_[shelf] = driver_.reg().epochOf(shelf);
-      ownedAt_[shelf] = now;
+  for (string const& keyspace : driver_.consensus().keyspaces()) {
+    if (keyspace.rfind("lots/", 0) != 0 || !driver_.consensus().owns(keyspace)) continue;
+    r.owned.push_back(keyspace);
+    if (ownedSince_[keyspace] != driver_.consensus().epochOf(keyspace)) {
+      ownedSince_[keyspace] = driver_.consensus().epochOf(keyspace);
+      ownedAt_[keyspace] = now;
       ++rev_;
-      for (std::pair<string const, string> const& p : driver_.reg().view(shelf))
-        soft_[{shelf.substr(5), p.first}].rev = rev_;
+      for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace))
+        soft_[{keyspace.substr(5), p.first}].rev = rev_;
       r.rev = rev_;
     }
-    for (std::pair<string const, string> const& p : driver_.reg().view(shelf)) {
-      Soft const& x = soft_[{shelf.substr(5), p.first}];
+    for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace)) {
+      Soft const& x = soft_[{keyspace.substr(5), p.first}];
       if (x.rev <= since) continue;
       r.lots.push_back(unpacked<LotRecord>(p.second));
     }
     for (ReplicaMark const& m : q.marks) {
-      if (m.host != shelf.substr(5)) continue;
+      if (m.host != keyspace.substr(5)) continue;
       std::optional<LotRecord> const l = load(m.host, m.id);
       bool holds = false;
       if (l)
@@ -257,13 +258,13 @@
   std::set<string> asked;
   for (ReplicaMark const& m : vector<ReplicaMark>(r.drops)) {
     if (!asked.insert(m.host).second) continue;
-    bool const sure = co_await driver_.confirm(shelfOf(m.host), Ms(boot_.bounds.inTouch / 15));
+    bool const sure = co_await driver_.confirm(keyspaceOf(m.host), Ms(settings_.bounds.inTouch / 15));
     if (!sure) std::erase_if(r.drops, [&](ReplicaMark const& d) { return d.host == m.host; });
   }
   co_return r;
 }
 
-Task<Done> LotKeeper::fence(StoreFence q) {
+Task<Done> LotCoordinator::fence(StoreFence q) {
   co_return Done{grants_.fence(q.store, Clock::now())};
 }
 
--- a/lots/keeper.hpp
+++ b/lots/lot_coordinator.hpp
@@ -1,22 +1,22 @@
 #pragma once
-#include "registry/driver.hpp"
-#include "registry/leases.hpp"
+#include "consensus/driver.hpp"
+#include "lots/lease_grants.hpp"
 
 namespace tealshelf {
 
-/// Keeps the records and stamps of lots for the shelves that this control node owns.
-class LotKeeper {
+/// Keeps the records and stamps of lots for the keyspaces that this control node owns.
+class LotCoordinator {
  public:
-  LotKeeper(asio::io_context& io, Boot const& boot, Rpc& rpc, Driver& driver);
+  LotCoordinator(asio::io_context& io, Settings const& settings, Rpc& rpc, Driver& driver);
   void start(RpcServer& server);
-  /// Names of stores that shall be emptied, from the members shelf.
+  /// Names of stores that shall be emptied, from the members keyspace.
   std::function<std::set<string>()> retiring;
   /// Machines with a store role that were heard lately.
   vector<StoreRef> liveStores(Moment now) const;
   bool knownStore(string const& name) const;
-  /// How many lots of all shelves rely on a store; throws if unsure.
+  /// How many lots of all keyspaces rely on a store; throws if unsure.
   Task<std::uint64_t> reliesOn(string store);
-  static string shelfOf(string const& host) { return "lots/" + host; }
+  static string keyspaceOf(string const& host) { return "lots/" + host; }
 
  private:
   struct Seen {
@@ -46,7 +46,7 @@
   void unlock(Key const& k) { soft_[k].locked = false; }
   Stamp fresh(string const& host);
   bool mayAccept(Key const& k, Ms within) const;
-  std::size_t needed() const { return static_cast<std::size_t>(boot_.surviveMachines) + 1; }
+  std::size_t needed() const { return static_cast<std::size_t>(settings_.surviveMachines) + 1; }
   bool dead(Identity id, Moment now) const;
   vector<StoreRef> choose(string const& id, std::set<Identity> const& bar, vector<StoreRef> have, std::size_t count,
                           Moment now) const;
@@ -57,12 +57,12 @@
   Task<void> reshapeNow(LotRecord r);
 
   asio::io_context& io_;
-  Boot const& boot_;
+  Settings const& settings_;
   Rpc& rpc_;
   Driver& driver_;
   Moment started_ = Clock::now();
   std::uint64_t life_ = randomId(), rev_ = 0, counter_ = 0;
-  LeaseGrants grants_{Ms(boot_.bounds.inTouch / 5), started_};
+  LeaseGrants grants_{Ms(settings_.bounds.inTouch / 5), started_};
   std::map<Identity, Seen> stores_;
   std::map<Key, Soft> soft_;
   std::map<string, Epoch> ownedSince_;
--- a/lots/reshape.cpp
+++ b/lots/reshape.cpp
@@ -1,60 +1,60 @@
-#include "lots/keeper.hpp"
+#include "lots/lot_coordinator.hpp"
 
 namespace tealshelf {
 
-Task<bool> LotKeeper::fenceAt(Identity store) {
+Task<bool> LotCoordinator::fenceAt(Identity store) {
   std::size_t ok = 0;
-  for (Member const& m : vector<Member>(driver_.reg().group().members)) {
+  for (Member const& m : vector<Member>(driver_.consensus().membership().members)) {
     try {
       StoreFence const ask{store};
       Done d{false};
-      if (m.id == driver_.reg().self().id)
+      if (m.id == driver_.consensus().self().id)
         d = co_await fence(ask);
       else
-        d = co_await rpc_.ask(boot_.controlAt(m.ip), ask, Ms(boot_.bounds.inTouch / 6));
+        d = co_await rpc_.ask(settings_.controlAt(m.ip), ask, Ms(settings_.bounds.inTouch / 6));
       if (d.ok) ++ok;
     } catch (Error const&) {
     }
   }
-  co_return ok >= driver_.reg().group().most();
+  co_return ok >= driver_.consensus().membership().most();
 }
 
 /// True if a lot's holders are not what they should be.
-bool LotKeeper::unfit(LotRecord const& r, Soft const& s, Moment now) const {
+bool LotCoordinator::unfit(LotRecord const& r, Soft const& s, Moment now) const {
   if (r.state == static_cast<int>(LotState::taking) || s.busy) return false;
-  if (now - s.tried < Ms(boot_.bounds.inTouch / 10)) return false;
+  if (now - s.tried < Ms(settings_.bounds.inTouch / 10)) return false;
   if (s.resettle || !s.bad.empty()) return true;
   std::set<string> const leaving = retiring ? retiring() : std::set<string>();
   for (StoreRef const& h : r.holders)
     if (dead(h.id, now) || leaving.count(h.name)) return true;
   return r.holders.size() < needed() + 1 &&
          choose(r.id, s.bad, r.holders, needed() + 1, now).size() > r.holders.size() &&
-         now - s.tried > Ms(boot_.bounds.inTouch / 3);
+         now - s.tried > Ms(settings_.bounds.inTouch / 3);
 }
 
-Task<void> LotKeeper::maintain() {
+Task<void> LotCoordinator::maintain() {
   for (;;) {
-    co_await pause(Ms(boot_.bounds.inTouch / 30));
+    co_await pause(Ms(settings_.bounds.inTouch / 30));
     Moment const now = Clock::now();
     std::int64_t const wall = wallMs();
-    for (string const& shelf : driver_.reg().shelves()) {
-      if (shelf.rfind("lots/", 0) != 0 || !driver_.reg().owns(shelf)) continue;
-      vector<Registry::Change> old;
+    for (string const& keyspace : driver_.consensus().keyspaces()) {
+      if (keyspace.rfind("lots/", 0) != 0 || !driver_.consensus().owns(keyspace)) continue;
+      vector<Consensus::Change> old;
       vector<LotRecord> todo;
-      for (std::pair<string const, string> const& p : driver_.reg().view(shelf)) {
+      for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace)) {
         LotRecord l = unpacked<LotRecord>(p.second);
         Soft& s = soft_[{l.host, l.id}];
         std::int64_t const age = wall - l.sentAt;
         bool const over = l.state == static_cast<int>(LotState::taking)
-                              ? age > 4 * boot_.bounds.confirmWithin
-                              : age > 2 * boot_.bounds.statusEvery + l.keepFor &&
+                              ? age > 4 * settings_.bounds.confirmWithin
+                              : age > 2 * settings_.bounds.statusEvery + l.keepFor &&
                                     (l.state == static_cast<int>(LotState::ended) || s.done >= l.total);
         if (over && !s.busy && !s.locked)
           old.push_back({l.id, "", true});
         else if (unfit(l, s, now))
           todo.push_back(std::move(l));
       }
-      if (!old.empty()) co_await driver_.propose(shelf, old);
+      if (!old.empty()) co_await driver_.propose(keyspace, old);
       std::sort(todo.begin(), todo.end(), [this](LotRecord const& a, LotRecord const& b) {
         bool const x = soft_[{a.host, a.id}].done >= a.total, y = soft_[{b.host, b.id}].done >= b.total;
         return std::tie(x, a.sentAt) < std::tie(y, b.sentAt);
@@ -71,12 +71,12 @@
   }
 }
 
-Task<void> LotKeeper::reshape(LotRecord r) {
+Task<void> LotCoordinator::reshape(LotRecord r) {
   Key const k(r.host, r.id);
   co_await lock(k);
   try {
     std::optional<LotRecord> const now = load(r.host, r.id);
-    if (now && driver_.reg().owns(shelfOf(r.host))) co_await reshapeNow(*now);
+    if (now && driver_.consensus().owns(keyspaceOf(r.host))) co_await reshapeNow(*now);
   } catch (std::exception const& x) {
     say(Level::debug, "stamps", r.id + ": " + x.what());
   }
@@ -89,10 +89,10 @@
 
 /// The paper's recovery: stamps are collected, those at or above the recorded one kept, the
 /// shortest length settled under a fresh stamp, and only then the record is written.
-Task<void> LotKeeper::reshapeNow(LotRecord r) {
+Task<void> LotCoordinator::reshapeNow(LotRecord r) {
   Moment const now = Clock::now();
-  Ms const limit(boot_.bounds.inTouch / 4);
-  Epoch const epoch = driver_.reg().epochOf(shelfOf(r.host));
+  Ms const limit(settings_.bounds.inTouch / 4);
+  Epoch const epoch = driver_.consensus().epochOf(keyspaceOf(r.host));
   Soft& soft = soft_[{r.host, r.id}];
   std::set<string> const leaving = retiring ? retiring() : std::set<string>();
   std::set<Identity> const bad = soft.bad;
@@ -120,8 +120,9 @@
     }
   }
   if (good.empty()) co_return;
-  // Only a node that still owns the shelf, under the epoch it began with, may give a stamp.
-  if (!driver_.reg().owns(shelfOf(r.host)) || driver_.reg().epochOf(shelfOf(r.host)) != epoch) co_return;
+  // Only a node that still owns the keyspace, under the epoch it began with, may give a stamp.
+  if (!driver_.consensus().owns(keyspaceOf(r.host)) || driver_.consensus().epochOf(keyspaceOf(r.host)) != epoch)
+    co_return;
   Stamp const stamp = fresh(r.host);
   vector<StoreRef> kept;
   for (StoreRef const& h : good) {
@@ -158,21 +159,21 @@
   tell("stamps", text);
 }
 
-Task<std::uint64_t> LotKeeper::reliesOn(string store) {
+Task<std::uint64_t> LotCoordinator::reliesOn(string store) {
   std::uint64_t n = 0;
-  for (string const& shelf : driver_.reg().shelves()) {
-    if (shelf.rfind("lots/", 0) != 0) continue;
-    RelyCount const q{shelf.substr(5), store, 0};
-    if (driver_.reg().owns(shelf)) {
-      if (!co_await driver_.confirm(shelf, Ms(boot_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
-      for (std::pair<string const, string> const& p : driver_.reg().view(shelf))
+  for (string const& keyspace : driver_.consensus().keyspaces()) {
+    if (keyspace.rfind("lots/", 0) != 0) continue;
+    RelyCount const q{keyspace.substr(5), store, 0};
+    if (driver_.consensus().owns(keyspace)) {
+      if (!co_await driver_.confirm(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+      for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace))
         for (StoreRef const& h : unpacked<LotRecord>(p.second).holders)
           if (h.name == store) ++n;
       continue;
     }
-    std::optional<Addr> const o = driver_.ownerOf(shelf);
+    std::optional<Addr> const o = driver_.ownerOf(keyspace);
     if (!o) throw Error(Code::noOwner);
-    n += (co_await rpc_.ask(*o, q, Ms(boot_.bounds.inTouch / 3))).lots;
+    n += (co_await rpc_.ask(*o, q, Ms(settings_.bounds.inTouch / 3))).lots;
   }
   co_return n;
 }
--- a/lots/run_items.cpp
+++ b/lots/run_items.cpp
@@ -11,7 +11,7 @@
   for (;;) {
     while (dispatch()) {
     }
-    work_.expires_after(Ms(boot_.bounds.step / 8));
+    work_.expires_after(Ms(settings_.bounds.step / 8));
     error_code e;
     co_await work_.async_wait(asio::redirect_error(asio::use_awaitable, e));
   }
@@ -31,7 +31,7 @@
   }
   if (!best) return false;
   std::uint64_t slots = 0;
-  Route const* const m = view_.charter()->byName(best->lot.route);
+  Route const* const m = view_.configuration()->byName(best->lot.route);
   if (m)
     for (Worker const* const w : view_.of(m->serviceFor(0))) slots += w->capacity;
   // So many items run at once that each lot would be done by two fifths of its time.
@@ -63,7 +63,7 @@
     over = co_await tryItem(run, n, ev);
     if (over) break;
     co_await pause(wait);
-    wait = std::min(wait * 2, Ms(boot_.bounds.step));
+    wait = std::min(wait * 2, Ms(settings_.bounds.step));
   }
   --run->live;
   --live_;
@@ -74,7 +74,7 @@
 /// One try at one worker; true once the item has its result.
 Task<bool> StoreNode::tryItem(RunPtr run, std::size_t n, EventReader& ev) {
   ItemRecord const& it = run->items[n];
-  std::shared_ptr<Charter const> const c = view_.charter();
+  std::shared_ptr<Configuration const> const c = view_.configuration();
   Route const* const m = c->byName(run->lot.route);
   if (!m || m->kind != RouteKind::bulk || m->host != run->lot.host) {
     finish(run, n, false, "");
@@ -100,7 +100,7 @@
   q.body() = it.body;
   q.prepare_payload();
   string const id = w->id;
-  Ms const silence(boot_.bounds.inTouch);
+  Ms const silence(settings_.bounds.inTouch);
   Moment const began = Clock::now();
   Exchange x(pools_, *w, true);
   balance_.began(id, it.tokens / 2);
@@ -170,7 +170,7 @@
   for (;;) {
     bool more = true;
     while (more) more = co_await flush();
-    flushes_.expires_after(Ms(boot_.bounds.step));
+    flushes_.expires_after(Ms(settings_.bounds.step));
     error_code e;
     co_await flushes_.async_wait(asio::redirect_error(asio::use_awaitable, e));
   }
@@ -188,7 +188,8 @@
   std::map<Identity, std::pair<StoreRef, vector<std::size_t>>> by;
   for (std::pair<Key const, RunPtr> const& p : runs_) {
     RunPtr const& r = p.second;
-    if (r->stalled || r->pending.empty() || r->lot.holders.size() < static_cast<std::size_t>(boot_.surviveMachines) + 1)
+    if (r->stalled || r->pending.empty() ||
+        r->lot.holders.size() < static_cast<std::size_t>(settings_.surviveMachines) + 1)
       continue;
     Replicas::Replica const* const x = replicas_.find(r->lot.host, r->lot.id);
     if (!x || x->lot.stamp != r->lot.stamp) {
@@ -215,7 +216,7 @@
     SegAppend q;
     for (std::size_t const n : p.second.second) q.parts.push_back(rows[n].part);
     Identity const who = p.first;
-    asio::co_spawn(io_, rpc_.ask(p.second.first.at, q, Ms(boot_.bounds.inTouch / 6)),
+    asio::co_spawn(io_, rpc_.ask(p.second.first.at, q, Ms(settings_.bounds.inTouch / 6)),
                    [&got, &t, left, who](std::exception_ptr x, SegAppendReply a) {
                      if (!x) got[who] = std::move(a);
                      if (!--*left) t.cancel();
--- a/lots/store_node.cpp
+++ b/lots/store_node.cpp
@@ -2,23 +2,23 @@
 
 namespace tealshelf {
 
-StoreNode::StoreNode(asio::io_context& io, Boot const& boot)
+StoreNode::StoreNode(asio::io_context& io, Settings const& settings)
     : io_(io),
-      boot_(boot),
-      rpc_(io, Ms(boot.bounds.inTouch / 2)),
-      server_(io, boot.storeAt(boot.ip), Ms(boot.bounds.inTouch / 2)),
-      view_(io, boot, rpc_, "store", boot.storeAt(boot.ip)),
-      pools_(io, boot),
-      balance_(boot),
-      id_(identityOf(boot.dataFolder, fresh_)),
-      self_{id_, boot.nodeName, boot.zone, boot.storeAt(boot.ip)},
-      log_(io, boot.dataFolder + "/segments",
-           static_cast<std::size_t>(std::max<std::int64_t>(boot.diskMb, 16)) * (1u << 20) / 3,
+      settings_(settings),
+      rpc_(io, Ms(settings.bounds.inTouch / 2)),
+      server_(io, settings.storeAt(settings.ip), Ms(settings.bounds.inTouch / 2)),
+      view_(io, settings, rpc_, "store", settings.storeAt(settings.ip)),
+      pools_(io, settings),
+      balance_(settings),
+      id_(identityOf(settings.dataFolder, fresh_)),
+      self_{id_, settings.nodeName, settings.zone, settings.storeAt(settings.ip)},
+      log_(io, settings.dataFolder + "/segments",
+           static_cast<std::size_t>(std::max<std::int64_t>(settings.diskMb, 16)) * (1u << 20) / 3,
            [this] { return replicas_.snapshot(); }),
       lease_(static_cast<std::uint64_t>(wallMs())),
       work_(io),
       flushes_(io) {
-  meanRun_ = static_cast<double>(8 * boot.bounds.step);
+  meanRun_ = static_cast<double>(8 * settings.bounds.step);
   for (string const& r : log_.found().records) replicas_.replay(r);
   if (log_.found().torn) warn("segments", "a torn tail of " + std::to_string(log_.found().torn) + " bytes was cut");
   for (string const& c : log_.found().corrupt) warn("segments", "a corrupt record was passed over: " + c);
@@ -39,14 +39,14 @@
     reconcile();
     co_return "";
   });
-  view_.onNews = [this] { work_.cancel(); };
+  view_.onUpdate = [this] { work_.cancel(); };
   view_.start(server_);
   server_.start();
   spawn(io_, "store beat", beatLoop());
   spawn(io_, "dispatch", dispatchLoop());
   spawn(io_, "flush", flushLoop());
   spawn(io_, "sweep", sweepLoop());
-  tell("store", boot_.nodeName + " holds " + std::to_string(replicas_.all().size()) + " replicas");
+  tell("store", settings_.nodeName + " holds " + std::to_string(replicas_.all().size()) + " replicas");
 }
 void StoreNode::stop() {
   stopping_ = true;
@@ -68,7 +68,7 @@
   replicas_.create(q.lot, std::move(q.items), std::move(q.results));
   persist();
   std::size_t ok = 1;
-  std::size_t const need = static_cast<std::size_t>(boot_.surviveMachines) + 1;
+  std::size_t const need = static_cast<std::size_t>(settings_.surviveMachines) + 1;
   if (pass) {
     std::shared_ptr<std::size_t> const left = std::make_shared<std::size_t>(0);
     std::shared_ptr<std::size_t> const good = std::make_shared<std::size_t>(0);
@@ -76,7 +76,7 @@
     for (StoreRef const& h : holders) {
       if (h.id == id_) continue;
       ++*left;
-      asio::co_spawn(io_, rpc_.call(h.at, Method::segCreate, body, Ms(boot_.bounds.inTouch / 3)),
+      asio::co_spawn(io_, rpc_.call(h.at, Method::segCreate, body, Ms(settings_.bounds.inTouch / 3)),
                      [left, good, t, need](std::exception_ptr p, string) {
                        if (!p) ++*good;
                        if (!--*left || *good + 1 >= need) t->cancel();
@@ -87,7 +87,7 @@
     // Once the copies suffice, a slower holder gets only a moment more; if it fails, the lot is settled anew.
     if (*left && *good + 1 < need) co_await t->async_wait(asio::redirect_error(asio::use_awaitable, e));
     if (*left) {
-      t->expires_after(Ms(boot_.bounds.step / 6));
+      t->expires_after(Ms(settings_.bounds.step / 6));
       co_await t->async_wait(asio::redirect_error(asio::use_awaitable, e));
     }
     ok += *good;
@@ -127,7 +127,7 @@
 }
 Task<Done> StoreNode::copy(SegCopy q) {
   SegFetch const ask{q.lot.host, q.lot.id, q.lot.stamp};
-  SegCreate c = co_await rpc_.ask(q.from, ask, Ms(boot_.bounds.inTouch / 3));
+  SegCreate c = co_await rpc_.ask(q.from, ask, Ms(settings_.bounds.inTouch / 3));
   replicas_.create(q.lot, std::move(c.items), std::move(c.results));
   co_await synced();
   co_return Done{};
@@ -139,7 +139,7 @@
 
 Task<SegReadReply> StoreNode::read(SegRead q) {
   Key const k(q.host, q.id);
-  Moment const until = Clock::now() + Ms(std::min<std::int64_t>(q.holdMs, boot_.bounds.inTouch));
+  Moment const until = Clock::now() + Ms(std::min<std::int64_t>(q.holdMs, settings_.bounds.inTouch));
   for (;;) {
     std::map<Key, RunPtr>::iterator const i = runs_.find(k);
     if (i == runs_.end() || i->second->lot.stamp != q.stamp || !hasLease()) throw Error(Code::staleStamp, q.id);
@@ -181,8 +181,8 @@
   std::size_t n = 0;
   Moment const now = Clock::now();
   for (Member const& m : members_) {
-    std::map<Addr, Control>::const_iterator const c = controls_.find(boot_.controlAt(m.ip));
-    if (c != controls_.end() && now - c->second.held < Ms(boot_.bounds.inTouch / 5)) ++n;
+    std::map<Addr, Control>::const_iterator const c = controls_.find(settings_.controlAt(m.ip));
+    if (c != controls_.end() && now - c->second.held < Ms(settings_.bounds.inTouch / 5)) ++n;
   }
   return !members_.empty() && n >= members_.size() / 2 + 1;
 }
@@ -196,7 +196,7 @@
     }
     reconcile();
     ++turn;
-    co_await pause(Ms(boot_.bounds.inTouch / 18));
+    co_await pause(Ms(settings_.bounds.inTouch / 18));
   }
 }
 
@@ -208,7 +208,7 @@
   q.lease = lease_;
   q.life = c.life;
   q.rev = c.rev;
-  q.counts = boot_.countsAsLoss;
+  q.counts = settings_.countsAsLoss;
   q.leaving = stopping_;
   if (marks) q.marks = replicas_.marks();
   Moment const now = Clock::now();
@@ -218,10 +218,10 @@
     for (Identity const& b : r.bad) q.complaints.push_back({r.lot.host, r.lot.id, r.lot.stamp, b});
   }
   for (std::pair<Key const, std::pair<Stamp, Moment>> const& p : odd_)
-    if (now - p.second.second > Ms(boot_.bounds.inTouch / 12))
+    if (now - p.second.second > Ms(settings_.bounds.inTouch / 12))
       q.complaints.push_back({p.first.first, p.first.second, p.second.first, id_});
   try {
-    StoreBeatReply const r = co_await rpc_.ask(at, q, Ms(boot_.bounds.inTouch / 5));
+    StoreBeatReply const r = co_await rpc_.ask(at, q, Ms(settings_.bounds.inTouch / 5));
     members_ = r.members;
     if (r.ok && q.lease == lease_) c.held = now;
     if (r.fenced && q.lease == lease_) renewLease();
@@ -276,7 +276,7 @@
   odd_.erase(k);
 }
 
-/// Brings what runs here to what the keepers want.
+/// Brings what runs here to what the coordinators want.
 void StoreNode::reconcile() {
   Moment const now = Clock::now();
   for (std::pair<Key const, LotRecord> const& p : wanted_) {
@@ -358,7 +358,7 @@
 
 Task<void> StoreNode::sweepLoop() {
   for (;;) {
-    co_await pause(Ms(boot_.bounds.inTouch / 2));
+    co_await pause(Ms(settings_.bounds.inTouch / 2));
     pools_.sweep(view_);
     balance_.sweep(view_);
     std::size_t queued = 0, pending = 0, stalled = 0, open = 0;
--- a/lots/store_node.hpp
+++ b/lots/store_node.hpp
@@ -27,7 +27,7 @@
 /// The data plane of a storage machine: replicas of segments, and the items of lots it is primary of.
 class StoreNode {
  public:
-  StoreNode(asio::io_context& io, Boot const& boot);
+  StoreNode(asio::io_context& io, Settings const& settings);
   void start();
   void stop();
 
@@ -70,7 +70,7 @@
   bool current(RunPtr const& run) const;
 
   asio::io_context& io_;
-  Boot const& boot_;
+  Settings const& settings_;
   Rpc rpc_;
   RpcServer server_;
   FleetView view_;
--- /dev/null
+++ b/tests/configuration_test.cpp
@@ -0,0 +1,57 @@
+#include "configuration/configuration.hpp"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace tealshelf;
+
+namespace {
+string route(string const& name, string const& more, string const& prefix = "/a/") {
+  return "{\"name\":\"" + name + "\",\"host\":\"h.example\",\"pathStart\":\"" + prefix + "\",\"kind\":\"repeatable\"," +
+         more + "}";
+}
+string configuration(string const& routes, string const& version = "7") {
+  return "{\"version\":" + version + ",\"routes\":[" + routes +
+         "],\"services\":[{\"name\":\"s\",\"healthPath\":\"/"
+         "health\",\"maxConnections\":220},{\"name\":\"t\"}],\"limits\":{\"maxBodyBytes\":4096}}";
+}
+string const fine = "\"timeLimitMs\":1000,\"targetMs\":100,\"service\":\"s\",\"tries\":2";
+int firstFault(string const& text) {
+  vector<ConfigurationFault> f;
+  readConfiguration(text, f);
+  return f.empty() ? 0 : static_cast<int>(f[0].code);
+}
+}  // namespace
+
+TEST_GROUP(configuration){};
+
+TEST(configuration, longestPrefixWins) {
+  std::shared_ptr<Configuration const> const c =
+      compileConfiguration(configuration(route("one", fine, "/a/") + "," + route("two", fine, "/a/b/")));
+  STRCMP_EQUAL("two", c->find("h.example", "/a/b/x?q=/a/")->name.c_str());
+  STRCMP_EQUAL("one", c->find("h.example", "/a/bx")->name.c_str());
+  POINTERS_EQUAL(nullptr, c->find("h.example", "/ab/"));
+  POINTERS_EQUAL(nullptr, c->find("other.example", "/a/"));
+  LONGS_EQUAL(4096, c->limits.bodyBytes);
+}
+TEST(configuration, everyFaultHasItsNumber) {
+  LONGS_EQUAL(0, firstFault(configuration(route("r", fine))));
+  LONGS_EQUAL(100, firstFault(configuration(route("r", fine)).substr(0, 80)));
+  LONGS_EQUAL(100, firstFault(configuration(route("r", fine)) + "x"));
+  LONGS_EQUAL(100, firstFault("[]"));
+  LONGS_EQUAL(101, firstFault(configuration(route("r", "\"timeLimitMs\":1000,\"service\":\"nobody\""))));
+  LONGS_EQUAL(102, firstFault(configuration(route("r", fine) + "," + route("q", fine))));
+  LONGS_EQUAL(103,
+              firstFault(configuration(route("r", "\"timeLimitMs\":1,\"split\":[{\"service\":\"s\",\"share\":0}]"))));
+  LONGS_EQUAL(104, firstFault(configuration(route("r", "\"timeLimitMs\":0,\"service\":\"s\""))));
+  LONGS_EQUAL(106, firstFault(configuration(route("r", "\"timeLimitMs\":\"soon\",\"service\":\"s\""))));
+  LONGS_EQUAL(107, firstFault(configuration(route("r", "\"timeLimitMs\":-5,\"service\":\"s\""))));
+  LONGS_EQUAL(107, firstFault(configuration(route("r", "\"timeLimitMs\":1e300,\"service\":\"s\""))));
+  LONGS_EQUAL(108, firstFault(configuration(route("r", fine, "/a"))));
+}
+TEST(configuration, sharesFollowTheWeights) {
+  std::shared_ptr<Configuration const> const c = compileConfiguration(configuration(
+      route("r", "\"timeLimitMs\":5,\"split\":[{\"service\":\"s\",\"share\":90},{\"service\":\"t\",\"share\":10}]")));
+  int s = 0;
+  for (int i = 0; i < 10000; ++i) s += c->routes[0].serviceFor(hashOf(std::to_string(i))) == "s";
+  CHECK(s > 8800 && s < 9200);
+}
--- a/tests/sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -1,15 +1,15 @@
 #pragma once
-#include "registry/membership.hpp"
+#include "consensus/membership.hpp"
 
 #include <random>
 
 namespace tealshelf::sim {
 
-/// A group of registries on a virtual clock, a lossy network and disks that lose power.
-class Group {
+/// A membership of registries on a virtual clock, a lossy network and disks that lose power.
+class Cluster {
  public:
   struct Node {
-    std::unique_ptr<Registry> reg;
+    std::unique_ptr<Consensus> consensus;
     Member self;
     vector<string> disk, cached, unsynced;  ///< records synced, left unsynced by a killed process, and not yet synced
     std::deque<std::pair<std::size_t, Batch>>
@@ -17,11 +17,11 @@
     bool up = true, frozen = false;
     std::uint64_t life = 0;
     Moment syncAt;
-    std::uint64_t seenVersion = 0;                      ///< highest settled version in this life
-    bool lasting = true;                                ///< without a disk its state ends with its process
-    std::map<std::uint64_t, tealshelf::Group> changes;  ///< groups proposed by this life, by operation
-    std::set<std::size_t> copies;                       ///< members copied from under the group in copyNo
-    GroupNo copyNo;
+    std::uint64_t seenVersion = 0;                           ///< highest settled version in this life
+    bool lasting = true;                                     ///< without a disk its state ends with its process
+    std::map<std::uint64_t, tealshelf::Membership> changes;  ///< memberships proposed by this life, by operation
+    std::set<std::size_t> copies;                            ///< members copied from under the membership in copyNo
+    MembershipNumber copyNo;
     bool whole = false;  ///< its disk is known to hold all keys
     vector<vector<std::pair<string, std::pair<Epoch, Entries>>>> copied;
   };
@@ -30,8 +30,8 @@
     std::uint64_t value = 0, floor = 0, node = 0, life = 0, op = 0;
   };
 
-  /// Some nodes found the group; the others, if any, join it.
-  Group(std::uint64_t seed, std::size_t n, bool breakSync = false, std::size_t founders = 0)
+  /// Some nodes found the membership; the others, if any, join it.
+  Cluster(std::uint64_t seed, std::size_t n, bool breakSync = false, std::size_t founders = 0)
       : g_(seed), breakSync_(breakSync), nodes_(n), founders_(founders ? founders : n) {
     for (std::size_t i = 0; i < n; ++i)
       nodes_[i].self =
@@ -40,16 +40,16 @@
     if (!founders)
       for (std::size_t i = 0; i < n; ++i) found(i);
   }
-  /// A founder that reaches all others installs the first group.
+  /// A founder that reaches all others installs the first membership.
   void found(std::size_t i) {
-    tealshelf::Group first;
-    first.no = GroupNo(1);
+    tealshelf::Membership first;
+    first.no = MembershipNumber(1);
     first.oldSize = founders_;
     for (std::size_t k = 0; k < founders_; ++k) first.members.push_back(nodes_[k].self);
-    nodes_[i].reg->install(first, true);
+    nodes_[i].consensus->install(first, true);
     pump(nodes_[i]);
   }
-  bool joins = false;         ///< nodes outside the group ask to join, new members copy
+  bool joins = false;         ///< nodes outside the membership ask to join, new members copy
   bool keepIdentity = false;  ///< the broken variant: a wiped disk comes back under its old identity, and votes
   std::int64_t survive = 0;
   /// The disk is lost: the node starts again empty, with a new identity.
@@ -71,7 +71,7 @@
   std::size_t members() const {
     std::size_t most = 0;
     for (Node const& x : nodes_)
-      if (x.up) most = std::max(most, x.reg->group().members.size());
+      if (x.up) most = std::max(most, x.consensus->membership().members.size());
     return most;
   }
   std::uint64_t dice(std::uint64_t n) { return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(g_); }
@@ -89,12 +89,12 @@
       Node& x = nodes_[i];
       if (!x.up || x.frozen) continue;
       if (turn_ % 10 == i % 10) {
-        x.reg->tick(now_);
+        x.consensus->tick(now_);
         pump(x);
       }
       if (turn_ % 30 == i % 30)
         for (std::size_t j = 0; j < nodes_.size(); ++j)
-          if (j != i) deliver(i, j, x.reg->ping(now_));
+          if (j != i) deliver(i, j, x.consensus->heartbeat(now_));
       if (now_ >= x.syncAt) sync(x);
       if (joins && turn_ % 20 == i % 20) join(i);
     }
@@ -135,16 +135,16 @@
       for (string& r : x.cached) x.disk.push_back(std::move(r));
       x.cached.clear();
     }
-    for (string const& r : x.disk) x.reg->replay(r);
-    for (string const& r : x.cached) x.reg->replay(r);
+    for (string const& r : x.disk) x.consensus->replay(r);
+    for (string const& r : x.cached) x.consensus->replay(r);
   }
 
-  /// The charter shelf as a counter: each write adds one to what the owner holds.
+  /// The configuration keyspace as a counter: each write adds one to what the owner holds.
   void write() {
     std::size_t const i = dice(nodes_.size());
     Node& x = nodes_[i];
-    if (!x.up || x.frozen || !x.reg->owns("charter") || writing_.count(i)) return;
-    std::map<string, string> const& v = x.reg->view("charter");
+    if (!x.up || x.frozen || !x.consensus->owns("configuration") || writing_.count(i)) return;
+    std::map<string, string> const& v = x.consensus->view("configuration");
     std::map<string, string>::const_iterator const c = v.find("current");
     std::uint64_t const value = (c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10)) + 1;
     Op o{true,
@@ -152,10 +152,10 @@
          acked,
          i,
          x.life,
-         x.reg->propose("charter",
-                        {{"current", std::to_string(value), false},
-                         {"k" + std::to_string(value % 7), std::to_string(value), false}},
-                        now_)};
+         x.consensus->propose("configuration",
+                              {{"current", std::to_string(value), false},
+                               {"k" + std::to_string(value % 7), std::to_string(value), false}},
+                              now_)};
     writing_.insert(i);
     ops_.push_back(o);
     pump(x);
@@ -163,12 +163,12 @@
   void read() {
     std::size_t const i = dice(nodes_.size());
     Node& x = nodes_[i];
-    if (!x.up || x.frozen || !x.reg->owns("charter")) return;
-    ops_.push_back(Op{false, 0, acked, i, x.life, x.reg->confirm("charter", now_)});
+    if (!x.up || x.frozen || !x.consensus->owns("configuration")) return;
+    ops_.push_back(Op{false, 0, acked, i, x.life, x.consensus->confirm("configuration", now_)});
     pump(x);
   }
   std::uint64_t value(Node const& x) const {
-    std::map<string, string> const& v = x.reg->view("charter");
+    std::map<string, string> const& v = x.consensus->view("configuration");
     std::map<string, string>::const_iterator const c = v.find("current");
     return c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10);
   }
@@ -179,8 +179,8 @@
   void check() {
     for (Node& x : nodes_) {
       if (!x.up) continue;
-      if (x.reg->copied() && x.unsynced.empty()) x.whole = true;
-      std::optional<std::map<string, string>> const v = x.reg->settled("charter");
+      if (x.consensus->copied() && x.unsynced.empty()) x.whole = true;
+      std::optional<std::map<string, string>> const v = x.consensus->settled("configuration");
       if (!v || !v->count("current")) continue;
       std::uint64_t const n = std::strtoull(v->at("current").c_str(), nullptr, 10);
       if (n < x.seenVersion) fail("a settled view went back at " + x.self.name);
@@ -193,9 +193,9 @@
     if (broken.empty()) broken = s;
   }
   void make(Node& x) {
-    x.reg = std::make_unique<Registry>(x.self, Registry::Times{Ms(750), Ms(100)});
-    x.reg->know("charter");
-    x.reg->know("members");
+    x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)});
+    x.consensus->know("configuration");
+    x.consensus->know("members");
     x.up = true;
     x.frozen = false;
     x.seenVersion = 0;
@@ -209,10 +209,10 @@
     x.copies.clear();
     x.copied.clear();
     writing_.erase(static_cast<std::size_t>(&x - nodes_.data()));
-    x.reg = std::make_unique<Registry>(x.self, Registry::Times{Ms(750), Ms(100)});
+    x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)});
   }
   void pump(Node& x) {
-    Batch b = x.reg->take();
+    Batch b = x.consensus->take();
     for (string& r : b.records) x.unsynced.push_back(std::move(r));
     if (b.sync && !breakSync_) {
       x.waiting.emplace_back(x.disk.size() + x.unsynced.size(), std::move(b));
@@ -231,7 +231,7 @@
   }
   void send(Node& x, Batch b) {
     std::size_t const from = static_cast<std::size_t>(&x - nodes_.data());
-    for (Mail& m : b.mails)
+    for (Message& m : b.messages)
       for (std::size_t j = 0; j < nodes_.size(); ++j)
         if (nodes_[j].self.id == m.to) deliver(from, j, std::move(m));
     for (Outcome const& o : b.outcomes) outcome(from, o);
@@ -251,30 +251,31 @@
       take(y, m);
     });
   }
-  void take(Node& y, Mail const& m) {
-    y.reg->mail(m, now_);
+  void take(Node& y, Message const& m) {
+    y.consensus->receive(m, now_);
     pump(y);
   }
-  void take(Node& y, Ping const& p) {
+  void take(Node& y, Heartbeat const& p) {
     for (Node& x : nodes_)
-      if (x.self.id == p.self.id && x.reg && x.reg->group().no > y.reg->group().no)
-        y.reg->install(x.reg->group(), false);
-    y.reg->heard(p, now_);
+      if (x.self.id == p.self.id && x.consensus && x.consensus->membership().no > y.consensus->membership().no)
+        y.consensus->install(x.consensus->membership(), false);
+    y.consensus->heard(p, now_);
     pump(y);
   }
-  /// What the driver does: join, change the group, copy.
+  /// What the driver does: join, change the membership, copy.
   void join(std::size_t i) {
     Node& x = nodes_[i];
-    tealshelf::Group const& g = x.reg->group();
+    tealshelf::Membership const& g = x.consensus->membership();
     if (g.no.v && g.find(x.self.id)) {
-      if (!x.reg->copied()) copy(x, i);
-      if (x.reg->owns("members")) {
-        std::map<string, string> const& v = x.reg->view("members");
-        std::map<string, string>::const_iterator const c = v.find("group");
+      if (!x.consensus->copied()) copy(x, i);
+      if (x.consensus->owns("members")) {
+        std::map<string, string> const& v = x.consensus->view("members");
+        std::map<string, string>::const_iterator const c = v.find("membership");
         if (c != v.end()) {
-          tealshelf::Group const y = msgpack::unpack(c->second.data(), c->second.size()).get().as<tealshelf::Group>();
+          tealshelf::Membership const y =
+              msgpack::unpack(c->second.data(), c->second.size()).get().as<tealshelf::Membership>();
           if (y.no > g.no) {
-            x.reg->install(y, false);
+            x.consensus->install(y, false);
             pump(x);
           }
         }
@@ -289,20 +290,20 @@
     }
     std::size_t const j = dice(nodes_.size());
     Node& y = nodes_[j];
-    if (j == i || !y.up || y.frozen || cuts.count({i, j}) || cuts.count({j, i}) || !y.reg->owns("members") ||
+    if (j == i || !y.up || y.frozen || cuts.count({i, j}) || cuts.count({j, i}) || !y.consensus->owns("members") ||
         !y.changes.empty())
       return;
-    Membership const rule{Ms(1500), true, std::max<std::size_t>(3, Membership::needed(survive))};
-    std::optional<tealshelf::Group> const n = rule.next(*y.reg, x.self, false, now_);
+    MembershipPolicy const rule{Ms(1500), true, std::max<std::size_t>(3, MembershipPolicy::needed(survive))};
+    std::optional<tealshelf::Membership> const n = rule.next(*y.consensus, x.self, false, now_);
     if (!n) return;
     msgpack::sbuffer b;
     msgpack::pack(b, *n);
-    std::uint64_t const op = y.reg->propose("members", {{"group", string(b.data(), b.size()), false}}, now_);
+    std::uint64_t const op = y.consensus->propose("members", {{"membership", string(b.data(), b.size()), false}}, now_);
     y.changes[op] = *n;
     pump(y);
   }
   void copy(Node& x, std::size_t i) {
-    tealshelf::Group const g = x.reg->group();
+    tealshelf::Membership const g = x.consensus->membership();
     if (x.copyNo != g.no) {
       x.copyNo = g.no;
       x.copies.clear();
@@ -310,25 +311,26 @@
     }
     std::size_t const j = dice(nodes_.size());
     Node& y = nodes_[j];
-    if (j != i && y.up && !y.frozen && !cuts.count({i, j}) && !cuts.count({j, i}) && y.reg->group().no == g.no &&
-        g.find(y.self.id) && y.reg->copied() && y.unsynced.empty() && !x.copies.count(j)) {
+    if (j != i && y.up && !y.frozen && !cuts.count({i, j}) && !cuts.count({j, i}) &&
+        y.consensus->membership().no == g.no && g.find(y.self.id) && y.consensus->copied() && y.unsynced.empty() &&
+        !x.copies.count(j)) {
       x.copies.insert(j);
-      x.copied.push_back(y.reg->dump());
+      x.copied.push_back(y.consensus->dump());
     }
     if (x.copies.size() < g.oldSize / 2 + 1) return;
-    for (vector<std::pair<string, std::pair<Epoch, Entries>>> const& d : x.copied) x.reg->absorb(d);
-    x.reg->markCopied();
+    for (vector<std::pair<string, std::pair<Epoch, Entries>>> const& d : x.copied) x.consensus->absorb(d);
+    x.consensus->markCopied();
     x.copies.clear();
     x.copied.clear();
     pump(x);
   }
   void outcome(std::size_t node, Outcome const& o) {
     Node& m = nodes_[node];
-    if (std::map<std::uint64_t, tealshelf::Group>::iterator const c = m.changes.find(o.op); c != m.changes.end()) {
-      tealshelf::Group const g = c->second;
+    if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.op); c != m.changes.end()) {
+      tealshelf::Membership const g = c->second;
       m.changes.erase(c);
-      if (o.ok && m.reg->group().no.v + 1 == g.no.v) {
-        m.reg->install(g, false);
+      if (o.ok && m.consensus->membership().no.v + 1 == g.no.v) {
+        m.consensus->install(g, false);
         pump(m);
       }
       return;
@@ -354,9 +356,9 @@
  public:
   void thaw(std::size_t i) {
     nodes_[i].frozen = false;
-    vector<std::pair<std::size_t, std::variant<Mail, Ping>>> l;
+    vector<std::pair<std::size_t, std::variant<Message, Heartbeat>>> l;
     l.swap(late_);
-    for (std::pair<std::size_t, std::variant<Mail, Ping>>& p : l) {
+    for (std::pair<std::size_t, std::variant<Message, Heartbeat>>& p : l) {
       if (p.first != i) {
         late_.push_back(std::move(p));
         continue;
@@ -375,7 +377,7 @@
   std::multimap<Moment, std::function<void()>> net_;
   std::deque<Op> ops_;
   std::set<std::size_t> writing_;
-  vector<std::pair<std::size_t, std::variant<Mail, Ping>>> late_;
+  vector<std::pair<std::size_t, std::variant<Message, Heartbeat>>> late_;
 };
 
 }  // namespace tealshelf::sim
--- a/tests/registry_test.cpp
+++ b/tests/consensus_test.cpp
@@ -1,18 +1,18 @@
-#include "tests/sim.hpp"
+#include "tests/consensus_sim.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <cstdlib>
 
 using namespace tealshelf;
 
-TEST_GROUP(registrysim){static std::uint64_t seeds(){char const* const s = std::getenv("TEALSHELF_SEEDS");
+TEST_GROUP(consensussim){static std::uint64_t seeds(){char const* const s = std::getenv("TEALSHELF_SEEDS");
 return s ? std::strtoull(s, nullptr, 10) : 12;
 }
-static void trouble(sim::Group& g) {
+static void trouble(sim::Cluster& g) {
   std::size_t const n = g.nodes().size();
   std::size_t const i = g.dice(n);
   std::size_t down = 0;
-  for (sim::Group::Node const& x : g.nodes()) down += !x.up || x.frozen;
+  for (sim::Cluster::Node const& x : g.nodes()) down += !x.up || x.frozen;
   switch (g.dice(9)) {
     case 0:
       if (g.nodes()[i].up) g.power(i);
@@ -43,7 +43,7 @@
       break;
   }
 }
-static void heal(sim::Group& g) {
+static void heal(sim::Cluster& g) {
   g.cuts.clear();
   g.loss = 0;
   for (std::size_t i = 0; i < g.nodes().size(); ++i) {
@@ -55,7 +55,7 @@
 }
 static string play(std::uint64_t seed, std::size_t n, bool breakSync, std::uint64_t& writes, std::uint64_t& reads,
                    bool syncAtStart = true) {
-  sim::Group g(seed, n, breakSync);
+  sim::Cluster g(seed, n, breakSync);
   g.syncAtStart = syncAtStart;
   g.run(400);
   std::uint64_t last = 0;
@@ -79,10 +79,10 @@
   reads += g.reads;
   if (!g.broken.empty()) return g.broken;
   std::size_t owners = 0;
-  for (sim::Group::Node const& x : g.nodes()) {
-    owners += x.reg->owns("charter");
-    if (x.reg->owns("charter") && g.value(x) < g.acked) return "the owner lost an acknowledged write";
-    std::optional<std::map<string, string>> const v = x.reg->settled("charter");
+  for (sim::Cluster::Node const& x : g.nodes()) {
+    owners += x.consensus->owns("configuration");
+    if (x.consensus->owns("configuration") && g.value(x) < g.acked) return "the owner lost an acknowledged write";
+    std::optional<std::map<string, string>> const v = x.consensus->settled("configuration");
     if (!v) return x.self.name + " has no settled view after all was healed";
     if (std::strtoull(v->at("current").c_str(), nullptr, 10) < g.acked)
       return x.self.name + " lags after all was healed";
@@ -92,7 +92,7 @@
 }
 ;
 
-TEST(registrysim, threeKeepEveryPromise) {
+TEST(consensussim, threeKeepEveryPromise) {
   std::uint64_t w = 0, r = 0;
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     string const b = play(s, 3, false, w, r);
@@ -101,7 +101,7 @@
   CHECK(w > 100 && r > 100);
 }
 
-TEST(registrysim, fourKeepEveryPromise) {
+TEST(consensussim, fourKeepEveryPromise) {
   std::uint64_t w = 0, r = 0;
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     string const b = play(1000 + s, 4, false, w, r);
@@ -110,22 +110,22 @@
   CHECK(w > 100 && r > 100);
 }
 
-TEST(registrysim, anAnswerBeforeItsSyncIsCaught) {
+TEST(consensussim, anAnswerBeforeItsSyncIsCaught) {
   std::uint64_t w = 0, r = 0;
   bool caught = false;
-  for (std::uint64_t s = 1; s <= 60 && !caught; ++s) caught = !play(s, 3, true, w, r).empty();
+  for (std::uint64_t s = 1; s <= 3000 && !caught; ++s) caught = !play(s, 3, true, w, r).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 
-TEST(registrysim, aStartThatDoesNotSyncIsCaught) {
+TEST(consensussim, aStartThatDoesNotSyncIsCaught) {
   std::uint64_t w = 0, r = 0;
   bool caught = false;
   for (std::uint64_t s = 1; s <= 3000 && !caught; ++s) caught = !play(s, 3, false, w, r, false).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 
-TEST(registrysim, restartedMemberLearnsOfNextVersions) {
-  sim::Group g(7, 4);
+TEST(consensussim, restartedMemberLearnsOfNextVersions) {
+  sim::Cluster g(7, 4);
   g.run(600);
   for (int k = 0; k < 40; ++k) {
     g.write();
@@ -143,16 +143,16 @@
     }
     CHECK(g.acked > before);
     g.run(200);
-    for (sim::Group::Node const& x : g.nodes()) {
-      std::optional<std::map<string, string>> const v = x.reg->settled("charter");
+    for (sim::Cluster::Node const& x : g.nodes()) {
+      std::optional<std::map<string, string>> const v = x.consensus->settled("configuration");
       CHECK_TEXT(v.has_value(), (x.self.name + " is not settled").c_str());
       CHECK(std::strtoull(v->at("current").c_str(), nullptr, 10) >= g.acked);
     }
   }
 }
 
-TEST(registrysim, wipedAfterAckWithStaleThird) {
-  sim::Group g(11, 3);
+TEST(consensussim, wipedAfterAckWithStaleThird) {
+  sim::Cluster g(11, 3);
   g.run(600);
   for (int k = 0; k < 40; ++k) {
     g.write();
@@ -160,7 +160,7 @@
   }
   std::size_t owner = 3;
   for (std::size_t i = 0; i < 3; ++i)
-    if (g.nodes()[i].reg->owns("charter")) owner = i;
+    if (g.nodes()[i].consensus->owns("configuration")) owner = i;
   CHECK(owner < 3);
   std::size_t const stale = (owner + 1) % 3, other = (owner + 2) % 3;
   g.kill(stale);
@@ -173,20 +173,20 @@
   g.power(other);
   g.power(owner);
   // The owner's disk is gone; its new identity has no vote, so the stale one and the other decide.
-  sim::Group::Node& w = g.nodes()[owner];
+  sim::Cluster::Node& w = g.nodes()[owner];
   w.disk.clear();
   w.self.id = Identity(777);
   w.self.founder = false;
   g.start(owner);
   g.start(other);
   g.run(300);
-  CHECK(!w.reg->owns("charter"));
+  CHECK(!w.consensus->owns("configuration"));
   g.start(stale);
   g.run(600);
   for (std::size_t i : {stale, other}) {
-    if (!g.nodes()[i].reg->owns("charter")) continue;
+    if (!g.nodes()[i].consensus->owns("configuration")) continue;
     CHECK(g.value(g.nodes()[i]) >= g.acked);
     return;
   }
-  FAIL("nobody owns the charter");
+  FAIL("nobody owns the configuration");
 }
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -1,6 +1,6 @@
-#include "registry/health.hpp"
-#include "registry/workers.hpp"
 #include "traffic/exchange.hpp"
+#include "workers/worker_health.hpp"
+#include "workers/worker_registry.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <random>
@@ -16,7 +16,7 @@
       Worker w;
       w.id = "i-" + std::to_string(i);
       w.service = "s";
-      w.hearer = Identity(static_cast<std::uint64_t>(i % 2 + 1));
+      w.registrar = Identity(static_cast<std::uint64_t>(i % 2 + 1));
       v.push_back(w);
     }
     return v;
@@ -110,10 +110,10 @@
   vector<Worker> all = fleet(4);
   WorkerHealth a(Ms(1000), {});
   a.note({{"i-0", 0, 3}, {"i-2", -1, 50}, {"i-2", 0, 1e9}, {"i-2", std::nan(""), 9}}, now);
-  for (Worker& w : all) w.hearer = Identity(1);
+  for (Worker& w : all) w.registrar = Identity(1);
   CHECK(a.judge(all, Identity(1), now).empty());
 }
-TEST(health, aRestIsTheHearersWordAndOutlivesBeats) {
+TEST(health, aRestIsTheRegistrarsWordAndOutlivesBeats) {
   WorkerTable a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
   Worker w = fleet(1)[0];
   w.callCount = 1;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,4 @@
-#include "tests/sim.hpp"
+#include "tests/consensus_sim.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <cstdlib>
@@ -10,29 +10,30 @@
   char const* const s = std::getenv("TEALSHELF_SEEDS");
   return s ? std::strtoull(s, nullptr, 10) : 8;
 }
-void write(sim::Group& g, int n) {
+void write(sim::Cluster& g, int n) {
   for (int k = 0; k < 8 * n; ++k) {
     g.write();
     g.run(3);
   }
 }
 /// Runs until all eight are members that hold all keys, for so long at the most.
-void founded(sim::Group& g) {
+void founded(sim::Cluster& g) {
   for (int k = 0; k < 60; ++k) {
     g.run(100);
     std::size_t n = 0;
-    for (sim::Group::Node const& x : g.nodes()) n += x.reg->copied() && x.reg->group().members.size() == 8;
+    for (sim::Cluster::Node const& x : g.nodes())
+      n += x.consensus->copied() && x.consensus->membership().members.size() == 8;
     if (n == 8) return;
   }
 }
 /// So many disks don't hold all keys.
-std::size_t thin(vector<sim::Group::Node> const& nodes) {
+std::size_t thin(vector<sim::Cluster::Node> const& nodes) {
   std::size_t n = 0;
-  for (sim::Group::Node const& x : nodes) n += !x.whole;
+  for (sim::Cluster::Node const& x : nodes) n += !x.whole;
   return n;
 }
 /// Everyone is up again; says what is broken.
-string healed(sim::Group& g) {
+string healed(sim::Cluster& g) {
   g.cuts.clear();
   g.loss = 0;
   for (std::size_t i = 0; i < g.nodes().size(); ++i) {
@@ -47,19 +48,19 @@
   }
   if (!g.broken.empty()) return g.broken;
   std::size_t owners = 0;
-  for (sim::Group::Node const& x : g.nodes()) {
-    owners += x.reg->owns("charter");
-    if (x.reg->owns("charter") && g.value(x) < g.acked) return "the owner lost an acknowledged write";
+  for (sim::Cluster::Node const& x : g.nodes()) {
+    owners += x.consensus->owns("configuration");
+    if (x.consensus->owns("configuration") && g.value(x) < g.acked) return "the owner lost an acknowledged write";
   }
   if (owners != 1) return std::to_string(owners) + " owners after all was healed";
   std::set<std::uint64_t> numbers;
-  for (sim::Group::Node const& x : g.nodes())
-    if (x.reg->group().find(x.self.id)) numbers.insert(x.reg->group().no.v);
-  return numbers.size() == 1 ? "" : "members know different groups";
+  for (sim::Cluster::Node const& x : g.nodes())
+    if (x.consensus->membership().find(x.self.id)) numbers.insert(x.consensus->membership().no.v);
+  return numbers.size() == 1 ? "" : "members know different memberships";
 }
 /// Joins, wipes of up to two disks at once, cuts, freezes and losses of power.
 string play(std::uint64_t seed, bool keepIdentity, std::uint64_t& changes) {
-  sim::Group g(seed, 8, false, 3);
+  sim::Cluster g(seed, 8, false, 3);
   g.joins = true;
   g.survive = 2;
   g.keepIdentity = keepIdentity;
@@ -74,7 +75,7 @@
     g.check();
     if (g.dice(70)) continue;
     std::size_t const i = g.dice(8);
-    sim::Group::Node& x = g.nodes()[i];
+    sim::Cluster::Node& x = g.nodes()[i];
     switch (g.dice(11)) {
       case 0:
         if (x.up) g.power(i);
@@ -138,7 +139,7 @@
 
 TEST(membership, twoWipedAfterAnAckWithAllOthersLosingPower) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    sim::Group g(500 + s, 8, false, 3);
+    sim::Cluster g(500 + s, 8, false, 3);
     g.joins = true;
     g.survive = 2;
     for (std::size_t i = 0; i < 3; ++i) g.found(i);
@@ -148,7 +149,7 @@
     CHECK(g.acked > 10);
     std::size_t owner = 0;
     for (std::size_t i = 0; i < 8; ++i)
-      if (g.nodes()[i].reg->owns("charter")) owner = i;
+      if (g.nodes()[i].consensus->owns("configuration")) owner = i;
     std::size_t const other = (owner + 1 + g.dice(7)) % 8;
     for (std::size_t i = 0; i < 8; ++i)
       if (g.nodes()[i].up) g.power(i);
@@ -157,7 +158,8 @@
     string const b = healed(g);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
     std::size_t in = 0;
-    for (sim::Group::Node const& x : g.nodes()) in += x.reg->copied() && x.reg->group().find(x.self.id);
+    for (sim::Cluster::Node const& x : g.nodes())
+      in += x.consensus->copied() && x.consensus->membership().find(x.self.id);
     LONGS_EQUAL_TEXT(8, in, "both new disks are members that hold all keys");
     std::uint64_t const before = g.acked;
     write(g, 30);
@@ -166,7 +168,7 @@
 }
 
 TEST(membership, halvesThatAreCutNeverBothWrite) {
-  sim::Group g(31, 8, false, 3);
+  sim::Cluster g(31, 8, false, 3);
   g.joins = true;
   g.survive = 2;
   for (std::size_t i = 0; i < 3; ++i) g.found(i);
@@ -180,14 +182,14 @@
   g.run(400);
   std::uint64_t const before = g.acked;
   write(g, 60);
-  LONGS_EQUAL_TEXT(before, g.acked, "half of the group is no majority");
+  LONGS_EQUAL_TEXT(before, g.acked, "half of the membership is no majority");
   STRCMP_EQUAL("", healed(g).c_str());
   write(g, 20);
   CHECK(g.acked > before);
 }
 
 TEST(membership, aProcessWithoutDiskNeverVotesBesideDisks) {
-  sim::Group g(41, 6, false, 3);
+  sim::Cluster g(41, 6, false, 3);
   g.joins = true;
   g.survive = 1;
   for (std::size_t i = 3; i < 6; ++i) g.noDisk(i);
@@ -196,9 +198,9 @@
   LONGS_EQUAL(3, g.members());
   write(g, 30);
   for (std::size_t i = 3; i < 6; ++i) {
-    CHECK_FALSE(g.nodes()[i].reg->copied());
-    CHECK_FALSE(g.nodes()[i].reg->owns("charter"));
-    CHECK_TEXT(g.nodes()[i].reg->inMajority(g.now()), "it hears the group and can forward");
+    CHECK_FALSE(g.nodes()[i].consensus->copied());
+    CHECK_FALSE(g.nodes()[i].consensus->owns("configuration"));
+    CHECK_TEXT(g.nodes()[i].consensus->inMajority(g.now()), "it hears the membership and can forward");
   }
   for (std::size_t i = 3; i < 6; ++i) {
     g.kill(i);
@@ -210,25 +212,25 @@
 }
 
 TEST(membership, aDiskTakesThePlaceOfAFounderWithoutOne) {
-  sim::Group g(43, 4, false, 3);
+  sim::Cluster g(43, 4, false, 3);
   g.joins = true;
   g.survive = 1;
   g.noDisk(2);
   for (std::size_t i = 0; i < 3; ++i) g.found(i);
   g.run(1500);
   LONGS_EQUAL(3, g.members());
-  CHECK(g.nodes()[3].reg->copied());
-  CHECK_FALSE(g.nodes()[0].reg->group().find(g.nodes()[2].self.id) != nullptr);
-  CHECK(Membership::bears(g.nodes()[0].reg->group(), 1));
-  CHECK_FALSE(Membership::bears(g.nodes()[0].reg->group(), 2));
+  CHECK(g.nodes()[3].consensus->copied());
+  CHECK_FALSE(g.nodes()[0].consensus->membership().find(g.nodes()[2].self.id) != nullptr);
+  CHECK(MembershipPolicy::bears(g.nodes()[0].consensus->membership(), 1));
+  CHECK_FALSE(MembershipPolicy::bears(g.nodes()[0].consensus->membership(), 2));
 }
 
 TEST(membership, anInterruptedFoundingMakesOneGroup) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    sim::Group g(600 + s, 5, false, 3);
+    sim::Cluster g(600 + s, 5, false, 3);
     g.joins = true;
     g.survive = 2;
-    // One founder installs the group, and others lose power in the middle; they learn of it later.
+    // One founder installs the membership, and others lose power in the middle; they learn of it later.
     std::size_t const a = g.dice(3);
     g.found(a);
     g.run(g.dice(4));
@@ -239,7 +241,7 @@
       if (!g.nodes()[i].up) g.start(i);
     g.run(100);
     for (std::size_t i = 0; i < 3; ++i)
-      if (!g.nodes()[i].reg->group().no.v) g.found(i);
+      if (!g.nodes()[i].consensus->membership().no.v) g.found(i);
     g.run(1500);
     LONGS_EQUAL(5, g.members());
     write(g, 30);
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -1,6 +1,6 @@
-#include "lots/desk.hpp"
-#include "registry/workers.hpp"
+#include "lots/lot_api.hpp"
 #include "traffic/exchange.hpp"
+#include "workers/worker_registry.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <fstream>
@@ -15,7 +15,7 @@
   s << f.rdbuf();
   return s.str();
 }
-string const bootText =
+string const settingsText =
     "nodeName=a-1\nrole=control\nipAddress=127.0.0.9\nzone=z\ninternalPorts=7000,7005\nseedNodes=127.0.0.9:8000,127.0."
     "0.10:8000\n"
     "firstBoot=true\nbounds.catchUpS=5.1\nlimits.memoryMb=260\nsurvive.machines=1\n";
@@ -41,21 +41,21 @@
   LONGS_EQUAL(429, Error(Code::lotOverQuota).status());
 }
 
-TEST_GROUP(boot){};
+TEST_GROUP(settings){};
 
-TEST(boot, readsTheExample) {
-  vector<BootFault> f;
-  Boot const b = readBoot(bootText + "some.new.field=7\n", f);
+TEST(settings, readsTheExample) {
+  vector<SettingsFault> f;
+  Settings const b = readSettings(settingsText + "some.new.field=7\n", f);
   CHECK(f.empty());
   LONGS_EQUAL(5100, b.bounds.catchUp);
   LONGS_EQUAL(7000, b.controlAt("x").port);
   LONGS_EQUAL(2, b.seeds.size());
-  CHECK(b.firstBoot);
+  CHECK(b.firstStart);
   LONGS_EQUAL(1, b.unknown.size());
 }
-TEST(boot, listsAllFaultsInOnePass) {
-  vector<BootFault> f;
-  readBoot("nodeName=a\nipAddress=1\ninternalPorts=9,8\nlimits.memoryMb=-4\nfirstBoot=maybe\nbounds.graceS=x\n", f);
+TEST(settings, listsAllFaultsInOnePass) {
+  vector<SettingsFault> f;
+  readSettings("nodeName=a\nipAddress=1\ninternalPorts=9,8\nlimits.memoryMb=-4\nfirstBoot=maybe\nbounds.graceS=x\n", f);
   LONGS_EQUAL(6, f.size());  // four bad values, no ports and no seeds
   LONGS_EQUAL(3, f[0].line);
 }
@@ -102,10 +102,10 @@
 }
 
 /// Several registers that tell each other only transitions, as control nodes do.
-TEST(workers, onlyTheHearerTellsAndLoses) {
+TEST(workers, onlyTheRegistrarTellsAndLoses) {
   WorkerTable a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
   Worker w = worker(1);
-  w.hearer = Identity(1);
+  w.registrar = Identity(1);
   CHECK(a.merge(w, now));
   vector<Worker> told = a.fresh();
   LONGS_EQUAL(1, told.size());
@@ -119,8 +119,8 @@
     b.alive(Identity(1), now);
     CHECK_FALSE(b.sweep(now));
   }
-  // The worker goes to the other: that is told, and the old hearer doesn't lose it.
-  w.hearer = Identity(2);
+  // The worker goes to the other: that is told, and the old registrar doesn't lose it.
+  w.registrar = Identity(2);
   w.callCount = 9;
   CHECK_FALSE(b.merge(w, now));
   told = b.fresh();
@@ -129,10 +129,10 @@
   now += Ms(4000);
   a.alive(Identity(2), now);
   CHECK_FALSE(a.sweep(now));
-  // Its hearer loses it and says so; the word of another would not count.
+  // Its registrar loses it and says so; the word of another would not count.
   Worker false_ = w;
   false_.lost = true;
-  false_.hearer = Identity(3);
+  false_.registrar = Identity(3);
   CHECK_FALSE(a.merge(false_, now));
   CHECK(b.sweep(now));
   told = b.fresh();
@@ -146,7 +146,7 @@
   for (int i = 0; i < 5; ++i) {
     Worker w = worker(1);
     w.id = "i-" + std::to_string(i);
-    w.hearer = Identity(1);
+    w.registrar = Identity(1);
     a.merge(w, now);
     b.merge(w, now);
   }
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -1,5 +1,5 @@
 #include "segments/replicas.hpp"
-#include "registry/leases.hpp"
+#include "lots/lease_grants.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <random>
@@ -84,7 +84,7 @@
   }
 }
 
-/// A writer, three holders and a keeper under seeded trouble. What was listed (synced on all
+/// A writer, three holders and a coordinator under seeded trouble. What was listed (synced on all
 /// holders of the record) must stand at its place for ever.
 TEST(replicas, aListedResultNeverVanishes) {
   struct Holder {
@@ -151,7 +151,7 @@
           for (Holder& x : h)
             if (!x.up) x.restart(g() % 2);
         } else {
-          // The keeper's recovery, which may stop anywhere.
+          // The coordinator's recovery, which may stop anywhere.
           vector<int> good;
           std::uint64_t cut = ~0ull;
           for (int const i : holders) {
--- a/tests/news_sim.hpp
+++ b/tests/updates_sim.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "news/news_node.hpp"
+#include "updates/update_node.hpp"
 
 #include <random>
 
@@ -11,15 +11,15 @@
  public:
   struct Config {
     std::size_t controls = 8, zones = 4, perZone = 20;
-    bool relaysLieAboutAge = false, deltasLoseRows = false, chartersGoBack = false, rowsAreDropped = false;
+    bool relaysLieAboutAge = false, deltasLoseRows = false, configurationsGoBack = false, rowsAreDropped = false;
   };
   struct Server {
     string name;
     Addr at;
     bool up = true, frozen = false;
-    std::unique_ptr<NewsHub> hub;
+    std::unique_ptr<UpdatePublisher> publisher;
     struct Held {
-      NewsAsk ask;
+      UpdateRequest ask;
       Moment came;
       Addr from;
       std::uint64_t id;
@@ -35,14 +35,14 @@
   };
   struct Node : Server {
     NodeRow row;
-    std::unique_ptr<NewsNode> node;
-    std::optional<NewsNode::Plan> asking;
+    std::unique_ptr<UpdateNode> node;
+    std::optional<UpdateNode::Plan> asking;
     std::uint64_t id = 0, version = 0;
     Moment sent, wake, calmSince;
     std::map<string, string> workers;
   };
   struct Commit {
-    std::uint64_t charter = 0;
+    std::uint64_t configuration = 0;
     string key, value;
     bool gone = false;
     Moment at;
@@ -54,9 +54,9 @@
       x.name = "c" + std::to_string(i);
       x.at = {"10.9.0." + std::to_string(i), 1};
       x.self = Member{Identity(i + 1), x.name, x.at.ip, zoneName(i % c.zones), true};
-      makeHub(x, 0);
+      makePublisher(x, 0);
       Control* const p = &x;
-      x.hub->proof = [p] { return NewsHub::Proof{p->healthy, 0, p->proven}; };
+      x.publisher->proof = [p] { return UpdatePublisher::Proof{p->healthy, 0, p->proven}; };
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       Node& x = nodes_[i];
@@ -75,9 +75,9 @@
   vector<Control>& controls() { return controls_; }
   vector<Node>& nodes() { return nodes_; }
   Moment now() const { return now_; }
-  Bounds const& bounds() const { return boot_.bounds; }
+  Bounds const& bounds() const { return settings_.bounds; }
 
-  void commitCharter() { commits_.push_back({++version_, "", "", false, now_}); }
+  void commitConfiguration() { commits_.push_back({++version_, "", "", false, now_}); }
   void commitWorker() {
     string const key = "w/i" + std::to_string(dice(60));
     bool const gone = dice(3) == 0;
@@ -95,19 +95,19 @@
     x.version = 0;
     x.up = true;
     x.frozen = false;
-    makeHub(x, 2 * Relays::fanOut);
+    makePublisher(x, 2 * Relays::fanOut);
     vector<Addr> seeds;
     for (std::size_t i = 0; i < 3 && i < controls_.size(); ++i) seeds.push_back(controls_[i].at);
-    x.node = std::make_unique<NewsNode>(
-        x.row, NewsNode::Times::of(boot_.bounds), seeds,
+    x.node = std::make_unique<UpdateNode>(
+        x.row, UpdateNode::Times::of(settings_.bounds), seeds,
         [](string const& ip) {
           return Addr{ip, 1};
         },
-        *x.hub);
-    NewsNode* const n = x.node.get();
-    x.hub->proof = [this, n] { return n->proof(now_); };
+        *x.publisher);
+    UpdateNode* const n = x.node.get();
+    x.publisher->proof = [this, n] { return n->proof(now_); };
     Node* const p = &x;
-    x.node->onRow = [this, p](BookRow const& r) {
+    x.node->onRow = [this, p](TableRow const& r) {
       if (r.key[0] != 'w' || (conf_.rowsAreDropped && dice(50) == 0)) return;
       if (r.gone)
         p->workers.erase(r.key);
@@ -142,13 +142,13 @@
   void checkEqual() {
     for (Node& x : nodes_) {
       if (!x.up) continue;
-      if (x.hub->common.digest() != controls_[0].hub->common.digest())
+      if (x.publisher->common.digest() != controls_[0].publisher->common.digest())
         fail(x.name + " differs from control after quiet");
       std::map<string, string> want;
-      for (std::pair<string const, string> const& p : controls_[0].hub->common.rows())
+      for (std::pair<string const, string> const& p : controls_[0].publisher->common.rows())
         if (p.first[0] == 'w') want.insert(p);
       if (want != x.workers) fail(x.name + " knows other workers than control after quiet");
-      if (x.hub->charterVersion() != version_) fail(x.name + " has an old charter after quiet");
+      if (x.publisher->configurationVersion() != version_) fail(x.name + " has an old configuration after quiet");
     }
   }
   /// Asks held or in flight at a server.
@@ -160,7 +160,9 @@
   void fail(string const& s) {
     if (broken.empty()) broken = s;
   }
-  void makeHub(Server& s, std::size_t most) { s.hub = std::make_unique<NewsHub>(io_, boot_, most); }
+  void makePublisher(Server& s, std::size_t most) {
+    s.publisher = std::make_unique<UpdatePublisher>(io_, settings_, most);
+  }
   bool passes(string const& a, string const& b) {
     if (cuts.count({a, b})) return false;
     return std::uniform_real_distribution<>(0, 1)(g_) >= loss;
@@ -171,14 +173,14 @@
       c.proven = std::max(c.proven, now_ - Ms(dice(200)));
       while (c.known < commits_.size() && now_ - commits_[c.known].at >= Ms(dice(60))) {
         Commit const& k = commits_[c.known++];
-        if (k.charter)
-          c.hub->setCharter(k.charter, "charter " + std::to_string(k.charter));
+        if (k.configuration)
+          c.publisher->setConfiguration(k.configuration, "configuration " + std::to_string(k.configuration));
         else if (k.gone)
-          c.hub->common.erase(k.key);
+          c.publisher->common.erase(k.key);
         else
-          c.hub->common.put(k.key, k.value);
+          c.publisher->common.put(k.key, k.value);
       }
-      for (Control const& m : controls_) c.hub->common.put("m/" + hex(m.self.id.v), packed(m.self));
+      for (Control const& m : controls_) c.publisher->common.put("m/" + hex(m.self.id.v), packed(m.self));
     }
     answerHeld(c, c.name);
   }
@@ -186,11 +188,12 @@
     std::map<string, NodeRow> all;
     for (Control& c : controls_)
       if (c.up && c.healthy)
-        for (NodeRow const& n : c.hub->heard(now_)) all[n.name] = n;
+        for (NodeRow const& n : c.publisher->heard(now_)) all[n.name] = n;
     for (Control& c : controls_) {
       if (!c.up || !c.healthy || c.frozen) continue;
-      for (std::pair<string const, NodeRow> const& p : all) c.hub->zones[p.second.zone].put(p.first, packed(p.second));
-      for (std::pair<string const, Book>& z : c.hub->zones) {
+      for (std::pair<string const, NodeRow> const& p : all)
+        c.publisher->zones[p.second.zone].put(p.first, packed(p.second));
+      for (std::pair<string const, VersionedTable>& z : c.publisher->zones) {
         vector<string> out;
         for (std::pair<string const, string> const& r : z.second.rows())
           if (!all.count(r.first)) out.push_back(r.first);
@@ -217,7 +220,7 @@
     }
     if (now_ < x.wake) return;
     if (x.node->resting(now_)) x.wake = now_ + Ms(60);
-    if (!x.hub->charterVersion()) {
+    if (!x.publisher->configurationVersion()) {
       vector<Addr> const l = x.node->controls(now_);
       x.asking = x.node->firstPlan(l[dice(l.size())], now_);
     } else {
@@ -227,11 +230,11 @@
     std::uint64_t const id = x.id = ++lastId_;
     Server* const to = at(x.asking->at);
     if (!to || !passes(x.name, to->name)) return;
-    NewsAsk const q = x.asking->ask;
+    UpdateRequest const q = x.asking->ask;
     Addr const from = x.at;
     net_.emplace(now_ + Ms(1 + dice(3)), [this, to, q, from, id] {
       if (!to->up) return;
-      to->hub->note(q, now_);
+      to->publisher->note(q, now_);
       bool const crowded = dynamicCrowded(*to);
       to->held.push_back({q, now_, from, id, crowded});
     });
@@ -240,14 +243,14 @@
   void answerHeld(Server& s, string const& name) {
     vector<Server::Held> keep;
     for (Server::Held& h : s.held) {
-      std::optional<NewsReply> r = s.hub->answer(h.ask, h.came, now_, h.crowded);
+      std::optional<UpdateReply> r = s.publisher->answer(h.ask, h.came, now_, h.crowded);
       if (!r) {
         keep.push_back(std::move(h));
         continue;
       }
       tamper(*r, name);
       if (!r->common.empty()) {
-        if (unpacked<BookDelta>(r->common).full)
+        if (unpacked<TableDelta>(r->common).full)
           ++fullDeltas;
         else
           ++deltas;
@@ -259,7 +262,7 @@
       net_.emplace(now_ + Ms(1 + dice(3)), [this, from, id, r = std::move(*r)] {
         for (Node& x : nodes_) {
           if (x.at != from || !x.up || x.frozen || !x.asking || x.id != id) continue;
-          NewsNode::Plan const p = std::move(*x.asking);
+          UpdateNode::Plan const p = std::move(*x.asking);
           x.asking.reset();
           x.node->got(p, r, x.sent, now_);
           x.wake = now_ + Ms(5);
@@ -268,17 +271,17 @@
     }
     s.held = std::move(keep);
   }
-  void tamper(NewsReply& r, string const& name) {
+  void tamper(UpdateReply& r, string const& name) {
     if (conf_.relaysLieAboutAge && name[0] == 'n') {
       r.ageMs = 0;
       r.healthy = true;
     }
     if (conf_.deltasLoseRows && name[0] == 'n' && !r.common.empty() && dice(10) == 0) {
-      Book b(8);
-      BookDelta d = unpacked<BookDelta>(r.common);
+      VersionedTable b(8);
+      TableDelta d = unpacked<TableDelta>(r.common);
       if (!d.full || d.rows.size() < 2) return;
       d.rows.pop_back();
-      for (BookRow const& x : d.rows) b.put(x.key, x.value);
+      for (TableRow const& x : d.rows) b.put(x.key, x.value);
       d.to = b.digest();
       r.common = packed(d);
     }
@@ -286,24 +289,24 @@
   void check() {
     for (Node& x : nodes_) {
       if (!x.up) continue;
-      std::uint64_t v = x.hub->charterVersion();
-      if (conf_.chartersGoBack && v > 3 && dice(400) == 0) {
-        x.hub->setCharter(v - 1, "old");
+      std::uint64_t v = x.publisher->configurationVersion();
+      if (conf_.configurationsGoBack && v > 3 && dice(400) == 0) {
+        x.publisher->setConfiguration(v - 1, "old");
         v = v - 1;
       }
       if (v < x.version)
-        fail(x.name + " went back from charter " + std::to_string(x.version) + " to " + std::to_string(v));
+        fail(x.name + " went back from configuration " + std::to_string(x.version) + " to " + std::to_string(v));
       x.version = v;
-      if (x.frozen || now_ - x.calmSince < Ms(boot_.bounds.inTouch)) continue;
+      if (x.frozen || now_ - x.calmSince < Ms(settings_.bounds.inTouch)) continue;
       // In touch: what was committed so long ago must be in force.
       for (std::size_t i = commits_.size(); i-- > 0;) {
         Commit const& k = commits_[i];
-        if (now_ - k.at <= Ms(boot_.bounds.applyWithin)) continue;
-        if (now_ - k.at > Ms(2 * boot_.bounds.applyWithin)) break;
-        if (k.charter && v < k.charter)
-          fail(x.name + " in touch has charter " + std::to_string(v) + ", " + std::to_string(k.charter) +
+        if (now_ - k.at <= Ms(settings_.bounds.applyWithin)) continue;
+        if (now_ - k.at > Ms(2 * settings_.bounds.applyWithin)) break;
+        if (k.configuration && v < k.configuration)
+          fail(x.name + " in touch has configuration " + std::to_string(v) + ", " + std::to_string(k.configuration) +
                " was acknowledged long ago");
-        if (!k.charter && k.gone && x.workers.count(k.key)) {
+        if (!k.configuration && k.gone && x.workers.count(k.key)) {
           bool again = false;
           for (std::size_t j = i + 1; j < commits_.size(); ++j) again = again || commits_[j].key == k.key;
           if (!again) fail(x.name + " in touch still knows a worker that is gone");
@@ -315,7 +318,7 @@
   std::mt19937_64 g_;
   Config conf_;
   asio::io_context io_;
-  Boot boot_;
+  Settings settings_;
   vector<Control> controls_;
   vector<Node> nodes_;
   vector<Commit> commits_;
--- a/tests/news_test.cpp
+++ b/tests/updates_test.cpp
@@ -1,4 +1,4 @@
-#include "tests/news_sim.hpp"
+#include "tests/updates_sim.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <cstdlib>
@@ -13,11 +13,11 @@
 /// A day of random troubles; says which invariant broke, if any.
 string play(std::uint64_t seed, sim::Fleet::Config c) {
   sim::Fleet f(seed, c);
-  f.commitCharter();
+  f.commitConfiguration();
   f.run(400);
   for (int k = 0; k < 4000 && f.broken.empty(); ++k) {
     f.step();
-    if (f.dice(60) == 0) f.commitCharter();
+    if (f.dice(60) == 0) f.commitConfiguration();
     if (f.dice(12) == 0) f.commitWorker();
     if (f.dice(25)) continue;
     sim::Fleet::Node& x = f.nodes()[f.dice(f.nodes().size())];
@@ -89,11 +89,11 @@
 }
 }  // namespace
 
-TEST_GROUP(news){};
+TEST_GROUP(updates){};
 
-TEST(news, aBookGivesDeltasFromAnyContentItHad) {
+TEST(updates, aTableGivesDeltasFromAnyContentItHad) {
   std::mt19937_64 g(5);
-  Book b(64);
+  VersionedTable b(64);
   vector<std::pair<std::uint64_t, std::map<string, string>>> was;
   for (int i = 0; i < 400; ++i) {
     was.emplace_back(b.digest(), b.rows());
@@ -105,13 +105,13 @@
   }
   std::size_t parts = 0;
   for (std::pair<std::uint64_t, std::map<string, string>> const& w : was) {
-    Book o(8);
+    VersionedTable o(8);
     for (std::pair<string const, string> const& r : w.second) o.put(r.first, r.second);
     CHECK(o.digest() == w.first);
-    BookDelta const d = b.since(w.first);
+    TableDelta const d = b.since(w.first);
     parts += !d.full;
     std::map<string, string> heard = w.second;
-    CHECK(o.apply(d, [&](BookRow const& r) {
+    CHECK(o.apply(d, [&](TableRow const& r) {
       if (r.gone)
         heard.erase(r.key);
       else
@@ -122,24 +122,24 @@
   CHECK(parts > 20);
 }
 
-TEST(news, aDeltaForAnotherContentChangesNothing) {
-  Book a, b;
+TEST(updates, aDeltaForAnotherContentChangesNothing) {
+  VersionedTable a, b;
   a.put("x", "1");
   std::uint64_t const base = a.digest();
   a.put("y", "2");
   b.put("x", "other");
   std::map<string, string> const before = b.rows();
-  CHECK_FALSE(b.apply(a.since(base), [](BookRow const&) {}));
-  BookDelta forged = a.since(0);
+  CHECK_FALSE(b.apply(a.since(base), [](TableRow const&) {}));
+  TableDelta forged = a.since(0);
   forged.rows[0].value = "forged";
-  CHECK_FALSE(b.apply(forged, [](BookRow const&) {}));
+  CHECK_FALSE(b.apply(forged, [](TableRow const&) {}));
   CHECK(b.rows() == before);
-  BookDelta twice = a.since(0);
+  TableDelta twice = a.since(0);
   twice.rows.push_back(twice.rows[0]);
-  CHECK_FALSE(b.apply(twice, [](BookRow const&) {}));
+  CHECK_FALSE(b.apply(twice, [](TableRow const&) {}));
 }
 
-TEST(news, relaysAreTheStrongOnesAndSmallZonesHaveNone) {
+TEST(updates, relaysAreTheStrongOnesAndSmallZonesHaveNone) {
   vector<NodeRow> z;
   for (int i = 0; i < 8; ++i) z.push_back({"n" + std::to_string(i), "z", "edge", {"10.0.0.1", i + 1}, 40});
   CHECK(Relays::of(z).empty());
@@ -157,7 +157,7 @@
   LONGS_EQUAL(3, Relays::parents("n1", r, false).size());
 }
 
-TEST(news, aFailedSourceRestsLongerEachTime) {
+TEST(updates, aFailedSourceRestsLongerEachTime) {
   Sources s(Ms(100), 7);
   Addr const a{"10.0.0.1", 1}, b{"10.0.0.2", 1}, c{"10.0.0.3", 1};
   s.set({a}, {b, c});
@@ -175,50 +175,50 @@
   CHECK(s.next(t + Ms(152)) == a);
 }
 
-TEST(news, olderProofsAndLongChainsAreRefused) {
+TEST(updates, olderProofsAndLongChainsAreRefused) {
   asio::io_context io;
-  Boot boot;
-  NewsHub up(io, boot, 0), hub(io, boot, 0);
-  NewsCopy copy(hub, "z", Ms(100));
+  Settings settings;
+  UpdatePublisher up(io, settings, 0), publisher(io, settings, 0);
+  UpdateCopy copy(publisher, "z", Ms(100));
   Moment const t = Moment() + std::chrono::hours(1);
-  up.proof = [&] { return NewsHub::Proof{true, 0, t}; };
+  up.proof = [&] { return UpdatePublisher::Proof{true, 0, t}; };
   up.common.put("w/a", "1");
-  up.setCharter(2, "two");
-  NewsAsk q;
+  up.setConfiguration(2, "two");
+  UpdateRequest q;
   q.self.zone = "z";
   copy.versions(q);
-  auto const none = [](BookRow const&) {};
-  NewsReply r = *up.answer(q, t, t, false);
-  NewsReply deep = r, ill = r;
-  deep.depth = NewsCopy::deepest;
+  auto const none = [](TableRow const&) {};
+  UpdateReply r = *up.answer(q, t, t, false);
+  UpdateReply deep = r, ill = r;
+  deep.depth = UpdateCopy::deepest;
   ill.healthy = false;
-  CHECK(copy.take(deep, t, none, none) == NewsCopy::Verdict::deep);
-  CHECK(copy.take(ill, t, none, none) == NewsCopy::Verdict::unhealthy);
-  CHECK(copy.take(r, t, none, none) == NewsCopy::Verdict::taken);
+  CHECK(copy.take(deep, t, none, none) == UpdateCopy::Verdict::deep);
+  CHECK(copy.take(ill, t, none, none) == UpdateCopy::Verdict::unhealthy);
+  CHECK(copy.take(r, t, none, none) == UpdateCopy::Verdict::taken);
   CHECK(copy.fresh() == t);
   up.common.erase("w/a");
   copy.versions(q);
-  NewsReply old = *up.answer(q, t, t, false);
+  UpdateReply old = *up.answer(q, t, t, false);
   old.ageMs = 500;
-  CHECK(copy.take(old, t, none, none) == NewsCopy::Verdict::older);
-  LONGS_EQUAL(1, hub.common.rows().size());
-  // A charter never goes back, whoever says so.
-  NewsReply back = old;
+  CHECK(copy.take(old, t, none, none) == UpdateCopy::Verdict::older);
+  LONGS_EQUAL(1, publisher.common.rows().size());
+  // A configuration never goes back, whoever says so.
+  UpdateReply back = old;
   back.ageMs = 0;
-  back.charterVersion = 1;
-  back.charter = "one";
-  CHECK(copy.take(back, t, none, none) == NewsCopy::Verdict::taken);
-  LONGS_EQUAL(2, hub.charterVersion());
+  back.configurationVersion = 1;
+  back.configuration = "one";
+  CHECK(copy.take(back, t, none, none) == UpdateCopy::Verdict::taken);
+  LONGS_EQUAL(2, publisher.configurationVersion());
 }
 
-TEST(news, aFleetWithRelaysConverges) {
+TEST(updates, aFleetWithRelaysConverges) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     string const b = play(s, {});
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
 }
 
-TEST(news, aSmallFleetHasNoTierAndConverges) {
+TEST(updates, aSmallFleetHasNoTierAndConverges) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     sim::Fleet::Config const c{4, 4, 3, false, false, false, false};
     string const b = play(100 + s, c);
@@ -226,7 +226,7 @@
   }
 }
 
-TEST(news, aZoneWithoutControlConverges) {
+TEST(updates, aZoneWithoutControlConverges) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     sim::Fleet::Config const c{3, 5, 20, false, false, false, false};
     string const b = play(200 + s, c);
@@ -234,9 +234,9 @@
   }
 }
 
-TEST(news, fanOutAndBytesAreBounded) {
+TEST(updates, fanOutAndBytesAreBounded) {
   sim::Fleet f(9, {8, 4, 40, false, false, false, false});
-  f.commitCharter();
+  f.commitConfiguration();
   f.run(1200);
   std::size_t relays = 0, atControl = 0;
   for (sim::Fleet::Node const& n : f.nodes()) {
@@ -257,14 +257,14 @@
   STRCMP_EQUAL("", f.broken.c_str());
 }
 
-TEST(news, allRelaysOfAZoneLostAtOnce) {
+TEST(updates, allRelaysOfAZoneLostAtOnce) {
   sim::Fleet f(10, {});
-  f.commitCharter();
+  f.commitConfiguration();
   f.run(1200);
   for (sim::Fleet::Node& n : f.nodes())
     if (f.relays(n) && n.row.zone == "z1") f.kill(n);
   for (int k = 0; k < 30; ++k) {
-    f.commitCharter();
+    f.commitConfiguration();
     f.run(40);
   }
   STRCMP_EQUAL("", f.broken.c_str());
@@ -273,23 +273,23 @@
   STRCMP_EQUAL("", f.broken.c_str());
 }
 
-TEST(news, aQuietLyingRelayIsCaughtByTheCheck) {
+TEST(updates, aQuietLyingRelayIsCaughtByTheCheck) {
   bool caught = false;
   for (std::uint64_t s = 1; s <= 30 && !caught; ++s) caught = !play(s, {8, 4, 20, true, false, false, false}).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
-TEST(news, aDeltaThatLostRowsHeals) {
+TEST(updates, aDeltaThatLostRowsHeals) {
   for (std::uint64_t s = 1; s <= 3; ++s) {
     string const b = play(300 + s, {8, 4, 20, false, true, false, false});
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
 }
-TEST(news, aDroppedRowIsCaughtByTheCheck) {
+TEST(updates, aDroppedRowIsCaughtByTheCheck) {
   bool caught = false;
   for (std::uint64_t s = 1; s <= 30 && !caught; ++s) caught = !play(s, {8, 4, 20, false, false, false, true}).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
-TEST(news, aCharterThatGoesBackIsCaughtByTheCheck) {
+TEST(updates, aConfigurationThatGoesBackIsCaughtByTheCheck) {
   bool caught = false;
   for (std::uint64_t s = 1; s <= 30 && !caught; ++s) caught = !play(s, {8, 4, 20, false, false, true, false}).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,16 +1,16 @@
-#include "news/hub.hpp"
+#include "updates/publisher.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace tealshelf;
 
 namespace {
-/// A server of news on loopback, and a raw peer that may say anything.
+/// A server of updates on loopback, and a raw peer that may say anything.
 struct Loop {
-  Loop() : server(io, at, Ms(2000)), hub(io, boot, 0), rpc(io, Ms(2000)) {
-    hub.proof = [] { return NewsHub::Proof{true, 0, Clock::now()}; };
-    hub.setCharter(1, string(300000, 'c'));
-    server.on<NewsAsk>([this](NewsAsk q) { return hub.serve(std::move(q)); });
+  Loop() : server(io, at, Ms(2000)), publisher(io, settings, 0), rpc(io, Ms(2000)) {
+    publisher.proof = [] { return UpdatePublisher::Proof{true, 0, Clock::now()}; };
+    publisher.setConfiguration(1, string(300000, 'c'));
+    server.on<UpdateRequest>([this](UpdateRequest q) { return publisher.serve(std::move(q)); });
     server.start();
   }
   void run(Ms d) {
@@ -31,8 +31,8 @@
   /// True if an ordinary ask is still answered.
   bool serves() {
     bool ok = false;
-    asio::co_spawn(io, rpc.ask(at, NewsAsk(), Ms(2000)),
-                   [&](std::exception_ptr p, NewsReply r) { ok = !p && r.charterVersion == 1; });
+    asio::co_spawn(io, rpc.ask(at, UpdateRequest(), Ms(2000)),
+                   [&](std::exception_ptr p, UpdateReply r) { ok = !p && r.configurationVersion == 1; });
     return until([&] { return ok; });
   }
   static string head(std::uint32_t size, std::uint64_t id, std::uint16_t method, char sort) {
@@ -54,10 +54,10 @@
     });
   }
   asio::io_context io{1};
-  Boot boot;
+  Settings settings;
   Addr at{"127.0.0.77", 17661};
   RpcServer server;
-  NewsHub hub;
+  UpdatePublisher publisher;
   Rpc rpc;
 };
 }  // namespace
@@ -102,12 +102,12 @@
   l.run(Ms(20));
   CHECK(l.serves());
 }
-TEST(wire, anotherFormOfNewsIsRefused) {
+TEST(wire, anotherFormOfUpdatesIsRefused) {
   Loop l;
-  NewsAsk q;
-  q.form = newsForm + 1;
+  UpdateRequest q;
+  q.form = updateFormat + 1;
   int code = 0;
-  asio::co_spawn(l.io, l.rpc.ask(l.at, q, Ms(2000)), [&](std::exception_ptr p, NewsReply) {
+  asio::co_spawn(l.io, l.rpc.ask(l.at, q, Ms(2000)), [&](std::exception_ptr p, UpdateReply) {
     try {
       if (p) std::rethrow_exception(p);
     } catch (Error const& x) {
@@ -121,7 +121,7 @@
   Loop l;
   tcp::socket s = l.raw();
   s.non_blocking(true);
-  string const body = packed(NewsAsk()), f = Loop::head(static_cast<std::uint32_t>(body.size()), 5, 6, 0) + body;
+  string const body = packed(UpdateRequest()), f = Loop::head(static_cast<std::uint32_t>(body.size()), 5, 6, 0) + body;
   // Each answer has 300 kB; the server may keep 8 MB of them, and the sockets some more.
   bool cut = false;
   for (int k = 0; k < 4000 && !cut; ++k) {
--- a/tools/scale/hollow.cpp
+++ b/tools/scale/hollow.cpp
@@ -1,6 +1,6 @@
 // Hollow nodes and workers for the scale run: many to a process, they speak the real wire and keep
 // the real control state, but carry no traffic. Built with the tests only.
-#include "news/fleet_view.hpp"
+#include "updates/fleet_view.hpp"
 #include "wire/http.hpp"
 
 #include <CLI/CLI.hpp>
@@ -10,12 +10,12 @@
 
 namespace {
 struct Hollow {
-  Hollow(asio::io_context& io, Boot b)
-      : boot(std::move(b)),
-        rpc(io, Ms(boot.bounds.inTouch / 2)),
-        server(io, boot.relayAt(boot.ip), Ms(boot.bounds.inTouch / 2)),
-        view(io, boot, rpc, "edge", boot.relayAt(boot.ip)) {}
-  Boot boot;
+  Hollow(asio::io_context& io, Settings b)
+      : settings(std::move(b)),
+        rpc(io, Ms(settings.bounds.inTouch / 2)),
+        server(io, settings.relayAt(settings.ip), Ms(settings.bounds.inTouch / 2)),
+        view(io, settings, rpc, "edge", settings.relayAt(settings.ip)) {}
+  Settings settings;
   Rpc rpc;
   RpcServer server;
   FleetView view;
@@ -23,10 +23,10 @@
 };
 
 /// A worker that beats at a control node, and at the one that the answer names.
-Task<void> beats(asio::io_context& io, Boot boot, string id, string zone, int n, std::uint64_t& sent,
+Task<void> beats(asio::io_context& io, Settings settings, string id, string zone, int n, std::uint64_t& sent,
                  std::uint64_t& failed) {
-  Addr to = boot.seeds[static_cast<std::size_t>(n) % boot.seeds.size()];
-  co_await pause(Ms((n * 37) % boot.reportEvery));
+  Addr to = settings.seeds[static_cast<std::size_t>(n) % settings.seeds.size()];
+  co_await pause(Ms((n * 37) % settings.reportEvery));
   for (std::uint64_t count = 1;; ++count) {
     bool ok = false;
     tcp::socket s(io);
@@ -54,18 +54,19 @@
       if (p != string::npos && readAddr(string_view(r.body()).substr(p + 12, r.body().find('"', p + 12) - p - 12), a))
         to = a;
     } else {
-      to = boot.seeds[randomId() % boot.seeds.size()];
+      to = settings.seeds[randomId() % settings.seeds.size()];
     }
-    co_await pause(Ms(boot.reportEvery));
+    co_await pause(Ms(settings.reportEvery));
   }
 }
 }  // namespace
 
 int main(int argc, char** argv) {
   CLI::App app("Hollow nodes and workers for the scale run; ends by itself.", "tealshelf-hollow");
-  string bootPath;
+  string settingsPath;
   int nodes = 0, workers = 0, first = 0, seconds = 10;
-  app.add_option("--boot", bootPath, "boot file of one node; names and addresses follow from it")->required();
+  app.add_option("--settings", settingsPath, "settings file of one node; names and addresses follow from it")
+      ->required();
   app.add_option("--nodes", nodes, "hollow data-plane nodes")->check(CLI::Range(0, 1000));
   app.add_option("--workers", workers, "hollow workers")->check(CLI::Range(0, 2000));
   app.add_option("--first", first, "number of the first node and worker")->check(CLI::Range(0, 100000));
@@ -73,13 +74,13 @@
   CLI11_PARSE(app, argc, argv);
   startLog(Level::warning);
   try {
-    Boot const boot = loadBoot(bootPath);
+    Settings const settings = loadSettings(settingsPath);
     asio::io_context io(1);
     vector<string> zones;
-    for (std::pair<string const, string> const& z : boot.zones) zones.push_back(z.first);
+    for (std::pair<string const, string> const& z : settings.zones) zones.push_back(z.first);
     vector<std::unique_ptr<Hollow>> all;
     for (int i = 0; i < nodes; ++i) {
-      Boot b = boot;
+      Settings b = settings;
       int const n = first + i;
       b.nodeName = "hollow-" + std::to_string(n);
       b.ip = "127.20." + std::to_string(n / 200) + "." + std::to_string(n % 200 + 1);
@@ -87,10 +88,10 @@
       b.cpuFraction = n / static_cast<int>(zones.size()) % 10 == 0 ? 0.3 : 0.04;
       all.push_back(std::make_unique<Hollow>(io, std::move(b)));
       Hollow& h = *all.back();
-      h.view.onNews = [&h] {
-        if (!h.view.charter() || h.view.charter()->version == h.version) return;
-        h.version = h.view.charter()->version;
-        std::cout << "charter " << h.version << " " << h.boot.nodeName << " " << wallMs() << "\n";
+      h.view.onUpdate = [&h] {
+        if (!h.view.configuration() || h.view.configuration()->version == h.version) return;
+        h.version = h.view.configuration()->version;
+        std::cout << "configuration " << h.version << " " << h.settings.nodeName << " " << wallMs() << "\n";
       };
       h.view.start(h.server);
       h.server.start();
@@ -98,8 +99,8 @@
     std::uint64_t sent = 0, failed = 0;
     for (int i = 0; i < workers; ++i)
       spawn(io, "worker",
-            beats(io, boot, "w-" + std::to_string(first + i), zones[static_cast<std::size_t>(first + i) % zones.size()],
-                  first + i, sent, failed));
+            beats(io, settings, "w-" + std::to_string(first + i),
+                  zones[static_cast<std::size_t>(first + i) % zones.size()], first + i, sent, failed));
     asio::steady_timer end(io, std::chrono::seconds(seconds));
     end.async_wait([&](error_code) { io.stop(); });
     io.run();
--- a/tools/scale/run.sh
+++ b/tools/scale/run.sh
@@ -42,12 +42,12 @@
   data+=($!)
 done
 sleep 4
-charter() { sed "s/\"version\":[0-9]*/\"version\":$1/" "$(dirname "$0")/../charter.json" > "$dir/charter.json"; }
+configuration() { sed "s/\"version\":[0-9]*/\"version\":$1/" "$(dirname "$0")/../configuration.json" > "$dir/configuration.json"; }
 put() { # VERSION ON
-  charter "$1"
-  curl -s -m 3 -o /dev/null -w '%{http_code}' -X PUT -H "If-Match: $2" --data "@$dir/charter.json" 127.0.1.1:8146/settings || true
+  configuration "$1"
+  curl -s -m 3 -o /dev/null -w '%{http_code}' -X PUT -H "If-Match: $2" --data "@$dir/configuration.json" 127.0.1.1:8146/settings || true
 }
-[ "$(put 1 0)" = 200 ] || fail "the first charter was not taken; see the control nodes' logs"
+[ "$(put 1 0)" = 200 ] || fail "the first configuration was not taken; see the control nodes' logs"
 conf hollow edge edge 127.0.9.1 a "" 0.04
 hollows=()
 for ((n = 0; n < nodes || n < workers; n += each)); do
@@ -73,7 +73,7 @@
 wait "${hollows[@]}"
 awk -v n="$nodes" -v w="$workers" -v ck=$((c1 - c0)) -v dk=$((d1 - d0)) -v t=$((t1 - t0)) -v cs=$controls -v ds=$real -v cm="$cm" -v dm="$dm" '
   FILENAME ~ /acks/ { sent[$1] = $2; ack[$1] = $3; if ($4 != 200) bad++; next }
-  $1 == "charter" && ($2 in ack) { got[$2]++; l[m++] = $4 - sent[$2]; if ($4 - ack[$2] > late) late = $4 - ack[$2] }
+  $1 == "configuration" && ($2 in ack) { got[$2]++; l[m++] = $4 - sent[$2]; if ($4 - ack[$2] > late) late = $4 - ack[$2] }
   $1 == "hollow" { fresh += $5; asks += $7; rel += $9; bytes += $11; if ($13 > held) held = $13; if ($15 > known) known = $15; beats += $17; lost += $19 }
   END { s = t / 1e9
     for (i = 1; i < m; i++) { x = l[i]; for (j = i - 1; j >= 0 && l[j] > x; j--) l[j + 1] = l[j]; l[j + 1] = x }
--- a/traffic/balance.cpp
+++ b/traffic/balance.cpp
@@ -32,12 +32,12 @@
   r.told = Clock::now();
 }
 void Balance::full(string const& id) {
-  rows_[id].fullUntil = Clock::now() + Ms(boot_.bounds.step);
+  rows_[id].fullUntil = Clock::now() + Ms(settings_.bounds.step);
 }
 void Balance::broke(string const& id, bool hard) {
   Row& r = rows_[id];
   r.breaks = std::min(r.breaks + 1, 5);
-  if (hard || r.breaks >= 2) r.outUntil = Clock::now() + Ms((boot_.bounds.inTouch / 12) << r.breaks);
+  if (hard || r.breaks >= 2) r.outUntil = Clock::now() + Ms((settings_.bounds.inTouch / 12) << r.breaks);
 }
 void Balance::well(string const& id) {
   rows_[id].breaks = 0;
@@ -45,7 +45,8 @@
 
 double Balance::load(Row const& r, Worker const& w, Moment now) const {
   double base = 0;
-  if (now - r.told < Ms(boot_.bounds.inTouch)) base = static_cast<double>(std::max<std::int64_t>(0, r.base + r.since));
+  if (now - r.told < Ms(settings_.bounds.inTouch))
+    base = static_cast<double>(std::max<std::int64_t>(0, r.base + r.since));
   return std::max(base, static_cast<double>(r.own)) / static_cast<double>(w.capacity);
 }
 double Balance::load(Worker const& w, Moment now) const {
@@ -54,7 +55,7 @@
 }
 double Balance::cost(Row const& r, Worker const& w, Moment now) const {
   double c = load(r, w, now) + chunkCost * static_cast<double>(r.unread) / chunkTokens;
-  if (now - r.told < Ms(boot_.bounds.step)) c += chunkCost * static_cast<double>(r.waiting);
+  if (now - r.told < Ms(settings_.bounds.step)) c += chunkCost * static_cast<double>(r.waiting);
   return c;
 }
 std::uint64_t Balance::dice() {
@@ -62,8 +63,8 @@
   return dice_ >> 33;
 }
 
-Balance::Lineup const& Balance::lineup(FleetView const& s, string const& service) {
-  Lineup& l = lineups_[service];
+Balance::CandidateList const& Balance::candidates(FleetView const& s, string const& service) {
+  CandidateList& l = candidates_[service];
   if (l.revision == s.revision()) return l;
   l.revision = s.revision();
   l.all.clear();
@@ -73,7 +74,7 @@
 
 Worker const* Balance::pick(FleetView const& s, Want const& want, std::set<string> const& tried) {
   Moment const now = Clock::now();
-  vector<Candidate> const& l = lineup(s, want.service).all;
+  vector<Candidate> const& l = candidates(s, want.service).all;
   if (l.empty()) return nullptr;
   auto const rank = [&](Candidate const& c) {
     Row const& r = *c.row;
@@ -136,7 +137,7 @@
     else
       ++i;
   }
-  lineups_.clear();
+  candidates_.clear();
 }
 
 }  // namespace tealshelf
--- a/traffic/balance.hpp
+++ b/traffic/balance.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "news/fleet_view.hpp"
+#include "updates/fleet_view.hpp"
 
 namespace tealshelf {
 
@@ -17,7 +17,7 @@
 /// How loaded and how well each worker is, by what this node has seen of it.
 class Balance {
  public:
-  explicit Balance(Boot const& boot) : boot_(boot) {}
+  explicit Balance(Settings const& settings) : settings_(settings) {}
   /// The best worker; null if there is none. Passed-over ones are tried last.
   Worker const* pick(FleetView const& s, Want const& w, std::set<string> const& tried);
   /// A request goes there that has so many prompt tokens to be read; then its first piece came; then it ended.
@@ -46,18 +46,18 @@
     std::uint64_t hash;
     Row* row;
   };
-  struct Lineup {
+  struct CandidateList {
     std::uint64_t revision = 0;
     vector<Candidate> all;
   };
-  Lineup const& lineup(FleetView const& s, string const& service);
+  CandidateList const& candidates(FleetView const& s, string const& service);
   double load(Row const& r, Worker const& w, Moment now) const;
   /// Load plus what a new prompt would wait behind, in the same measure.
   double cost(Row const& r, Worker const& w, Moment now) const;
   std::uint64_t dice();
-  Boot const& boot_;
+  Settings const& settings_;
   std::map<string, Row> rows_;
-  std::map<string, Lineup> lineups_;
+  std::map<string, CandidateList> candidates_;
   std::uint64_t dice_ = randomId();
 };
 
--- a/traffic/carry_out.cpp
+++ b/traffic/carry_out.cpp
@@ -156,7 +156,7 @@
   p->headSent = true;
   error_code e;
   Guard g(io_, p->sock);
-  g.until(Clock::now() + Ms(5 * boot_.bounds.inTouch));
+  g.until(Clock::now() + Ms(5 * settings_.bounds.inTouch));
   co_await http::async_write(p->sock, r, asio::redirect_error(asio::use_awaitable, e));
   if (e) p->keep = false;
   co_return true;
@@ -191,7 +191,7 @@
     bool const whole = s == Piece::whole;
     if (whole && !ev.clean()) s = Piece::broken;
     if (events.empty() && !(s == Piece::whole)) continue;
-    g.until(Clock::now() + Ms(2 * boot_.bounds.inTouch));
+    g.until(Clock::now() + Ms(2 * settings_.bounds.inTouch));
     if (s == Piece::whole) {
       x.done();
       if (events.empty())
