--- a/traffic/edge_node.cpp
+++ b/traffic/edge_node.cpp
@@ -2,37 +2,38 @@
 
 namespace tealshelf {
 
-EdgeNode::EdgeNode(asio::io_context& io, Boot const& boot)
+EdgeNode::EdgeNode(asio::io_context& io, Settings const& settings)
     : io_(io),
-      boot_(boot),
-      rpc_(io, Ms(boot.bounds.inTouch / 2)),
-      server_(io, boot.relayAt(boot.ip), Ms(boot.bounds.inTouch / 2)),
-      view_(io, boot, rpc_, "edge", boot.relayAt(boot.ip)),
-      pools_(io, boot),
-      balance_(boot),
-      desk_(io, boot, rpc_, view_),
+      settings_(settings),
+      rpc_(io, Ms(settings.bounds.inTouch / 2)),
+      server_(io, settings.relayAt(settings.ip), Ms(settings.bounds.inTouch / 2)),
+      view_(io, settings, rpc_, "edge", settings.relayAt(settings.ip)),
+      pools_(io, settings),
+      balance_(settings),
+      lotApi_(io, settings, rpc_, view_),
       readiness_(
-          io, boot.readiness,
+          io, settings.readiness,
           [this](Call c) -> Task<CallAnswer> {
             CallAnswer a;
             a.status = c.path == "/readiness" ? (view_.healthy() && !stopping_ ? 200 : 503) : 404;
             co_return a;
           },
-          1u << 16, Ms(5 * boot.bounds.inTouch)),
+          1u << 16, Ms(5 * settings.bounds.inTouch)),
       acceptor_(io) {}
 
 void EdgeNode::start() {
   view_.start(server_);
   server_.start();
   readiness_.start();
-  tcp::endpoint const p(asio::ip::make_address(boot_.outside.ip), static_cast<std::uint16_t>(boot_.outside.port));
+  tcp::endpoint const p(asio::ip::make_address(settings_.outside.ip),
+                        static_cast<std::uint16_t>(settings_.outside.port));
   acceptor_.open(p.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.bind(p);
   acceptor_.listen(1024);
   spawn(io_, "listener", take());
   spawn(io_, "sweep", sweepLoop());
-  tell("edge", boot_.nodeName + " serves clients at " + boot_.outside.text());
+  tell("edge", settings_.nodeName + " serves clients at " + settings_.outside.text());
 }
 
 void EdgeNode::stop() {
@@ -45,7 +46,7 @@
 
 Task<void> EdgeNode::sweepLoop() {
   for (;;) {
-    co_await pause(Ms(boot_.bounds.inTouch / 2));
+    co_await pause(Ms(settings_.bounds.inTouch / 2));
     pools_.sweep(view_);
     balance_.sweep(view_);
   }
@@ -65,10 +66,10 @@
 }
 
 Task<void> EdgeNode::serve(ConnectionPtr p) {
-  tune(p->sock, Ms(2 * boot_.bounds.inTouch));
+  tune(p->sock, Ms(2 * settings_.bounds.inTouch));
   error_code e;
   while (p->keep && p->sock.is_open()) {
-    std::shared_ptr<Charter const> const c = view_.charter();
+    std::shared_ptr<Configuration const> const c = view_.configuration();
     Limits const lim = c ? c->limits : Limits();
     http::request_parser<http::string_body> parser;
     parser.header_limit(static_cast<std::uint32_t>(lim.headerBytes));
@@ -135,20 +136,20 @@
   p->headSent = true;
   error_code e;
   Guard g(io_, p->sock);
-  g.until(Clock::now() + Ms(5 * boot_.bounds.inTouch));
+  g.until(Clock::now() + Ms(5 * settings_.bounds.inTouch));
   co_await http::async_write(p->sock, r, asio::redirect_error(asio::use_awaitable, e));
   if (e) p->keep = false;
 }
 
 Plan EdgeNode::plan(Ask const& q, Moment now) const {
   Plan l;
-  l.charter = view_.charter();
+  l.configuration = view_.configuration();
   l.came = now;
   beast::string_view h = q[http::field::host];
   string host(h.data(), h.size());
   if (std::size_t const c = host.find(':'); c != string::npos) host.resize(c);
   beast::string_view const t = q.target();
-  l.route = l.charter ? l.charter->find(host, string_view(t.data(), t.size())) : nullptr;
+  l.route = l.configuration ? l.configuration->find(host, string_view(t.data(), t.size())) : nullptr;
   beast::string_view const id = q["Attempt-Id"];
   l.attempt = string(id.data(), id.size());
   if (!l.route) return l;
@@ -182,18 +183,18 @@
 }
 
 double EdgeNode::retryAfter(Plan const& l) const {
-  double const aim = static_cast<double>(l.route ? l.route->aim : boot_.bounds.step);
+  double const aim = static_cast<double>(l.route ? l.route->aim : settings_.bounds.step);
   return std::max(0.02, aim / 4000.0);
 }
 
 Task<bool> EdgeNode::request(ConnectionPtr p, Ask q) {
   Moment const now = Clock::now();
-  std::shared_ptr<Charter const> c = view_.charter();
+  std::shared_ptr<Configuration const> c = view_.configuration();
   if (!c) {
-    // News is due any moment after a start; a short wait spares the client a try.
-    Moment const until = now + Ms(boot_.bounds.inTouch / 8);
-    while (!view_.charter() && Clock::now() < until) co_await pause(Ms(boot_.bounds.step / 8));
-    c = view_.charter();
+    // Updates is due any moment after a start; a short wait spares the client a try.
+    Moment const until = now + Ms(settings_.bounds.inTouch / 8);
+    while (!view_.configuration() && Clock::now() < until) co_await pause(Ms(settings_.bounds.step / 8));
+    c = view_.configuration();
   }
   if (!c) {
     CallAnswer a = answerOf(Error(Code::unhealthy));
@@ -205,11 +206,11 @@
   beast::string_view const h = q[http::field::host];
   string host(h.data(), h.size());
   if (std::size_t const x = host.find(':'); x != string::npos) host.resize(x);
-  if (desk_.isLotCall(*c, verb, host, target)) {
+  if (lotApi_.isLotCall(*c, verb, host, target)) {
     std::uint64_t hold = 0;
     beast::string_view const hr = q["Hold-Read-Ms"];
     readNumber(string_view(hr.data(), hr.size()), hold);
-    CallAnswer a = co_await desk_.call(verb, host, target, static_cast<std::int64_t>(hold));
+    CallAnswer a = co_await lotApi_.call(verb, host, target, static_cast<std::int64_t>(hold));
     co_await answer(p, std::move(a));
     co_return p->keep;
   }
@@ -222,7 +223,7 @@
     CallAnswer a;
     try {
       if (verb != "POST") throw Error(Code::lotUnreadable);
-      a = co_await desk_.handIn(*l.route, l.attempt, q.body());
+      a = co_await lotApi_.handIn(*l.route, l.attempt, q.body());
     } catch (Error const& x) {
       a = answerOf(x);
     }
--- a/traffic/edge_node.hpp
+++ b/traffic/edge_node.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "lots/desk.hpp"
+#include "lots/lot_api.hpp"
 #include "traffic/balance.hpp"
 #include "traffic/exchange.hpp"
 #include "wire/http.hpp"
@@ -8,7 +8,7 @@
 
 /// What shall be done with a request, worked out before anything is done.
 struct Plan {
-  std::shared_ptr<Charter const> charter;
+  std::shared_ptr<Configuration const> configuration;
   Route const* route = nullptr;
   string service, attempt;
   Moment came, deadline;
@@ -28,7 +28,7 @@
 /// The data plane of an edge machine: takes requests in and passes them to workers.
 class EdgeNode {
  public:
-  EdgeNode(asio::io_context& io, Boot const& boot);
+  EdgeNode(asio::io_context& io, Settings const& settings);
   void start();
   void stop();
   std::size_t live() const { return live_; }
@@ -50,13 +50,13 @@
   Task<void> sweepLoop();
 
   asio::io_context& io_;
-  Boot const& boot_;
+  Settings const& settings_;
   Rpc rpc_;
-  RpcServer server_;  ///< news is relayed there
+  RpcServer server_;  ///< updates is relayed there
   FleetView view_;
   Pools pools_;
   Balance balance_;
-  LotDesk desk_;
+  LotApi lotApi_;
   HttpServer readiness_;
   tcp::acceptor acceptor_;
   bool stopping_ = false;
--- a/traffic/exchange.cpp
+++ b/traffic/exchange.cpp
@@ -75,7 +75,7 @@
   guard_ = std::make_unique<Guard>(pools_.io(), conn_->sock);
   error_code e;
   if (fresh_) {
-    guard_->until(std::min(until, Clock::now() + Ms(pools_.boot().bounds.inTouch / 6)));
+    guard_->until(std::min(until, Clock::now() + Ms(pools_.settings().bounds.inTouch / 6)));
     co_await conn_->sock.async_connect(
         {asio::ip::make_address(worker_.at.ip), static_cast<std::uint16_t>(worker_.at.port)},
         asio::redirect_error(asio::use_awaitable, e));
@@ -83,7 +83,7 @@
       cut();
       co_return Verdict::notSent;
     }
-    tune(conn_->sock, Ms(pools_.boot().bounds.inTouch));
+    tune(conn_->sock, Ms(pools_.settings().bounds.inTouch));
   }
   guard_->until(until);
   ++conn_->uses;
@@ -125,7 +125,7 @@
     string junk;
     Piece p = Piece::some;
     while (p == Piece::some && junk.size() < (1u << 16))
-      p = co_await read(junk, std::min(until, Clock::now() + Ms(pools_.boot().bounds.slack)));
+      p = co_await read(junk, std::min(until, Clock::now() + Ms(pools_.settings().bounds.slack)));
     if (p == Piece::whole) release();
     co_return Verdict::notRun;
   }
@@ -161,11 +161,11 @@
   if (!conn_ || !parser_ || !parser_->is_done()) return cut();
   guard_.reset();
   if (!parser_->get().keep_alive() || conn_->buf.size() || !conn_->sock.is_open()) return cut();
-  std::int64_t keep = pools_.boot().bounds.inTouch;
+  std::int64_t keep = pools_.settings().bounds.inTouch;
   string const k = headText("Keep-Alive");
   std::size_t const t = k.find("timeout=");
   if (t != string::npos) keep = 1000 * std::strtoll(k.c_str() + t + 8, nullptr, 10);
-  keep = std::min(keep - keep / 4, 4 * pools_.boot().bounds.inTouch);
+  keep = std::min(keep - keep / 4, 4 * pools_.settings().bounds.inTouch);
   if (keep <= 0) return cut();
   conn_->keepUntil = Clock::now() + Ms(keep);
   pools_.give(worker_.id, std::move(conn_));
--- a/traffic/exchange.hpp
+++ b/traffic/exchange.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "news/fleet_view.hpp"
+#include "updates/fleet_view.hpp"
 #include "wire/http.hpp"
 
 namespace tealshelf {
@@ -38,8 +38,8 @@
 /// Idle connections to workers.
 class Pools {
  public:
-  Pools(asio::io_context& io, Boot const& boot)
-      : io_(io), boot_(boot), age_(Ms(4 * boot.bounds.inTouch), Ms(boot.bounds.step / 8)) {}
+  Pools(asio::io_context& io, Settings const& settings)
+      : io_(io), settings_(settings), age_(Ms(4 * settings.bounds.inTouch), Ms(settings.bounds.step / 8)) {}
   /// A clean idle connection, or a new one not yet connected. A request that must not be sent twice
   /// gets none that was idle for longer than is trusted.
   std::unique_ptr<WorkerConnection> take(Worker const& w, bool mayRepeat);
@@ -48,11 +48,11 @@
   /// Closes what is idle for workers that are gone or for too long.
   void sweep(FleetView const& view);
   asio::io_context& io() { return io_; }
-  Boot const& boot() const { return boot_; }
+  Settings const& settings() const { return settings_; }
 
  private:
   asio::io_context& io_;
-  Boot const& boot_;
+  Settings const& settings_;
   IdleAge age_;
   std::map<string, vector<std::unique_ptr<WorkerConnection>>> idle_;
 };
--- a/news/hub.hpp
+++ b/updates/publisher.hpp
@@ -1,12 +1,12 @@
 #pragma once
-#include "news/book.hpp"
-#include "news/messages.hpp"
-#include "news/relays.hpp"
+#include "updates/messages.hpp"
+#include "updates/relays.hpp"
+#include "updates/versioned_table.hpp"
 
 namespace tealshelf {
 
-/// Serves news to those who ask: the same part at control nodes and at relays.
-class NewsHub {
+/// Serves updates to those who ask: the same part at control nodes and at relays.
+class UpdatePublisher {
  public:
   /// What the serving node can say of itself.
   struct Proof {
@@ -15,24 +15,25 @@
     Moment fresh;  ///< when control last had a majority, as far as known here
   };
   /// Holds at most so many asks at once; 0: no bound.
-  NewsHub(asio::io_context& io, Boot const& boot, std::size_t most) : io_(io), boot_(boot), most_(most) {}
+  UpdatePublisher(asio::io_context& io, Settings const& settings, std::size_t most)
+      : io_(io), settings_(settings), most_(most) {}
   std::function<Proof()> proof;
-  Book common;
-  std::map<string, Book> zones;
-  void setCharter(std::uint64_t version, string text) {
+  VersionedTable common;
+  std::map<string, VersionedTable> zones;
+  void setConfiguration(std::uint64_t version, string text) {
     version_ = version;
-    charter_ = std::move(text);
+    configuration_ = std::move(text);
   }
-  std::uint64_t charterVersion() const { return version_; }
-  string const& charter() const { return charter_; }
-  /// Wakes held asks, after a moment in which more news may come.
+  std::uint64_t configurationVersion() const { return version_; }
+  string const& configuration() const { return configuration_; }
+  /// Wakes held asks, after a moment in which more updates may come.
   void changed(Ms gather);
   /// Notes who asks.
-  void note(NewsAsk const& q, Moment now);
-  /// The answer to an ask if it is due now: there is news, or the time is up, or there is no health.
-  std::optional<NewsReply> answer(NewsAsk const& q, Moment came, Moment now, bool crowded);
-  /// Answers an ask as soon as there is news for it.
-  Task<NewsReply> serve(NewsAsk q);
+  void note(UpdateRequest const& q, Moment now);
+  /// The answer to an ask if it is due now: there is updates, or the time is up, or there is no health.
+  std::optional<UpdateReply> answer(UpdateRequest const& q, Moment came, Moment now, bool crowded);
+  /// Answers an ask as soon as there is updates for it.
+  Task<UpdateReply> serve(UpdateRequest q);
   /// Nodes that asked here lately, and those that asked at them.
   vector<NodeRow> heard(Moment now) const;
   /// How requests at workers went, as told by the askers since the last call.
@@ -50,12 +51,12 @@
     std::uint64_t children = 0;
     vector<NodeRow> list;
   };
-  string const& packedDelta(Book const& b, std::uint64_t from);
+  string const& packedDelta(VersionedTable const& b, std::uint64_t from);
   asio::io_context& io_;
-  Boot const& boot_;
+  Settings const& settings_;
   std::size_t most_;
   std::uint64_t version_ = 0, replies_ = 0, bytes_ = 0;
-  string charter_;
+  string configuration_;
   bool gathering_ = false;
   std::set<std::shared_ptr<asio::steady_timer>> held_;
   std::map<string, Asker> askers_;
--- a/news/relays.cpp
+++ b/updates/relays.cpp
@@ -1,4 +1,4 @@
-#include "news/relays.hpp"
+#include "updates/relays.hpp"
 
 #include <cmath>
 
--- a/news/relays.hpp
+++ b/updates/relays.hpp
@@ -1,9 +1,9 @@
 #pragma once
-#include "news/messages.hpp"
+#include "updates/messages.hpp"
 
 namespace tealshelf {
 
-/// Who relays news in a zone and whom each node asks: pure functions of the zone's live nodes, so
+/// Who relays updates in a zone and whom each node asks: pure functions of the zone's live nodes, so
 /// that every node works out the same.
 struct Relays {
   /// So many nodes are served by one node at the most, in the mean; twice as many are let in.
--- a/news/sources.cpp
+++ b/updates/sources.cpp
@@ -1,4 +1,4 @@
-#include "news/sources.hpp"
+#include "updates/sources.hpp"
 
 namespace tealshelf {
 
@@ -45,30 +45,32 @@
   return v;
 }
 
-void NewsCopy::versions(NewsAsk& q) const {
-  q.charterVersion = hub_.charterVersion();
-  q.common = gap_ ? 0 : hub_.common.digest();
-  q.zone = gap_ ? 0 : hub_.zones[zone_].digest();
+void UpdateCopy::versions(UpdateRequest& q) const {
+  q.configurationVersion = publisher_.configurationVersion();
+  q.common = gap_ ? 0 : publisher_.common.digest();
+  q.zone = gap_ ? 0 : publisher_.zones[zone_].digest();
 }
 
-NewsCopy::Verdict NewsCopy::take(NewsReply const& r, Moment sent, std::function<void(BookRow const&)> const& onCommon,
-                                 std::function<void(BookRow const&)> const& onZone) {
+UpdateCopy::Verdict UpdateCopy::take(UpdateReply const& r, Moment sent,
+                                     std::function<void(TableRow const&)> const& onCommon,
+                                     std::function<void(TableRow const&)> const& onZone) {
   if (!r.healthy) return Verdict::unhealthy;
   if (r.depth >= deepest) return Verdict::deep;
   // The proof was true when the ask was answered, at the latest so long after it was sent as it was held.
   Moment const at = sent + Ms(r.heldMs) - Ms(r.ageMs);
-  if (r.charterVersion > hub_.charterVersion() && !r.charter.empty()) hub_.setCharter(r.charterVersion, r.charter);
-  bool const news = !r.common.empty() || !r.zone.empty();
-  if (news && at + slack_ < fresh_) return Verdict::older;
+  if (r.configurationVersion > publisher_.configurationVersion() && !r.configuration.empty())
+    publisher_.setConfiguration(r.configurationVersion, r.configuration);
+  bool const updates = !r.common.empty() || !r.zone.empty();
+  if (updates && at + slack_ < fresh_) return Verdict::older;
   if (!r.common.empty()) {
-    bool const ok = hub_.common.apply(unpacked<BookDelta>(r.common), onCommon);
+    bool const ok = publisher_.common.apply(unpacked<TableDelta>(r.common), onCommon);
     if (!ok) {
       gap_ = true;
       return Verdict::gap;
     }
   }
   if (!r.zone.empty()) {
-    bool const ok = hub_.zones[zone_].apply(unpacked<BookDelta>(r.zone), onZone);
+    bool const ok = publisher_.zones[zone_].apply(unpacked<TableDelta>(r.zone), onZone);
     if (!ok) {
       gap_ = true;
       return Verdict::gap;
--- a/news/sources.hpp
+++ b/updates/sources.hpp
@@ -1,9 +1,9 @@
 #pragma once
-#include "news/hub.hpp"
+#include "updates/publisher.hpp"
 
 namespace tealshelf {
 
-/// Which node is asked for news next; no input or output of its own. One that failed rests for a
+/// Which node is asked for updates next; no input or output of its own. One that failed rests for a
 /// growing, jittered time, so that many who lose one relay don't all press on the next at once.
 class Sources {
  public:
@@ -32,24 +32,25 @@
   std::map<Addr, Row> rows_;
 };
 
-/// What a node has of the news, kept in its hub so that it can serve it on.
-class NewsCopy {
+/// What a node has of the updates, kept in its publisher so that it can serve it on.
+class UpdateCopy {
  public:
   enum class Verdict { taken, older, gap, deep, unhealthy };
   /// A chain of relays is never longer than this.
   static constexpr int deepest = 2;
-  NewsCopy(NewsHub& hub, string zone, Ms slack) : hub_(hub), zone_(std::move(zone)), slack_(slack) {}
+  UpdateCopy(UpdatePublisher& publisher, string zone, Ms slack)
+      : publisher_(publisher), zone_(std::move(zone)), slack_(slack) {}
   /// Takes an answer in whose ask was sent at a moment. Content of an older proof than what is
-  /// here, by more than a slack for the network, is refused; a charter never goes back.
-  Verdict take(NewsReply const& r, Moment sent, std::function<void(BookRow const&)> const& onCommon,
-               std::function<void(BookRow const&)> const& onZone);
+  /// here, by more than a slack for the network, is refused; a configuration never goes back.
+  Verdict take(UpdateReply const& r, Moment sent, std::function<void(TableRow const&)> const& onCommon,
+               std::function<void(TableRow const&)> const& onZone);
   /// The versions to ask with; after a gap a whole copy is asked for.
-  void versions(NewsAsk& q) const;
+  void versions(UpdateRequest& q) const;
   Moment fresh() const { return fresh_; }
   int depth() const { return depth_; }
 
  private:
-  NewsHub& hub_;
+  UpdatePublisher& publisher_;
   string zone_;
   Ms slack_;
   Moment fresh_;
--- a/news/news_node.cpp
+++ b/updates/update_node.cpp
@@ -1,23 +1,23 @@
-#include "news/news_node.hpp"
+#include "updates/update_node.hpp"
 
 namespace tealshelf {
 
-NewsNode::NewsNode(NodeRow self, Times t, vector<Addr> seeds, std::function<Addr(string const&)> controlAt,
-                   NewsHub& hub)
+UpdateNode::UpdateNode(NodeRow self, Times t, vector<Addr> seeds, std::function<Addr(string const&)> controlAt,
+                       UpdatePublisher& publisher)
     : self_(std::move(self)),
       times_(t),
       seeds_(std::move(seeds)),
       controlAt_(std::move(controlAt)),
-      hub_(hub),
-      copy_(hub, self_.zone, t.inTouch / 40),
+      publisher_(publisher),
+      copy_(publisher, self_.zone, t.inTouch / 40),
       sources_(t.inTouch / 4, hashOf(self_.name)) {
   arrange();
 }
 
 /// Works out anew whom this node asks, and whether it relays.
-void NewsNode::arrange() {
+void UpdateNode::arrange() {
   vector<NodeRow> zone;
-  for (std::pair<string const, string> const& p : hub_.zones[self_.zone].rows())
+  for (std::pair<string const, string> const& p : publisher_.zones[self_.zone].rows())
     zone.push_back(unpacked<NodeRow>(p.second));
   vector<NodeRow> const relays = Relays::of(zone);
   bool control = false;
@@ -39,37 +39,37 @@
   for (NodeRow const& r : Relays::parents(self_.name, relays, control))
     if (parents.size() < 2) parents.push_back(r.at);
   if (relay != relay_)
-    say(Level::info, "news", relay ? "this node relays news to its zone" : "this node no longer relays news");
+    say(Level::info, "updates", relay ? "this node relays updates to its zone" : "this node no longer relays updates");
   relay_ = relay;
   sources_.set(std::move(parents), std::move(near));
 }
 
-NewsAsk NewsNode::ask(Moment now, Ms hold, bool first) {
-  NewsAsk q;
+UpdateRequest UpdateNode::ask(Moment now, Ms hold, bool first) {
+  UpdateRequest q;
   q.self = self_;
   q.holdMs = hold.count();
   q.first = first;
   copy_.versions(q);
-  vector<NodeRow> children = hub_.heard(now);
+  vector<NodeRow> children = publisher_.heard(now);
   q.children = Relays::digest(children);
   q.hasList = wantsList_;
   if (wantsList_) q.list = std::move(children);
   return q;
 }
 
-NewsNode::Plan NewsNode::plan(Moment now) {
+UpdateNode::Plan UpdateNode::plan(Moment now) {
   Plan p;
   p.at = sources_.next(now);
   p.parent = sources_.isParent(p.at);
   // A relay asks in short turns, so that what it gives on is fresh; whoever asks control directly
   // in a fleet without relays asks in long ones.
-  p.hold = times_.inTouch / (relay_ || hub_.asking() ? 32 : p.parent ? 16 : 8);
+  p.hold = times_.inTouch / (relay_ || publisher_.asking() ? 32 : p.parent ? 16 : 8);
   p.limit = p.hold + times_.inTouch / (p.parent ? 16 : 10);
   p.ask = ask(now, p.hold, false);
   return p;
 }
 
-NewsNode::Plan NewsNode::firstPlan(Addr at, Moment now) {
+UpdateNode::Plan UpdateNode::firstPlan(Addr at, Moment now) {
   Plan p;
   p.at = std::move(at);
   p.hold = times_.inTouch / 8;
@@ -78,12 +78,12 @@
   return p;
 }
 
-bool NewsNode::got(Plan const& p, NewsReply const& r, Moment sent, Moment now) {
+bool UpdateNode::got(Plan const& p, UpdateReply const& r, Moment sent, Moment now) {
   bool fleet = false;
   wantsList_ = r.wantChildren;
-  NewsCopy::Verdict const v = copy_.take(
+  UpdateCopy::Verdict const v = copy_.take(
       r, sent,
-      [&](BookRow const& b) {
+      [&](TableRow const& b) {
         if (b.key[0] == 'm') {
           fleet = true;
           if (b.gone)
@@ -93,11 +93,11 @@
         }
         if (onRow) onRow(b);
       },
-      [&](BookRow const&) { fleet = true; });
+      [&](TableRow const&) { fleet = true; });
   if (fleet) arrange();
-  if (v == NewsCopy::Verdict::gap) say(Level::debug, "news", p.at.text() + " gave a delta for another content");
-  bool const good = v == NewsCopy::Verdict::gap ||
-                    (v == NewsCopy::Verdict::taken && (!p.parent || now - copy_.fresh() <= times_.tooOld));
+  if (v == UpdateCopy::Verdict::gap) say(Level::debug, "updates", p.at.text() + " gave a delta for another content");
+  bool const good = v == UpdateCopy::Verdict::gap ||
+                    (v == UpdateCopy::Verdict::taken && (!p.parent || now - copy_.fresh() <= times_.tooOld));
   // A relay that answers but doesn't hear from control itself is left in time.
   if (good)
     sources_.worked(p.at);
--- a/news/book.cpp
+++ b/updates/versioned_table.cpp
@@ -1,12 +1,12 @@
-#include "news/book.hpp"
+#include "updates/versioned_table.hpp"
 
 namespace tealshelf {
 
-std::uint64_t Book::weigh(string const& key, string const& value) {
+std::uint64_t VersionedTable::weigh(string const& key, string const& value) {
   return hashOf(value, hashOf(key, key.size()));
 }
 
-void Book::note(string const& key) {
+void VersionedTable::note(string const& key) {
   at_[digest_] = first_ + past_.size();
   past_.emplace_back(digest_, key);
   while (past_.size() > most_) {
@@ -17,7 +17,7 @@
   }
 }
 
-bool Book::put(string const& key, string const& value) {
+bool VersionedTable::put(string const& key, string const& value) {
   std::map<string, string>::iterator const i = rows_.find(key);
   if (i != rows_.end() && i->second == value) return false;
   note(key);
@@ -27,7 +27,7 @@
   return true;
 }
 
-bool Book::erase(string const& key) {
+bool VersionedTable::erase(string const& key) {
   std::map<string, string>::iterator const i = rows_.find(key);
   if (i == rows_.end()) return false;
   note(key);
@@ -36,8 +36,8 @@
   return true;
 }
 
-BookDelta Book::since(std::uint64_t from) const {
-  BookDelta d;
+TableDelta VersionedTable::since(std::uint64_t from) const {
+  TableDelta d;
   d.from = from;
   d.to = digest_;
   if (from == digest_) return d;
@@ -52,16 +52,16 @@
   }
   for (string const& k : keys) {
     std::map<string, string>::const_iterator const r = rows_.find(k);
-    d.rows.push_back(r == rows_.end() ? BookRow{k, "", true} : BookRow{k, r->second, false});
+    d.rows.push_back(r == rows_.end() ? TableRow{k, "", true} : TableRow{k, r->second, false});
   }
   return d;
 }
 
-bool Book::apply(BookDelta const& d, std::function<void(BookRow const&)> const& changed) {
+bool VersionedTable::apply(TableDelta const& d, std::function<void(TableRow const&)> const& changed) {
   if (!d.full && d.from != digest_) return false;
   std::uint64_t to = d.full ? empty : digest_;
   std::set<string> named;
-  for (BookRow const& r : d.rows) {
+  for (TableRow const& r : d.rows) {
     if (!named.insert(r.key).second) return false;
     std::map<string, string>::const_iterator const i = rows_.find(r.key);
     if (!d.full && i != rows_.end()) to -= weigh(r.key, i->second);
@@ -76,7 +76,7 @@
     erase(k);
     changed({k, "", true});
   }
-  for (BookRow const& r : d.rows)
+  for (TableRow const& r : d.rows)
     if (r.gone ? erase(r.key) : put(r.key, r.value)) changed(r);
   return true;
 }
--- a/news/book.hpp
+++ b/updates/versioned_table.hpp
@@ -3,37 +3,37 @@
 
 namespace tealshelf {
 
-/// One change of a book.
-struct BookRow {
+/// One change of a table.
+struct TableRow {
   string key, value;
   bool gone = false;
   MSGPACK_DEFINE(key, value, gone)
 };
-/// What leads from one content of a book to another; a full one leads there from anywhere.
-struct BookDelta {
+/// What leads from one content of a table to another; a full one leads there from anywhere.
+struct TableDelta {
   std::uint64_t from = 0, to = 0;
   bool full = false;
-  vector<BookRow> rows;
+  vector<TableRow> rows;
   MSGPACK_DEFINE(from, to, full, rows)
 };
 
 /// A table whose version is a digest of its content, so that any node that has the same content
 /// can serve the next delta, whoever served the last one.
-class Book {
+class VersionedTable {
  public:
   /// Remembers so many changes; whoever is further behind gets a full delta.
-  explicit Book(std::size_t history = 512) : most_(history) {}
+  explicit VersionedTable(std::size_t history = 512) : most_(history) {}
   /// True if the content changed.
   bool put(string const& key, string const& value);
   bool erase(string const& key);
   /// Digest of the content; never 0, which stands for knowing nothing.
   std::uint64_t digest() const { return digest_; }
   std::map<string, string> const& rows() const { return rows_; }
-  /// The delta from a content that this book had, else a full one.
-  BookDelta since(std::uint64_t from) const;
+  /// The delta from a content that this table had, else a full one.
+  TableDelta since(std::uint64_t from) const;
   /// Takes a delta in; tells each changed row. False, and nothing is changed, if its base is not
   /// this content or it doesn't lead to the content that it promises.
-  bool apply(BookDelta const& d, std::function<void(BookRow const&)> const& changed);
+  bool apply(TableDelta const& d, std::function<void(TableRow const&)> const& changed);
 
  private:
   static constexpr std::uint64_t empty = 0x7ea15be1f0000001ull;
--- a/wire/messages.hpp
+++ b/wire/messages.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "registry/registry.hpp"
+#include "consensus/consensus.hpp"
 #include "wire/rpc.hpp"
 
 namespace tealshelf {
@@ -12,11 +12,11 @@
   bool draining = false, gone = false;
   std::int64_t warmupLeft = 0;
   bool lost = false;       ///< its beats are missing, by the word of the control node that heard them
-  Identity hearer;         ///< the control node that hears its beats
+  Identity registrar;      ///< the control node that hears its beats
   bool resting = false;    ///< it fails more than its like, whatever its health answers: used last
   std::uint64_t turn = 0;  ///< rises with each change of that
-  MSGPACK_DEFINE(id, service, zone, version, at, capacity, callCount, draining, gone, warmupLeft, lost, hearer, resting,
-                 turn)
+  MSGPACK_DEFINE(id, service, zone, version, at, capacity, callCount, draining, gone, warmupLeft, lost, registrar,
+                 resting, turn)
 };
 
 /// How requests at a worker went, as seen by those who sent them.
@@ -26,10 +26,10 @@
   MSGPACK_DEFINE(id, ok, bad)
 };
 
-/// A data-plane node as the others know it; it may relay news.
+/// A data-plane node as the others know it; it may relay updates.
 struct NodeRow {
   string name, zone, role;
-  Addr at;                ///< where it serves news
+  Addr at;                ///< where it serves updates
   std::uint32_t cpu = 0;  ///< its processor share in thousandths of a core
   bool operator==(NodeRow const&) const = default;
   MSGPACK_DEFINE(name, zone, role, at, cpu)
@@ -44,18 +44,18 @@
   MSGPACK_DEFINE(id, name, zone, at)
 };
 
-struct MailMsg {
+struct ConsensusMessages {
   using Reply = Done;
-  static constexpr Method method = Method::registryMail;
-  vector<Mail> mails;
-  MSGPACK_DEFINE(mails)
+  static constexpr Method method = Method::consensusMessages;
+  vector<Message> messages;
+  MSGPACK_DEFINE(messages)
 };
-/// Tells others of oneself; carries the group when the other's is older, and beats taken since.
-struct PingMsg {
+/// Tells others of oneself; carries the membership when the other's is older, and beats taken since.
+struct HeartbeatMessage {
   using Reply = Done;
-  static constexpr Method method = Method::ping;
-  Ping ping;
-  Group group;
+  static constexpr Method method = Method::heartbeat;
+  Heartbeat heartbeat;
+  Membership membership;
   vector<Worker> workers;
   bool full = false;              ///< the whole register of workers is carried
   std::uint64_t digest = 0;       ///< of the register of workers, so that a gap is seen
@@ -63,13 +63,13 @@
   bool hasNodes = false;
   vector<NodeRow> nodes;
   vector<WorkerTally> tallies;  ///< of workers that failed requests lately, by who asks at this control node
-  MSGPACK_DEFINE(ping, group, workers, full, digest, nodesDigest, hasNodes, nodes, tallies)
+  MSGPACK_DEFINE(heartbeat, membership, workers, full, digest, nodesDigest, hasNodes, nodes, tallies)
 };
 struct HelloReply {
   Member self;
-  Group group;
+  Membership membership;
   bool founding = false, hasDisk = false, copied = false;
-  MSGPACK_DEFINE(self, group, founding, hasDisk, copied)
+  MSGPACK_DEFINE(self, membership, founding, hasDisk, copied)
 };
 struct Hello {
   using Reply = HelloReply;
@@ -78,19 +78,19 @@
   MSGPACK_DEFINE(self)
 };
 struct CopyReply {
-  Group group;
-  vector<std::pair<string, std::pair<Epoch, Entries>>> shelves;
-  MSGPACK_DEFINE(group, shelves)
+  Membership membership;
+  vector<std::pair<string, std::pair<Epoch, Entries>>> keyspaces;
+  MSGPACK_DEFINE(membership, keyspaces)
 };
 struct CopyAll {
   using Reply = CopyReply;
   static constexpr Method method = Method::copyAll;
-  GroupNo group;
-  MSGPACK_DEFINE(group)
+  MembershipNumber membership;
+  MSGPACK_DEFINE(membership)
 };
-struct JoinGroup {
+struct JoinRequest {
   using Reply = Done;
-  static constexpr Method method = Method::joinGroup;
+  static constexpr Method method = Method::join;
   Member self;
   int hops = 0;
   bool leave = false;
@@ -103,7 +103,7 @@
   string body;
   MSGPACK_DEFINE(status, body)
 };
-/// A call of a worker or an operator, handed on to the owner of its shelf.
+/// A call of a worker or an operator, handed on to the owner of its keyspace.
 struct ForwardCall {
   using Reply = CallReply;
   static constexpr Method method = Method::forwardCall;
@@ -114,7 +114,7 @@
 
 enum class LotState : int { taking = 0, accepted = 1, ended = 2 };
 
-/// A lot as its keeper records it; its two segments carry one stamp.
+/// A lot as its coordinator records it; its two segments carry one stamp.
 struct LotRecord {
   string id, host, route, service;
   std::uint64_t tokens = 0, total = 0, tries = 1;
@@ -192,7 +192,7 @@
   std::uint64_t life = 0, rev = 0;
   vector<LotRecord> lots;     ///< changed since the version asked with
   vector<ReplicaMark> drops;  ///< stale replicas to delete, with the stamp up to which
-  vector<string> owned;       ///< shelves that this control node owns
+  vector<string> owned;       ///< keyspaces that this control node owns
   vector<Member> members;
   MSGPACK_DEFINE(ok, fenced, life, rev, lots, drops, owned, members)
 };
@@ -215,7 +215,7 @@
   MSGPACK_DEFINE(store)
 };
 
-/// Asks the owner of a shelf how many lots rely on a store.
+/// Asks the owner of a keyspace how many lots rely on a store.
 struct RelyCountReply {
   std::uint64_t lots = 0;
   MSGPACK_DEFINE(lots)
--- a/wire/rpc.hpp
+++ b/wire/rpc.hpp
@@ -5,12 +5,12 @@
 
 /// Messages between the system's own processes; the number is the wire's.
 enum class Method : std::uint16_t {
-  registryMail = 1,
-  ping = 2,
+  consensusMessages = 1,
+  heartbeat = 2,
   hello = 3,
   copyAll = 4,
-  joinGroup = 5,
-  news = 6,
+  join = 5,
+  updates = 6,
   forwardCall = 10,
   beatRelay = 11,
   storeBeat = 20,
--- a/registry/health.cpp
+++ b/workers/worker_health.cpp
@@ -1,4 +1,4 @@
-#include "registry/health.hpp"
+#include "workers/worker_health.hpp"
 
 #include <cmath>
 
@@ -76,7 +76,7 @@
   std::erase_if(rests_, [&](auto const& p) { return !live.count(p.first); });
   vector<std::pair<string, bool>> out;
   for (Worker const& w : all) {
-    if (w.gone || w.lost || w.hearer != self) continue;
+    if (w.gone || w.lost || w.registrar != self) continue;
     Service& v = services[w.service];
     Rest& r = rests_[w.id];
     if (w.resting) {
--- a/registry/workers.cpp
+++ b/workers/worker_registry.cpp
@@ -1,4 +1,4 @@
-#include "registry/workers.hpp"
+#include "workers/worker_registry.hpp"
 
 #include <rapidjson/document.h>
 
@@ -14,27 +14,27 @@
   if (i == rows_.end()) {
     if (w.lost) return false;
     rows_[w.id] = {w, now, ++rev_, false};
-    if (w.hearer == self_) fresh_.push_back(w);
+    if (w.registrar == self_) fresh_.push_back(w);
     return true;
   }
   Row& r = i->second;
   if (w.lost) {
     // Only the one that hears a worker can lose it.
-    if (r.lost || r.w.gone || r.w.hearer != w.hearer || w.callCount < r.w.callCount) return false;
+    if (r.lost || r.w.gone || r.w.registrar != w.registrar || w.callCount < r.w.callCount) return false;
     r.lost = true;
     r.rev = ++rev_;
     return true;
   }
   if (r.w.gone && !w.gone) return false;
-  // A beat that the worker sent carries no turn; what its hearer judged stays.
+  // A beat that the worker sent carries no turn; what its registrar judged stays.
   std::uint64_t const turn = std::max(w.turn, r.w.turn);
   bool const resting = w.turn >= r.w.turn && w.turn ? w.resting : r.w.resting;
   if (!w.gone && w.callCount <= r.w.callCount && turn == r.w.turn) return false;
   if (w.gone && r.w.gone) return false;
   bool const draining = r.w.draining || w.draining;
-  bool const news = r.lost || w.gone != r.w.gone || draining != r.w.draining || w.at != r.w.at ||
-                    w.service != r.w.service || w.capacity != r.w.capacity || resting != r.w.resting;
-  bool const moved = w.hearer != r.w.hearer;
+  bool const updated = r.lost || w.gone != r.w.gone || draining != r.w.draining || w.at != r.w.at ||
+                       w.service != r.w.service || w.capacity != r.w.capacity || resting != r.w.resting;
+  bool const moved = w.registrar != r.w.registrar;
   std::uint64_t const count = std::max(w.callCount, r.w.callCount);
   r.w = w;
   r.w.callCount = count;
@@ -43,26 +43,26 @@
   r.w.resting = resting;
   r.at = now;
   r.lost = false;
-  if (news) r.rev = ++rev_;
-  if ((news || moved) && w.hearer == self_) fresh_.push_back(r.w);
-  return news;
+  if (updated) r.rev = ++rev_;
+  if ((updated || moved) && w.registrar == self_) fresh_.push_back(r.w);
+  return updated;
 }
 
 bool WorkerTable::mergeAll(vector<Worker> const& ws, Identity from, Moment now) {
-  bool news = false;
+  bool updated = false;
   std::set<string> named;
   for (Worker const& w : ws) {
     named.insert(w.id);
-    news = merge(w, now) || news;
+    updated = merge(w, now) || updated;
   }
   for (std::pair<string const, Row>& p : rows_) {
     Row& r = p.second;
-    if (r.lost || r.w.gone || r.w.hearer != from || named.count(p.first)) continue;
+    if (r.lost || r.w.gone || r.w.registrar != from || named.count(p.first)) continue;
     r.lost = true;
     r.rev = ++rev_;
-    news = true;
+    updated = true;
   }
-  return news;
+  return updated;
 }
 
 void WorkerTable::rest(string const& id, bool resting) {
@@ -74,9 +74,9 @@
   fresh_.push_back(i->second.w);
 }
 
-void WorkerTable::alive(Identity hearer, Moment now) {
+void WorkerTable::alive(Identity registrar, Moment now) {
   for (std::pair<string const, Row>& p : rows_)
-    if (p.second.w.hearer == hearer) p.second.at = now;
+    if (p.second.w.registrar == registrar) p.second.at = now;
 }
 
 bool WorkerTable::sweep(Moment now) {
@@ -92,7 +92,7 @@
     r.lost = true;
     r.rev = ++rev_;
     any = true;
-    if (r.w.hearer != self_) continue;
+    if (r.w.registrar != self_) continue;
     fresh_.push_back(r.w);
     fresh_.back().lost = true;
   }
--- a/registry/workers.hpp
+++ b/workers/worker_registry.hpp
@@ -5,7 +5,7 @@
 
 /// The register of workers at one control node; no input or output of its own. The control node
 /// that hears a worker's beats tells the others of transitions only; they hold the worker for
-/// living as long as its hearer lives and doesn't say that it lost it.
+/// living as long as its registrar lives and doesn't say that it lost it.
 class WorkerTable {
  public:
   explicit WorkerTable(Ms forgetAfter, Identity self = Identity()) : forget_(forgetAfter), self_(self) {}
@@ -16,7 +16,7 @@
   /// A worker heard here begins or ends a rest.
   void rest(string const& id, bool resting);
   /// Another control node lives, and so do the workers that it hears.
-  void alive(Identity hearer, Moment now);
+  void alive(Identity registrar, Moment now);
   /// True if the beat is late: a newer one of this life was taken.
   bool late(Worker const& w) const;
   /// Marks workers as lost whose beats are missing, and forgets ended ones in time; true if any was lost.
