--- a/apps/data_plane.cpp
+++ b/apps/data_plane.cpp
@@ -1,6 +1,6 @@
 #include "apps/run.hpp"
+#include "edge/edge_node.hpp"
 #include "lots/store_node.hpp"
-#include "traffic/edge_node.hpp"
 
 #include <CLI/CLI.hpp>
 
--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -25,7 +25,7 @@
         });
     for (string const& r : log_->found().records) table_.merge(unpacked<Worker>(r), Clock::now());
     table_.fresh();
-    noted_ = table_.rev();
+    noted_ = table_.revision();
     log_->forget();
   }
   publisher_.proof = [this] {
@@ -86,7 +86,7 @@
 void ControlNode::note() {
   if (!log_) return;
   for (Worker const& w : table_.all(noted_)) log_->append(packed(w));
-  noted_ = table_.rev();
+  noted_ = table_.revision();
   log_->synced([] {});
 }
 
@@ -104,7 +104,7 @@
     x.turn = 0;
     publisher_.common.put("w/" + w.id, packed(x));
   }
-  publishedRevision_ = table_.rev();
+  publishedRevision_ = table_.revision();
   Membership const& g = driver_.consensus().membership();
   membershipNumber_ = g.no;
   std::set<string> named;
--- a/control/control_node.hpp
+++ b/control/control_node.hpp
@@ -43,7 +43,7 @@
   Rpc rpc_;
   Driver driver_;
   LotCoordinator coordinator_;
-  WorkerTable table_;
+  WorkerRegistry table_;
   RpcServer server_;
   HttpServer http_;
   Moment started_ = Clock::now();
--- a/control/worker_exchange.cpp
+++ b/control/worker_exchange.cpp
@@ -48,12 +48,13 @@
 
 void ControlNode::judge() {
   health_.note(publisher_.takeTallies(), Clock::now());
-  vector<std::pair<string, bool>> const l = health_.judge(table_.all(), driver_.consensus().self().id, Clock::now());
-  for (std::pair<string, bool> const& p : l) {
-    table_.rest(p.first, p.second);
-    tell("workers", p.first + (p.second ? " fails more than its like and rests" : " is tried again"));
+  vector<WorkerHealth::RestChange> const changes =
+      health_.judge(table_.all(), driver_.consensus().self().id, Clock::now());
+  for (WorkerHealth::RestChange const& change : changes) {
+    table_.rest(change.worker, change.resting);
+    tell("workers", change.worker + (change.resting ? " fails more than its like and rests" : " is tried again"));
   }
-  if (!l.empty()) changed();
+  if (!changes.empty()) changed();
 }
 
 void ControlNode::listNodes() {
--- a/traffic/carry_out.cpp
+++ b/edge/carry_out.cpp
@@ -1,4 +1,4 @@
-#include "traffic/edge_node.hpp"
+#include "edge/edge_node.hpp"
 
 namespace tealshelf {
 
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -37,11 +37,11 @@
     a.heard(Identity(2), b.report(now), now);
     b.heard(Identity(1), a.report(now), now);
     for (std::uint64_t n : {1, 2})
-      for (std::pair<string, bool> const& p : (n == 1 ? a : b).judge(all, Identity(n), now))
+      for (WorkerHealth::RestChange const& change : (n == 1 ? a : b).judge(all, Identity(n), now))
         for (Worker& w : all)
-          if (w.id == p.first) {
-            w.resting = p.second;
-            if (p.second) rested.push_back(w.id);
+          if (w.id == change.worker) {
+            w.resting = change.resting;
+            if (change.resting) rested.push_back(w.id);
           }
     now += Ms(200);
   }
@@ -114,7 +114,7 @@
   CHECK(a.judge(all, Identity(1), now).empty());
 }
 TEST(health, aRestIsTheRegistrarsWordAndOutlivesBeats) {
-  WorkerTable a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
+  WorkerRegistry a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
   Worker w = fleet(1)[0];
   w.callCount = 1;
   a.merge(w, now);
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -61,7 +61,7 @@
 }
 
 TEST_GROUP(workers) {
-  WorkerTable t{Ms(3600)};
+  WorkerRegistry t{Ms(3600)};
   Moment now = Moment() + std::chrono::hours(1);
   static Worker worker(std::uint64_t count, bool draining = false) {
     Worker w;
@@ -93,7 +93,7 @@
 }
 TEST(workers, lostOnesComeBackWithABeat) {
   t.merge(worker(1), now);
-  std::uint64_t const rev = t.rev();
+  std::uint64_t const rev = t.revision();
   CHECK(t.sweep(now + Ms(4000)));
   CHECK(t.since(rev)[0].gone);
   CHECK_TEXT(t.all().empty(), "what is merely lost must not be noted as gone");
@@ -103,7 +103,7 @@
 
 /// Several registers that tell each other only transitions, as control nodes do.
 TEST(workers, onlyTheRegistrarTellsAndLoses) {
-  WorkerTable a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
+  WorkerRegistry a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
   Worker w = worker(1);
   w.registrar = Identity(1);
   CHECK(a.merge(w, now));
@@ -142,7 +142,7 @@
   CHECK(a.all().empty() && b.all().empty());
 }
 TEST(workers, aWholeRegisterMendsAGap) {
-  WorkerTable a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
+  WorkerRegistry a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
   for (int i = 0; i < 5; ++i) {
     Worker w = worker(1);
     w.id = "i-" + std::to_string(i);
--- a/workers/worker_health.cpp
+++ b/workers/worker_health.cpp
@@ -4,100 +4,112 @@
 
 namespace tealshelf {
 
-void WorkerHealth::fade(Sum& s, Moment now) const {
-  if (s.at == Moment()) {
-    s.at = now;
+namespace {
+constexpr double mostTold = 1e6;      ///< a tally above this is no tally
+constexpr double worthTelling = 0.5;  ///< failures below this are not told to other control nodes
+constexpr int mostTurns = 4;          ///< a rest doubles so often at the most
+constexpr int forgetTurns = 8;        ///< after so many spans without a rest the next one is short again
+}  // namespace
+
+void WorkerHealth::fade(Tally& tally, Moment now) const {
+  if (tally.at == Moment()) {
+    tally.at = now;
     return;
   }
-  double const f =
-      std::exp2(-std::chrono::duration<double>(now - s.at).count() / std::chrono::duration<double>(span_).count());
-  s.ok *= f;
-  s.bad *= f;
-  s.at = now;
+  std::chrono::duration<double> const age = now - tally.at;
+  double const factor = std::exp2(-age / std::chrono::duration<double>(span_));
+  tally.ok *= factor;
+  tally.bad *= factor;
+  tally.at = now;
 }
 
-void WorkerHealth::note(vector<WorkerTally> const& l, Moment now) {
-  for (WorkerTally const& t : l) {
-    if (!(t.ok >= 0) || !(t.bad >= 0) || t.ok > 1e6 || t.bad > 1e6) continue;
-    Sum& s = own_[t.id];
-    fade(s, now);
-    s.ok += t.ok;
-    s.bad += t.bad;
+void WorkerHealth::note(vector<WorkerTally> const& tallies, Moment now) {
+  for (WorkerTally const& told : tallies) {
+    bool const sound = told.ok >= 0 && told.bad >= 0 && told.ok <= mostTold && told.bad <= mostTold;
+    if (!sound) continue;
+    Tally& tally = own_[told.id];
+    fade(tally, now);
+    tally.ok += told.ok;
+    tally.bad += told.bad;
   }
 }
 
-void WorkerHealth::heard(Identity from, vector<WorkerTally> const& l, Moment now) {
-  std::pair<std::map<string, Sum>, Moment>& p = others_[from];
-  p.first.clear();
-  p.second = now;
-  for (WorkerTally const& t : l) p.first[t.id] = Sum{t.ok, t.bad, now};
+void WorkerHealth::heard(Identity from, vector<WorkerTally> const& tallies, Moment now) {
+  PeerReport& report = peers_[from];
+  report.at = now;
+  report.tallies.clear();
+  for (WorkerTally const& told : tallies) report.tallies[told.id] = Tally{told.ok, told.bad, now};
 }
 
 vector<WorkerTally> WorkerHealth::report(Moment now) const {
-  vector<WorkerTally> v;
-  for (std::pair<string const, Sum> const& p : own_) {
-    Sum s = p.second;
-    fade(s, now);
-    if (s.bad > 0.5) v.push_back({p.first, s.ok, s.bad});
+  vector<WorkerTally> out;
+  for (std::pair<string const, Tally> const& entry : own_) {
+    Tally tally = entry.second;
+    fade(tally, now);
+    if (tally.bad > worthTelling) out.push_back({entry.first, tally.ok, tally.bad});
   }
-  return v;
+  return out;
 }
 
-vector<std::pair<string, bool>> WorkerHealth::judge(vector<Worker> const& all, Identity self, Moment now) {
-  struct Service {
-    double ok = 0, bad = 0;
-    std::size_t workers = 0, resting = 0;
-  };
-  std::map<string, Service> services;
-  std::map<string, Sum> sums;
-  std::set<string> live;
-  std::erase_if(others_, [&](auto const& p) { return now - p.second.second > span_; });
-  for (Worker const& w : all) {
-    if (w.gone || w.lost) continue;
-    live.insert(w.id);
-    Sum s;
-    if (std::map<string, Sum>::iterator const i = own_.find(w.id); i != own_.end()) {
-      fade(i->second, now);
-      s = i->second;
-    }
-    for (auto const& o : others_)
-      if (std::map<string, Sum>::const_iterator const i = o.second.first.find(w.id); i != o.second.first.end()) {
-        s.ok += i->second.ok;
-        s.bad += i->second.bad;
-      }
-    sums[w.id] = s;
-    Service& v = services[w.service];
-    v.ok += s.ok;
-    v.bad += s.bad;
-    ++v.workers;
-    v.resting += w.resting;
+WorkerHealth::Tally WorkerHealth::totalOf(string const& worker, Moment now) {
+  Tally total;
+  if (std::map<string, Tally>::iterator const own = own_.find(worker); own != own_.end()) {
+    fade(own->second, now);
+    total = own->second;
+  }
+  for (std::pair<Identity const, PeerReport> const& peer : peers_) {
+    std::map<string, Tally>::const_iterator const told = peer.second.tallies.find(worker);
+    if (told == peer.second.tallies.end()) continue;
+    total.ok += told->second.ok;
+    total.bad += told->second.bad;
+  }
+  return total;
+}
+
+/// True if a worker failed more than the others of its service, and enough to tell.
+bool WorkerHealth::failsTooMuch(Tally const& tally, Tally const& service) const {
+  if (tally.total() < rule_.enough || tally.bad < rule_.failed) return false;
+  double const others = service.total() - tally.total();
+  double const mean = others > 0 ? (service.bad - tally.bad) / others : 0;
+  double const bound = std::max(rule_.least, std::min(rule_.sure, rule_.times * mean));
+  return tally.bad / tally.total() >= bound;
+}
+
+vector<WorkerHealth::RestChange> WorkerHealth::judge(vector<Worker> const& workers, Identity self, Moment now) {
+  std::erase_if(peers_, [&](auto const& peer) { return now - peer.second.at > span_; });
+  std::map<string, ServiceTotal> services;
+  std::map<string, Tally> tallies;
+  for (Worker const& worker : workers) {
+    if (worker.gone || worker.lost) continue;
+    Tally const tally = totalOf(worker.id, now);
+    tallies[worker.id] = tally;
+    ServiceTotal& service = services[worker.service];
+    service.tally.ok += tally.ok;
+    service.tally.bad += tally.bad;
+    ++service.workers;
+    service.resting += worker.resting;
   }
-  std::erase_if(own_, [&](auto const& p) { return !live.count(p.first); });
-  std::erase_if(rests_, [&](auto const& p) { return !live.count(p.first); });
-  vector<std::pair<string, bool>> out;
-  for (Worker const& w : all) {
-    if (w.gone || w.lost || w.registrar != self) continue;
-    Service& v = services[w.service];
-    Rest& r = rests_[w.id];
-    if (w.resting) {
-      if (now < r.until) continue;
+  std::erase_if(own_, [&](auto const& entry) { return !tallies.count(entry.first); });
+  std::erase_if(rests_, [&](auto const& entry) { return !tallies.count(entry.first); });
+  vector<RestChange> out;
+  for (Worker const& worker : workers) {
+    if (worker.gone || worker.lost || worker.registrar != self) continue;
+    Rest& rest = rests_[worker.id];
+    if (worker.resting) {
+      if (now < rest.until) continue;
       // Probation: what was seen before the rest no longer counts.
-      own_.erase(w.id);
-      r.ended = now;
-      out.emplace_back(w.id, false);
+      own_.erase(worker.id);
+      rest.ended = now;
+      out.push_back({worker.id, false});
       continue;
     }
-    Sum const& s = sums[w.id];
-    double const n = s.ok + s.bad, rest = v.ok + v.bad - n;
-    double const mean = rest > 0 ? (v.bad - s.bad) / rest : 0;
-    if (n < rule_.enough || s.bad < rule_.failed ||
-        s.bad / n < std::max(rule_.least, std::min(rule_.sure, rule_.times * mean)))
-      continue;
-    if (static_cast<double>(v.resting + 1) > rule_.most * static_cast<double>(v.workers)) continue;
-    ++v.resting;
-    r.turns = now - r.ended < 8 * span_ ? std::min(r.turns + 1, 4) : 0;
-    r.until = now + span_ * (1 << r.turns);
-    out.emplace_back(w.id, true);
+    ServiceTotal& service = services[worker.service];
+    if (!failsTooMuch(tallies[worker.id], service.tally)) continue;
+    if (static_cast<double>(service.resting + 1) > rule_.most * static_cast<double>(service.workers)) continue;
+    ++service.resting;
+    rest.turns = now - rest.ended < forgetTurns * span_ ? std::min(rest.turns + 1, mostTurns) : 0;
+    rest.until = now + span_ * (1 << rest.turns);
+    out.push_back({worker.id, true});
   }
   return out;
 }
--- a/workers/worker_registry.cpp
+++ b/workers/worker_registry.cpp
@@ -4,119 +4,121 @@
 
 namespace tealshelf {
 
-bool WorkerTable::late(Worker const& w) const {
+bool WorkerRegistry::late(Worker const& w) const {
   std::map<string, Row>::const_iterator const i = rows_.find(w.id);
-  return i != rows_.end() && (i->second.w.gone ? !w.gone : i->second.w.callCount > w.callCount);
+  return i != rows_.end() && (i->second.worker.gone ? !w.gone : i->second.worker.callCount > w.callCount);
 }
 
-bool WorkerTable::merge(Worker const& w, Moment now) {
+bool WorkerRegistry::merge(Worker const& w, Moment now) {
   std::map<string, Row>::iterator const i = rows_.find(w.id);
   if (i == rows_.end()) {
     if (w.lost) return false;
-    rows_[w.id] = {w, now, ++rev_, false};
+    rows_[w.id] = {w, now, ++revision_, false};
     if (w.registrar == self_) fresh_.push_back(w);
     return true;
   }
-  Row& r = i->second;
+  Row& row = i->second;
   if (w.lost) {
     // Only the one that hears a worker can lose it.
-    if (r.lost || r.w.gone || r.w.registrar != w.registrar || w.callCount < r.w.callCount) return false;
-    r.lost = true;
-    r.rev = ++rev_;
+    if (row.lost || row.worker.gone || row.worker.registrar != w.registrar || w.callCount < row.worker.callCount)
+      return false;
+    row.lost = true;
+    row.revision = ++revision_;
     return true;
   }
-  if (r.w.gone && !w.gone) return false;
+  if (row.worker.gone && !w.gone) return false;
   // A beat that the worker sent carries no turn; what its registrar judged stays.
-  std::uint64_t const turn = std::max(w.turn, r.w.turn);
-  bool const resting = w.turn >= r.w.turn && w.turn ? w.resting : r.w.resting;
-  if (!w.gone && w.callCount <= r.w.callCount && turn == r.w.turn) return false;
-  if (w.gone && r.w.gone) return false;
-  bool const draining = r.w.draining || w.draining;
-  bool const updated = r.lost || w.gone != r.w.gone || draining != r.w.draining || w.at != r.w.at ||
-                       w.service != r.w.service || w.capacity != r.w.capacity || resting != r.w.resting;
-  bool const moved = w.registrar != r.w.registrar;
-  std::uint64_t const count = std::max(w.callCount, r.w.callCount);
-  r.w = w;
-  r.w.callCount = count;
-  r.w.draining = draining;
-  r.w.turn = turn;
-  r.w.resting = resting;
-  r.at = now;
-  r.lost = false;
-  if (updated) r.rev = ++rev_;
-  if ((updated || moved) && w.registrar == self_) fresh_.push_back(r.w);
+  std::uint64_t const turn = std::max(w.turn, row.worker.turn);
+  bool const resting = w.turn >= row.worker.turn && w.turn ? w.resting : row.worker.resting;
+  if (!w.gone && w.callCount <= row.worker.callCount && turn == row.worker.turn) return false;
+  if (w.gone && row.worker.gone) return false;
+  bool const draining = row.worker.draining || w.draining;
+  bool const updated = row.lost || w.gone != row.worker.gone || draining != row.worker.draining ||
+                       w.at != row.worker.at || w.service != row.worker.service || w.capacity != row.worker.capacity ||
+                       resting != row.worker.resting;
+  bool const moved = w.registrar != row.worker.registrar;
+  std::uint64_t const count = std::max(w.callCount, row.worker.callCount);
+  row.worker = w;
+  row.worker.callCount = count;
+  row.worker.draining = draining;
+  row.worker.turn = turn;
+  row.worker.resting = resting;
+  row.heardAt = now;
+  row.lost = false;
+  if (updated) row.revision = ++revision_;
+  if ((updated || moved) && w.registrar == self_) fresh_.push_back(row.worker);
   return updated;
 }
 
-bool WorkerTable::mergeAll(vector<Worker> const& ws, Identity from, Moment now) {
+bool WorkerRegistry::mergeAll(vector<Worker> const& workers, Identity from, Moment now) {
   bool updated = false;
   std::set<string> named;
-  for (Worker const& w : ws) {
+  for (Worker const& w : workers) {
     named.insert(w.id);
     updated = merge(w, now) || updated;
   }
   for (std::pair<string const, Row>& p : rows_) {
-    Row& r = p.second;
-    if (r.lost || r.w.gone || r.w.registrar != from || named.count(p.first)) continue;
-    r.lost = true;
-    r.rev = ++rev_;
+    Row& row = p.second;
+    if (row.lost || row.worker.gone || row.worker.registrar != from || named.count(p.first)) continue;
+    row.lost = true;
+    row.revision = ++revision_;
     updated = true;
   }
   return updated;
 }
 
-void WorkerTable::rest(string const& id, bool resting) {
+void WorkerRegistry::rest(string const& id, bool resting) {
   std::map<string, Row>::iterator const i = rows_.find(id);
-  if (i == rows_.end() || i->second.w.resting == resting) return;
-  i->second.w.resting = resting;
-  ++i->second.w.turn;
-  i->second.rev = ++rev_;
-  fresh_.push_back(i->second.w);
+  if (i == rows_.end() || i->second.worker.resting == resting) return;
+  i->second.worker.resting = resting;
+  ++i->second.worker.turn;
+  i->second.revision = ++revision_;
+  fresh_.push_back(i->second.worker);
 }
 
-void WorkerTable::alive(Identity registrar, Moment now) {
+void WorkerRegistry::alive(Identity registrar, Moment now) {
   for (std::pair<string const, Row>& p : rows_)
-    if (p.second.w.registrar == registrar) p.second.at = now;
+    if (p.second.worker.registrar == registrar) p.second.heardAt = now;
 }
 
-bool WorkerTable::sweep(Moment now) {
+bool WorkerRegistry::sweep(Moment now) {
   bool any = false;
   for (std::map<string, Row>::iterator i = rows_.begin(); i != rows_.end();) {
-    Row& r = i->second;
-    if ((r.w.gone || r.lost) && now - r.at > 16 * forget_) {
+    Row& row = i->second;
+    if ((row.worker.gone || row.lost) && now - row.heardAt > 16 * forget_) {
       i = rows_.erase(i);
       continue;
     }
     ++i;
-    if (r.lost || r.w.gone || now - r.at <= forget_) continue;
-    r.lost = true;
-    r.rev = ++rev_;
+    if (row.lost || row.worker.gone || now - row.heardAt <= forget_) continue;
+    row.lost = true;
+    row.revision = ++revision_;
     any = true;
-    if (r.w.registrar != self_) continue;
-    fresh_.push_back(r.w);
+    if (row.worker.registrar != self_) continue;
+    fresh_.push_back(row.worker);
     fresh_.back().lost = true;
   }
   return any;
 }
 
-vector<Worker> WorkerTable::since(std::uint64_t rev) const {
+vector<Worker> WorkerRegistry::since(std::uint64_t revision) const {
   vector<Worker> v;
   for (std::pair<string const, Row> const& p : rows_) {
-    if (p.second.rev <= rev) continue;
-    v.push_back(p.second.w);
+    if (p.second.revision <= revision) continue;
+    v.push_back(p.second.worker);
     if (p.second.lost) v.back().gone = true;
   }
   return v;
 }
-vector<Worker> WorkerTable::all(std::uint64_t since) const {
+vector<Worker> WorkerRegistry::all(std::uint64_t since) const {
   vector<Worker> v;
   for (std::pair<string const, Row> const& p : rows_)
-    if (!p.second.lost && p.second.rev > since) v.push_back(p.second.w);
+    if (!p.second.lost && p.second.revision > since) v.push_back(p.second.worker);
   return v;
 }
-Worker const* WorkerTable::find(string const& id) const {
+Worker const* WorkerRegistry::find(string const& id) const {
   std::map<string, Row>::const_iterator const i = rows_.find(id);
-  return i == rows_.end() ? nullptr : &i->second.w;
+  return i == rows_.end() ? nullptr : &i->second.worker;
 }
 
 Worker readBeat(string const& id, string const& body) {
--- a/workers/worker_registry.hpp
+++ b/workers/worker_registry.hpp
@@ -3,16 +3,16 @@
 
 namespace tealshelf {
 
-/// The register of workers at one control node; no input or output of its own. The control node
-/// that hears a worker's beats tells the others of transitions only; they hold the worker for
-/// living as long as its registrar lives and doesn't say that it lost it.
-class WorkerTable {
+/// The workers that one control node knows of; no input or output of its own. The control node that
+/// receives a worker's heartbeats, its registrar, tells the others of transitions only; they take the worker
+/// for alive as long as its registrar is alive and doesn't say that it lost it.
+class WorkerRegistry {
  public:
-  explicit WorkerTable(Ms forgetAfter, Identity self = Identity()) : forget_(forgetAfter), self_(self) {}
+  explicit WorkerRegistry(Ms forgetAfter, Identity self = Identity()) : forget_(forgetAfter), self_(self) {}
   /// Takes a row in, own beat or another's word; true if data-plane nodes should hear of it.
   bool merge(Worker const& w, Moment now);
-  /// Takes the whole register of another control node in: what it should hear but doesn't name is lost.
-  bool mergeAll(vector<Worker> const& ws, Identity from, Moment now);
+  /// Takes the whole registry of another control node in: what it should hear but doesn't name is lost.
+  bool mergeAll(vector<Worker> const& workers, Identity from, Moment now);
   /// A worker heard here begins or ends a rest.
   void rest(string const& id, bool resting);
   /// Another control node lives, and so do the workers that it hears.
@@ -21,27 +21,27 @@
   bool late(Worker const& w) const;
   /// Marks workers as lost whose beats are missing, and forgets ended ones in time; true if any was lost.
   bool sweep(Moment now);
-  vector<Worker> since(std::uint64_t rev) const;
-  /// The register without the lost ones; the gone ones stand in it so that they don't come back.
+  vector<Worker> since(std::uint64_t revision) const;
+  /// The registry without the lost ones; the gone ones stand in it so that they don't come back.
   vector<Worker> all(std::uint64_t since = 0) const;
   /// Transitions since the last call, for the other control nodes.
   vector<Worker> fresh() { return std::exchange(fresh_, {}); }
   Worker const* find(string const& id) const;
-  std::uint64_t rev() const { return rev_; }
+  std::uint64_t revision() const { return revision_; }
   std::size_t size() const { return rows_.size(); }
 
  private:
   struct Row {
-    Worker w;
-    Moment at;
-    std::uint64_t rev = 0;
+    Worker worker;
+    Moment heardAt;
+    std::uint64_t revision = 0;
     bool lost = false;
   };
   Ms forget_;
   Identity self_;
   std::map<string, Row> rows_;
   vector<Worker> fresh_;
-  std::uint64_t rev_ = 0;
+  std::uint64_t revision_ = 0;
 };
 
 /// Reads the body of a beat; throws badBeat.
