--- a/lots/run_items.cpp
+++ b/lots/run_items.cpp
@@ -118,6 +118,7 @@
   } else {
     if (std::optional<std::array<std::uint64_t, 3>> const b = x.load()) balance_.told(id, *b);
     int const status = x.status();
+    if (status == 200 && !x.sealed()) x.cut();
     string body;
     Piece p = Piece::some;
     while (p == Piece::some) {
--- a/traffic/carry_out.cpp
+++ b/traffic/carry_out.cpp
@@ -12,6 +12,16 @@
 }
 }  // namespace
 
+/// True if a worker's answer may go to the client as it is. 408, 421, 429 and 503 would promise that the
+/// request never runs, which the worker didn't say; a success counts only with the worker's seal; and
+/// nothing but more events may follow a stream's head.
+bool EdgeNode::mayPass(ClientConnection const& p, Plan const& l, Exchange const& x) const {
+  int const s = x.status();
+  if (s == 408 || s == 421 || s == 429 || s == 503) return false;
+  if (s < 300 && !x.sealed()) return false;
+  return !p.headSent || (l.streams && s == 200);
+}
+
 Task<void> EdgeNode::carryOut(ConnectionPtr p, Ask const& q, Plan l) {
   std::set<string> tried;
   std::uint64_t sends = 0;
@@ -77,40 +87,28 @@
         if (std::optional<std::array<std::uint64_t, 3>> const b = x.load()) balance_.told(id, *b);
         int const s = x.status();
         if (s >= 500) view_.tally(id, false);
-        bool const promise = s == 408 || s == 421 || s == 429 || s == 503;
-        if (promise || (l.mayRepeat && s >= 500 && sends < l.tries)) {
+        bool const again = l.mayRepeat && s >= 500 && sends < l.tries;
+        bool const passes = !again && mayPass(*p, l, x);
+        bool ended = false;
+        if (passes && l.streams && s == 200)
+          ended = co_await relay(p, l, x, ev, l.deadline);
+        else if (passes)
+          ended = co_await passWhole(p, l, x);
+        if (!ended) {
+          if (passes) balance_.broke(id, false);
+          if (passes) view_.tally(id, false);
+          x.cut();
           mayHaveRun = true;
           why = Code::workerBroke;
           over = !l.mayRepeat;
-          x.cut();
-        } else if (l.streams && s == 200) {
-          over = co_await relay(p, l, x, ev, l.deadline);
-          if (!over) {
-            balance_.broke(id, false);
-            view_.tally(id, false);
-            mayHaveRun = true;
-            why = Code::workerBroke;
-            over = !l.mayRepeat;
-          }
-        } else {
-          over = co_await passWhole(p, l, x);
-          if (!over) {
-            balance_.broke(id, false);
-            view_.tally(id, false);
-            mayHaveRun = true;
-            why = Code::workerBroke;
-            over = !l.mayRepeat;
-          }
+          break;
         }
-        if (over && p->headSent) {
-          balance_.ended(id);
-          if (p->keep && s < 500) {
-            balance_.well(id);
-            view_.tally(id, true);
-          }
-          co_return;
+        balance_.ended(id);
+        if (p->keep && s < 500) {
+          balance_.well(id);
+          view_.tally(id, true);
         }
-        break;
+        co_return;
       }
     }
     balance_.ended(id);
--- a/traffic/edge_node.hpp
+++ b/traffic/edge_node.hpp
@@ -42,6 +42,7 @@
   Task<void> carryOut(ConnectionPtr p, Ask const& q, Plan plan);
   /// One worker's part of a streaming request; true once nothing more is to be done.
   Task<bool> relay(ConnectionPtr p, Plan const& plan, Exchange& x, EventReader& ev, Moment until);
+  bool mayPass(ClientConnection const& p, Plan const& plan, Exchange const& x) const;
   Task<bool> passWhole(ConnectionPtr p, Plan const& plan, Exchange& x);
   Ask forWorker(Ask const& q, Plan const& plan, Worker const& w, EventReader const& ev) const;
   Task<void> answer(ConnectionPtr p, Error const& x);
--- a/traffic/exchange.cpp
+++ b/traffic/exchange.cpp
@@ -4,23 +4,29 @@
 
 namespace tealshelf {
 
-std::unique_ptr<WorkerConnection> Pools::take(Worker const& w, bool mayRepeat) {
+bool WorkerConnection::quiet() {
+  if (!sock.is_open() || buf.size()) return false;
+  char c = 0;
+  ssize_t const n = ::recv(sock.native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
+  return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+}
+bool WorkerConnection::failedHere(string_view attempt) const {
+  return std::find(failed.begin(), failed.end(), hashOf(attempt)) != failed.end();
+}
+
+std::unique_ptr<WorkerConnection> Pools::take(Worker const& w, bool mayRepeat, string_view attempt) {
   vector<std::unique_ptr<WorkerConnection>>& v = idle_[w.id];
-  while (!v.empty()) {
-    std::unique_ptr<WorkerConnection> p = std::move(v.back());
-    v.pop_back();
+  // The one given back last lies at the end; before it are only older ones.
+  for (std::size_t n = v.size(); n-- > 0;) {
     Moment const now = Clock::now();
-    if (now >= p->keepUntil) continue;
-    // The one given back last lies on top; below it are only older ones, which others may use.
-    if (!mayRepeat && now - p->idleSince > age_.trusted()) {
-      v.push_back(std::move(p));
-      break;
-    }
-    char c = 0;
-    ssize_t const n = ::recv(p->sock.native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return p;
+    bool const over = now >= v[n]->keepUntil;
+    if (!over && !mayRepeat && now - v[n]->idleSince > age_.trusted()) break;
+    if (!over && v[n]->failedHere(attempt)) continue;
+    std::unique_ptr<WorkerConnection> p = std::move(v[n]);
+    v.erase(v.begin() + static_cast<std::ptrdiff_t>(n));
+    if (!over && p->quiet()) return p;
   }
-  return std::make_unique<WorkerConnection>(io_);
+  return create();
 }
 void Pools::give(string const& id, std::unique_ptr<WorkerConnection> p) {
   p->idleSince = Clock::now();
@@ -68,68 +74,124 @@
   return a;
 }
 
+Owner ownerOf(http::fields const& head, string_view attempt, bool onlyRequest) {
+  std::pair<http::fields::const_iterator, http::fields::const_iterator> const ids = head.equal_range("Attempt-Id");
+  if (ids.first == ids.second) return onlyRequest ? Owner::ours : Owner::doubtful;
+  if (std::next(ids.first) != ids.second) return Owner::doubtful;
+  beast::string_view const id = ids.first->value();
+  if (id.empty()) return Owner::doubtful;
+  return string_view(id.data(), id.size()) == attempt ? Owner::ours : Owner::another;
+}
+
+bool Exchange::refused() const {
+  return headText("Not-Run") == "1" || status() == 421;
+}
+
+Verdict Exchange::doubt() {
+  bool const timeUp = guard_ && guard_->fired();
+  cut();
+  return timeUp ? Verdict::timeUp : Verdict::unclear;
+}
+
 Task<Verdict> Exchange::start(Ask const& q, string attempt, Moment until) {
-  conn_ = pools_.take(worker_, mayRepeat_);
+  // Without an id nothing but an unused connection tells whose an answer is.
+  attempt_ = std::move(attempt);
+  conn_ = attempt_.empty() ? pools_.create() : pools_.take(worker_, mayRepeat_, attempt_);
   fresh_ = !conn_->sock.is_open();
   if (!fresh_) idle_ = std::chrono::duration_cast<Ms>(Clock::now() - conn_->idleSince);
   guard_ = std::make_unique<Guard>(pools_.io(), conn_->sock);
-  error_code e;
   if (fresh_) {
-    guard_->until(std::min(until, Clock::now() + Ms(pools_.settings().bounds.inTouch / 6)));
-    co_await conn_->sock.async_connect(
-        {asio::ip::make_address(worker_.at.ip), static_cast<std::uint16_t>(worker_.at.port)},
-        asio::redirect_error(asio::use_awaitable, e));
-    if (e || guard_->fired()) {
+    bool const connected = co_await connect(until);
+    if (!connected) {
       cut();
       co_return Verdict::notSent;
     }
-    tune(conn_->sock, Ms(pools_.settings().bounds.inTouch));
   }
   guard_->until(until);
-  ++conn_->uses;
-  co_await http::async_write(conn_->sock, q, asio::redirect_error(asio::use_awaitable, e));
-  if (e) {
-    bool const f = guard_->fired();
-    if (!fresh_ && !f) pools_.age().reset(idle_);
+  Written const w = co_await write(q);
+  if (w == Written::nothing && !guard_->fired()) {
     cut();
-    co_return f ? Verdict::timeUp : Verdict::unclear;
+    co_return Verdict::notSent;
+  }
+  if (w == Written::part && !fresh_ && !guard_->fired()) pools_.age().reset(idle_);
+  if (w != Written::whole) co_return doubt();
+  co_return co_await readAnswer(q, until);
+}
+
+Task<bool> Exchange::connect(Moment until) {
+  guard_->until(std::min(until, Clock::now() + Ms(pools_.settings().bounds.inTouch / 6)));
+  error_code e;
+  tcp::endpoint const to(asio::ip::make_address(worker_.at.ip), static_cast<std::uint16_t>(worker_.at.port));
+  co_await conn_->sock.async_connect(to, asio::redirect_error(asio::use_awaitable, e));
+  if (e || guard_->fired()) co_return false;
+  tune(conn_->sock, Ms(pools_.settings().bounds.inTouch));
+  co_return true;
+}
+
+/// Writes the request piece by piece and looks before each piece whether something came in: what does so
+/// before the whole request was sent can't be told from what was on its way before it.
+Task<Exchange::Written> Exchange::write(Ask const& q) {
+  http::request_serializer<http::string_body> z(q);
+  std::size_t sent = 0;
+  while (!z.is_done()) {
+    if (!conn_->quiet()) co_return sent ? Written::doubtful : Written::nothing;
+    error_code e;
+    sent += co_await http::async_write_some(conn_->sock, z, asio::redirect_error(asio::use_awaitable, e));
+    if (e) co_return sent ? Written::part : Written::nothing;
   }
-  for (int i = 0; i < 4; ++i) {
-    parser_.emplace();
-    parser_->body_limit(std::uint64_t{1} << 40);
-    parser_->header_limit(64u << 10);
-    co_await http::async_read_header(conn_->sock, conn_->buf, *parser_, asio::redirect_error(asio::use_awaitable, e));
+  co_return Written::whole;
+}
+
+Task<error_code> Exchange::readHead(Ask const& q) {
+  parser_.emplace();
+  parser_->body_limit(std::uint64_t{1} << 40);
+  parser_->header_limit(64u << 10);
+  if (q.method() == http::verb::head) parser_->skip(true);
+  error_code e;
+  co_await http::async_read_header(conn_->sock, conn_->buf, *parser_, asio::redirect_error(asio::use_awaitable, e));
+  co_return e;
+}
+
+/// Reads on to the head that belongs to the attempt, past late answers to others.
+Task<Verdict> Exchange::readAnswer(Ask const& q, Moment until) {
+  constexpr int mostSkipped = 3;
+  for (int n = 0; n <= mostSkipped; ++n) {
+    error_code const e = co_await readHead(q);
     if (e) {
-      bool const f = guard_->fired();
-      if (!fresh_ && !f && i == 0) pools_.age().reset(idle_);
-      cut();
-      co_return f ? Verdict::timeUp : Verdict::unclear;
+      if (!fresh_ && !guard_->fired() && n == 0) pools_.age().reset(idle_);
+      co_return doubt();
     }
-    if (!fresh_ && i == 0) pools_.age().worked(idle_);
-    string const id = headText("Attempt-Id");
-    if (id.empty() || id == attempt || headText("Not-Run") == "1") break;
-    string junk;
-    Piece p = Piece::some;
-    while (p == Piece::some) p = co_await read(junk, until);
-    if (p == Piece::broken || !conn_) {
-      cut();
-      co_return Verdict::unclear;
+    Owner const owner = ownerOf(head(), attempt_, fresh_ && n == 0);
+    if (owner == Owner::doubtful || status() < 200) co_return doubt();
+    if (owner == Owner::another) {
+      bool const skipped = co_await skipAnswer(until);
+      if (!skipped) co_return doubt();
+      continue;
     }
-  }
-  bool const other = !headText("Attempt-Id").empty() && headText("Attempt-Id") != attempt;
-  if (other && headText("Not-Run").empty()) {
-    cut();
-    co_return Verdict::unclear;
-  }
-  if (!headText("Not-Run").empty() || status() == 421) {
-    string junk;
-    Piece p = Piece::some;
-    while (p == Piece::some && junk.size() < (1u << 16))
-      p = co_await read(junk, std::min(until, Clock::now() + Ms(pools_.settings().bounds.slack)));
-    if (p == Piece::whole) release();
+    if (!fresh_) pools_.age().worked(idle_);
+    if (!refused()) co_return Verdict::answered;
+    // A success that says it was not run contradicts itself.
+    if (status() < 300) co_return doubt();
+    bool const whole = co_await skipAnswer(std::min(until, Clock::now() + Ms(pools_.settings().bounds.slack)));
+    if (whole) release();
     co_return Verdict::notRun;
   }
-  co_return Verdict::answered;
+  co_return doubt();
+}
+
+/// Reads an answer to its end and lets it go; true if another may follow on the connection.
+Task<bool> Exchange::skipAnswer(Moment until) {
+  constexpr std::size_t mostBytes = 1u << 16;
+  bool const goesOn = parser_->get().keep_alive();
+  std::size_t bytes = 0;
+  string piece;
+  Piece p = Piece::some;
+  while (p == Piece::some && bytes < mostBytes) {
+    piece.clear();
+    p = co_await read(piece, until);
+    bytes += piece.size();
+  }
+  co_return p == Piece::whole&& goesOn;
 }
 
 Task<Piece> Exchange::read(string& out, Moment until) {
@@ -167,6 +229,9 @@
   if (t != string::npos) keep = 1000 * std::strtoll(k.c_str() + t + 8, nullptr, 10);
   keep = std::min(keep - keep / 4, 4 * pools_.settings().bounds.inTouch);
   if (keep <= 0) return cut();
+  constexpr std::size_t mostFailed = 256;
+  if (status() >= 300) conn_->failed.push_back(hashOf(attempt_));
+  if (conn_->failed.size() > mostFailed) return cut();
   conn_->keepUntil = Clock::now() + Ms(keep);
   pools_.give(worker_.id, std::move(conn_));
 }
