--- /dev/null
+++ b/tests/exchange_test.cpp
@@ -0,0 +1,228 @@
+#include "tests/stand_in.hpp"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace tealshelf;
+
+namespace {
+using End = Script::End;
+string const seal = "Server-Seal: s\r\n", refusal = "Not-Run: 1\r\n";
+string const own = answerText(200, "$ID", seal, "own $ID"), another = answerText(200, "feed", seal, "another's");
+string const anotherRefusal = answerText(503, "feed", refusal, "");
+string const chunked = "HTTP/1.1 200 x\r\nAttempt-Id: $ID\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// What shall come of one kind of request: the client's status (0: a cut answer) and the sends it took.
+struct Outcome {
+  int status;
+  std::size_t sends;
+};
+/// One kind of trouble at every worker, on new connections or on used ones, and what shall come of it.
+struct Row {
+  char const* name;
+  char const* on;  ///< "new", "used" or "both"
+  Script script;
+  bool ran;             ///< the worker may have run it
+  Outcome once, again;  ///< for a request that must not be sent twice, and for one that may
+  std::size_t bodyBytes = 4;
+};
+constexpr std::size_t large = 12u << 20;  ///< more than the sockets hold
+Script at(string answer, End end = End::keep) {
+  return {"", true, std::move(answer), end, ""};
+}
+Script early(string answer, bool takes, End end = End::keep) {
+  return {std::move(answer), takes, own, end, ""};
+}
+Script late(string extra) {
+  return {"", true, own, End::keep, std::move(extra)};
+}
+
+vector<Row> const rows = {
+    {"a whole answer", "both", at(own), true, {200, 1}, {200, 1}},
+    {"reset while the request is written", "both", early("", false, End::reset), true, {502, 1}, {502, 2}, large},
+    {"reset after it was written", "both", at("", End::reset), true, {502, 1}, {502, 2}},
+    {"closed after it was written", "both", at("", End::close), true, {502, 1}, {502, 2}},
+    {"reset in the head", "both", at(own.substr(0, 30), End::reset), true, {502, 1}, {502, 2}},
+    {"reset in the body", "both", at(own.substr(0, own.size() - 3), End::reset), true, {502, 1}, {502, 2}},
+    {"closed in the body", "both", at(own.substr(0, own.size() - 3), End::close), true, {502, 1}, {502, 2}},
+    {"silence", "both", at("", End::silent), true, {504, 1}, {504, 1}},
+    {"silence in the body", "both", at(own.substr(0, own.size() - 3), End::silent), true, {504, 1}, {504, 1}},
+    {"another's answer first", "both", at(another + own), true, {200, 1}, {200, 1}},
+    {"another's refusal first", "both", at(anotherRefusal + own), true, {200, 1}, {200, 1}},
+    {"another's 421 first", "both", at(answerText(421, "feed", "", "") + own), true, {200, 1}, {200, 1}},
+    {"another's answer only", "both", at(another, End::close), true, {502, 1}, {502, 2}},
+    {"another's refusal only", "both", at(anotherRefusal, End::close), true, {502, 1}, {502, 2}},
+    {"another's refusal that closes",
+     "both",
+     at(answerText(503, "feed", refusal + "Connection: close\r\n", "")),
+     true,
+     {502, 1},
+     {502, 2}},
+    {"too many of another's",
+     "both",
+     at(another + another + another + another + another, End::silent),
+     true,
+     {502, 1},
+     {502, 2}},
+    {"another's answer, then one without id",
+     "both",
+     at(another + answerText(200, "", seal, "own")),
+     true,
+     {502, 1},
+     {502, 2}},
+    {"no id", "new", at(answerText(200, "", seal, "own")), true, {200, 1}, {200, 1}},
+    {"no id on a used connection", "used", at(answerText(200, "", seal, "own")), true, {502, 1}, {502, 2}},
+    {"refusal without id", "new", at(answerText(503, "", refusal, "")), false, {503, 2}, {503, 2}},
+    {"refusal without id on a used connection", "used", at(answerText(503, "", refusal, "")), true, {502, 1}, {502, 2}},
+    {"421 without id on a used connection", "used", at(answerText(421, "", "", "")), true, {502, 1}, {502, 2}},
+    {"two ids", "both", at(answerText(503, "$ID", "Attempt-Id: feed\r\n" + refusal, "")), true, {502, 1}, {502, 2}},
+    {"an answer before the request", "used", late(another), true, {200, 1}, {200, 1}},
+    {"a refusal before the request", "used", late(anotherRefusal), true, {200, 1}, {200, 1}},
+    {"an answer while the request is written", "both", early(another, true), true, {502, 1}, {502, 2}, large},
+    {"a refusal while the request is written", "both", early(anotherRefusal, true), true, {502, 1}, {502, 2}, large},
+    {"a refusal without id while it is written",
+     "both",
+     early(answerText(503, "", refusal, ""), true),
+     true,
+     {502, 1},
+     {502, 2},
+     large},
+    {"two answers at once", "both", at(own + another), true, {200, 1}, {200, 1}},
+    {"two answers at once, the second its own",
+     "both",
+     at(own + answerText(500, "$ID", seal, "another's")),
+     true,
+     {200, 1},
+     {200, 1}},
+    {"421", "both", at(answerText(421, "$ID", "", "")), false, {503, 2}, {503, 2}},
+    {"421 that says it was not run", "both", at(answerText(421, "$ID", refusal, "")), false, {503, 2}, {503, 2}},
+    {"503 that was not run", "both", at(answerText(503, "$ID", refusal, "")), false, {503, 2}, {503, 2}},
+    {"503", "both", at(answerText(503, "$ID", "", "")), true, {502, 1}, {502, 2}},
+    {"429", "both", at(answerText(429, "$ID", "", "")), true, {502, 1}, {502, 2}},
+    {"408", "both", at(answerText(408, "$ID", "", "")), true, {502, 1}, {502, 2}},
+    {"500", "both", at(answerText(500, "$ID", seal, "own")), true, {500, 1}, {500, 2}},
+    {"404", "both", at(answerText(404, "$ID", seal, "own")), true, {404, 1}, {404, 1}},
+    {"a success that was not run", "both", at(answerText(200, "$ID", seal + refusal, "own")), true, {502, 1}, {502, 2}},
+    {"a success without seal", "both", at(answerText(200, "$ID", "", "own")), true, {502, 1}, {502, 2}},
+    {"an interim answer", "both", at(answerText(100, "$ID", "", ""), End::close), true, {502, 1}, {502, 2}},
+    {"a chunk cut short", "both", at(chunked + "3\r\now", End::close), true, {502, 1}, {502, 2}},
+    {"chunks without an end", "both", at(chunked + "3\r\nown\r\n", End::close), true, {502, 1}, {502, 2}},
+    {"a garbage chunk", "both", at(chunked + "3\r\nown\r\nzz\r\n"), true, {502, 1}, {502, 2}},
+    {"a garbage head", "both", at("\x01\x02 garbage\r\n\r\n"), true, {502, 1}, {502, 2}},
+    {"a body without a length",
+     "both",
+     at("HTTP/1.1 200 x\r\nAttempt-Id: $ID\r\nServer-Seal: s\r\n\r\nown", End::close),
+     true,
+     {502, 1},
+     {502, 2}},
+};
+
+void play(Row const& row, bool used, bool mayRepeat) {
+  string const what =
+      string(row.name) + (used ? ", used connection" : ", new connection") + (mayRepeat ? ", repeatable" : ", once");
+  EdgeRig rig(row.script);
+  if (used) CHECK_TEXT(rig.prime(), what.c_str());
+  if (!used) {
+    // The connection that the start of the rig left behind is used up.
+    CHECK_TEXT(rig.workers[0].primed + rig.workers[1].primed == 1, what.c_str());
+    for (StandIn& w : rig.workers) w.closeAll();
+    rig.run(Ms(5));
+  }
+  bool const silent = row.script.end == End::silent;
+  Got const got = rig.call(mayRepeat ? "/again/x" : "/once/x", "id1", row.bodyBytes, silent ? 300 : 4000);
+  Outcome const& want = mayRepeat ? row.again : row.once;
+  LONGS_EQUAL_TEXT(want.status, got.status, what.c_str());
+  LONGS_EQUAL_TEXT(want.sends, rig.sends(), what.c_str());
+  bool const onUsed = rig.workers[0].onUsed || rig.workers[1].onUsed;
+  CHECK_TEXT(onUsed == (used && row.script.late.empty()), what.c_str());
+  // What holds for every row, whatever is expected of it.
+  CHECK_TEXT(got.raw.find("another's") == string::npos, what.c_str());
+  CHECK_TEXT(got.status / 100 != 2 || got.body.substr(0, 3) == "own", what.c_str());
+  bool const promise = got.status == 408 || got.status == 421 || got.status == 429 || got.status == 503;
+  CHECK_TEXT(!promise || !row.ran, what.c_str());
+  CHECK_TEXT(mayRepeat || !row.ran || rig.sends() == 1, what.c_str());
+  for (int n = 0; n < 4; ++n) {
+    string const id = "nx" + std::to_string(n);
+    Got const next = rig.call("/again/prime", id);
+    CHECK_TEXT(next.status == 200 && next.body == "own " + id, what.c_str());
+  }
+}
+}  // namespace
+
+TEST_GROUP(exchange){};
+
+TEST(exchange, anAnswerBelongsToItsAttempt) {
+  struct Case {
+    vector<char const*> ids;
+    bool only;
+    Owner want;
+  };
+  for (Case const& c : vector<Case>{{{"a"}, false, Owner::ours},
+                                    {{"a"}, true, Owner::ours},
+                                    {{"b"}, false, Owner::another},
+                                    {{"b"}, true, Owner::another},
+                                    {{}, true, Owner::ours},
+                                    {{}, false, Owner::doubtful},
+                                    {{""}, true, Owner::doubtful},
+                                    {{"a", "b"}, true, Owner::doubtful},
+                                    {{"a", "a"}, false, Owner::doubtful}}) {
+    http::fields f;
+    for (char const* const id : c.ids) f.insert("Attempt-Id", id);
+    CHECK(ownerOf(f, "a", c.only) == c.want);
+  }
+}
+TEST(exchange, onNewConnections) {
+  for (Row const& row : rows)
+    for (bool const mayRepeat : {false, true})
+      if (row.on[0] != 'u') play(row, false, mayRepeat);
+}
+TEST(exchange, onUsedConnections) {
+  for (Row const& row : rows)
+    for (bool const mayRepeat : {false, true})
+      if (row.on[0] != 'n') play(row, true, mayRepeat);
+}
+
+/// A stream that its worker breaks off midway, and what comes when it is asked to go on.
+TEST(exchange, aBrokenStreamIsGoneOnWithOrCut) {
+  string const head = chunked, one = "f\r\nid: 1\ndata: a\n\n\r\n", two = "f\r\nid: 2\ndata: b\n\n\r\n";
+  struct Case {
+    char const* path;
+    Script onResume;
+    int status;
+    std::size_t sends;
+    char const* body;
+  };
+  for (Case const& c :
+       vector<Case>{{"/streaming/x", at(""), 0, 1, ""},
+                    {"/resumable/x", at(head + two + "0\r\n\r\n"), 200, 2, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"},
+                    {"/resumable/x", at(answerText(500, "$ID", seal, "own")), 0, 2, ""},
+                    {"/resumable/x", at(answerText(503, "$ID", refusal, "")), 0, 2, ""},
+                    {"/resumable/x", at(answerText(404, "$ID", seal, "own")), 0, 2, ""},
+                    {"/resumable/x", at(head + two, End::reset), 0, 2, ""}}) {
+    Script const script = at(head + one + "f\r\nid: 2\nda", End::reset);
+    EdgeRig rig(script);
+    for (StandIn& w : rig.workers) w.onResume = c.onResume;
+    Got const got = rig.call(c.path, "id1");
+    LONGS_EQUAL(c.status, got.status);
+    CHECK_TEXT(c.status || got.closed, "a cut stream leaves its connection open");
+    LONGS_EQUAL(c.sends, rig.sends());
+    CHECK_TEXT(got.raw.find("HTTP/1.1") == got.raw.rfind("HTTP/1.1"), "a second head stands inside the first answer");
+    STRCMP_EQUAL(c.body, got.body.c_str());
+  }
+}
+/// A second answer to a refused try may come late, under the very id of the next try.
+TEST(exchange, aTryAgainNeverGoesOverTheConnectionThatRefusedIt) {
+  asio::io_context io{1};
+  Settings settings;
+  Pools pools(io, settings);
+  Worker w;
+  w.id = "i-1";
+  tcp::acceptor a(io, {asio::ip::make_address("127.0.0.78"), 0});
+  std::unique_ptr<WorkerConnection> c = pools.create();
+  c->sock.connect(a.local_endpoint());
+  c->keepUntil = Clock::now() + Ms(60000);
+  c->failed.push_back(hashOf("a"));
+  WorkerConnection* const had = c.get();
+  pools.give(w.id, std::move(c));
+  CHECK(pools.take(w, true, "a").get() != had);
+  CHECK(pools.take(w, true, "b").get() == had);
+}
--- /dev/null
+++ b/tests/stand_in.hpp
@@ -0,0 +1,236 @@
+#pragma once
+#include "traffic/edge_node.hpp"
+
+namespace tealshelf {
+
+/// What a stand-in worker does with a request. "$ID" stands for the request's own attempt id, of three letters.
+struct Script {
+  enum class End { keep, close, reset, silent };
+  string early;       ///< sent after the head, before the body is read
+  bool takes = true;  ///< false: it reads no body and ends at once
+  string answer;      ///< sent once the whole request was read
+  End end = End::keep;
+  string late;  ///< sent a moment after each answer to a priming request
+};
+
+/// One answer in the protocol; an empty id leaves the id out.
+inline string answerText(int status, string const& id, string const& more, string const& body) {
+  string s = "HTTP/1.1 " + std::to_string(status) + " x\r\n";
+  if (!id.empty()) s += "Attempt-Id: " + id + "\r\n";
+  return s + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+}
+
+/// A worker on loopback that does what its script says, except for priming requests, which it answers well.
+class StandIn {
+ public:
+  StandIn(asio::io_context& io, Addr at, Script const& script) : io_(io), script_(script), acceptor_(io) {
+    acceptor_.open(tcp::v4());
+    acceptor_.set_option(tcp::acceptor::reuse_address(true));
+    acceptor_.set_option(asio::socket_base::receive_buffer_size(8192));
+    acceptor_.bind({asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
+    acceptor_.listen(16);
+    spawn(io_, "stand-in", take());
+  }
+  std::size_t primed = 0, sends = 0;
+  bool onUsed = false;  ///< the last send came on a connection that had answered before
+  vector<string> lastEventIds;
+  Script onResume;  ///< for requests that bear Last-Event-Id
+  /// Ends all idle connections.
+  void closeAll() {
+    for (std::shared_ptr<tcp::socket> const& s : open_) {
+      error_code e;
+      s->shutdown(tcp::socket::shutdown_both, e);
+    }
+  }
+
+ private:
+  Task<void> take() {
+    for (;;) {
+      tcp::socket taken = co_await acceptor_.async_accept(asio::use_awaitable);
+      std::shared_ptr<tcp::socket> const s = std::make_shared<tcp::socket>(std::move(taken));
+      open_.insert(s);
+      spawn(io_, "stand-in connection", serve(s));
+    }
+  }
+  Task<void> serve(std::shared_ptr<tcp::socket> p) {
+    co_await answerAll(*p);
+    open_.erase(p);
+  }
+  Task<void> answerAll(tcp::socket& s) {
+    beast::flat_buffer buf;
+    for (std::size_t n = 0;; ++n) {
+      http::request_parser<http::string_body> p;
+      p.body_limit(1u << 30);
+      error_code e;
+      co_await http::async_read_header(s, buf, p, asio::redirect_error(asio::use_awaitable, e));
+      if (e) co_return;
+      string const id(p.get()["Attempt-Id"].data(), p.get()["Attempt-Id"].size());
+      string const resume(p.get()["Last-Event-Id"].data(), p.get()["Last-Event-Id"].size());
+      bool const primes = p.get().target().ends_with("prime");
+      Script const& script = resume.empty() ? script_ : onResume;
+      if (primes)
+        ++primed;
+      else {
+        ++sends;
+        onUsed = n > 0;
+        lastEventIds.push_back(resume);
+        if (!script.early.empty()) co_await write(s, script.early, id);
+        if (!script.early.empty()) co_await pause(Ms(20));
+        if (!script.takes) co_return end(s, script.end);
+      }
+      co_await http::async_read(s, buf, p, asio::redirect_error(asio::use_awaitable, e));
+      if (e) co_return;
+      string const answer = primes ? answerText(200, "$ID", "Server-Seal: s\r\n", "own $ID") : script.answer;
+      co_await write(s, answer, id);
+      if (primes && !script.late.empty()) {
+        co_await pause(Ms(2));
+        co_await write(s, script.late, id);
+      }
+      if (primes || script.end == Script::End::keep) continue;
+      if (script.end == Script::End::silent) co_await pause(Ms(5000));
+      co_return end(s, script.end);
+    }
+  }
+  Task<void> write(tcp::socket& s, string text, string const& id) {
+    for (std::size_t p = 0; (p = text.find("$ID")) != string::npos;) text.replace(p, 3, id);
+    error_code e;
+    co_await asio::async_write(s, asio::buffer(text), asio::redirect_error(asio::use_awaitable, e));
+  }
+  static void end(tcp::socket& s, Script::End how) {
+    if (how == Script::End::reset) s.set_option(asio::socket_base::linger(true, 0));
+    s.close();
+  }
+  asio::io_context& io_;
+  Script const& script_;
+  tcp::acceptor acceptor_;
+  std::set<std::shared_ptr<tcp::socket>> open_;
+};
+
+/// What a client got: status 0 if no whole answer came.
+struct Got {
+  int status = 0;
+  string body, raw;
+  bool closed = false;
+};
+
+/// An edge node on loopback between a client and two stand-in workers that keep to one script.
+class EdgeRig {
+ public:
+  explicit EdgeRig(Script const& script)
+      : server_(io, settings().controlAt(ip), Ms(2000)),
+        publisher_(io, settings_, 0),
+        workers{{{io, {ip, 17685}, script}, {io, {ip, 17686}, script}}},
+        edge_(io, settings_) {
+    publisher_.proof = [] { return UpdatePublisher::Proof{true, 0, Clock::now()}; };
+    publisher_.setConfiguration(1, configuration());
+    for (int n = 0; n < 2; ++n) {
+      Worker w;
+      w.id = "i-" + std::to_string(n);
+      w.service = "app";
+      w.at = {ip, 17685 + n};
+      w.capacity = 8;
+      publisher_.common.put("w/" + w.id, packed(w));
+    }
+    server_.on<UpdateRequest>([this](UpdateRequest q) { return publisher_.serve(std::move(q)); });
+    server_.start();
+    edge_.start();
+    for (int n = 0; n < 400 && call("/again/prime", "one").status != 200; ++n) run(Ms(5));
+  }
+  void run(Ms d) {
+    io.restart();
+    io.run_for(d);
+  }
+  /// Both workers have answered at least once, so that an idle connection leads to each.
+  bool prime() {
+    for (int n = 0; n < 200 && !(workers[0].primed && workers[1].primed); ++n) call("/again/prime", "two");
+    run(Ms(5));
+    return workers[0].primed && workers[1].primed;
+  }
+  std::size_t sends() const { return workers[0].sends + workers[1].sends; }
+  /// Sends one request of a client on a new connection and takes what comes back.
+  Got call(string path, string const& id, std::size_t bodyBytes = 4, int leftMs = 2000) {
+    std::shared_ptr<Got> const got = std::make_shared<Got>();
+    bool done = false;
+    string q = "POST " + path + " HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: " + id +
+               "\r\nTime-Left-Ms: " + std::to_string(leftMs) + "\r\nContent-Length: " + std::to_string(bodyBytes) +
+               "\r\n\r\n" + string(bodyBytes, 'b');
+    asio::co_spawn(io, client(std::move(q), got), [&](std::exception_ptr) { done = true; });
+    Moment const end = Clock::now() + Ms(8000);
+    while (!done && Clock::now() < end) {
+      io.restart();
+      io.run_one_for(Ms(50));
+    }
+    return *got;
+  }
+  asio::io_context io{1};
+
+ private:
+  Settings const& settings() {
+    settings_.nodeName = "e-1";
+    settings_.ip = ip;
+    settings_.zone = "z";
+    settings_.firstPort = 17670;
+    settings_.lastPort = 17675;
+    settings_.outside = {ip, 17680};
+    settings_.readiness = {ip, 17681};
+    settings_.seeds = {{ip, 17682}};
+    return settings_;
+  }
+  static string configuration() {
+    string routes;
+    for (string_view const kind : {"one_shot", "repeatable", "streaming", "resumable"}) {
+      bool const resumes = kind == "resumable";
+      string const path = kind == "one_shot" ? "once" : kind == "repeatable" ? "again" : string(kind);
+      routes += (routes.empty() ? "" : ",") +
+                ("{\"name\":\"" + path + "\",\"host\":\"shop.example\",\"pathStart\":\"/") + path + "/\",\"kind\":\"" +
+                (resumes ? "streaming" : string(kind)) +
+                "\",\"timeLimitMs\":4000,\"targetMs\":200,\"priority\":0,\"service\":\"app\",\"tries\":2,"
+                "\"sticky\":false,\"resumable\":" +
+                (resumes ? "true" : "false") + "}";
+    }
+    return "{\"version\":1,\"routes\":[" + routes +
+           "],\"services\":[{\"name\":\"app\",\"healthPath\":\"/h\",\"maxConnections\":100,\"protocol\":\"h1\","
+           "\"useTls\":false}],\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":33554432,\"headerWaitMs\":3000,"
+           "\"idleLimitMs\":15000}}";
+  }
+  Task<void> client(string q, std::shared_ptr<Got> got) {
+    tcp::socket s(io);
+    error_code e;
+    co_await s.async_connect({asio::ip::make_address(ip), 17680}, asio::redirect_error(asio::use_awaitable, e));
+    if (e) co_return;
+    co_await asio::async_write(s, asio::buffer(q), asio::redirect_error(asio::use_awaitable, e));
+    char piece[65536];
+    for (;;) {
+      std::size_t const n =
+          co_await s.async_read_some(asio::buffer(piece), asio::redirect_error(asio::use_awaitable, e));
+      got->closed = static_cast<bool>(e);
+      if (e) break;
+      got->raw.append(piece, n);
+      beast::flat_buffer all;
+      all.commit(asio::buffer_copy(all.prepare(got->raw.size()), asio::buffer(got->raw)));
+      http::response_parser<http::string_body> whole;
+      whole.eager(true);
+      whole.put(all.data(), e);
+      if (!whole.is_done()) continue;
+      got->status = static_cast<int>(whole.get().result_int());
+      got->body = whole.get().body();
+      co_return;
+    }
+  }
+
+ public:
+  string const ip = "127.0.0.78";
+
+ private:
+  Settings settings_;
+  RpcServer server_;
+  UpdatePublisher publisher_;
+
+ public:
+  std::array<StandIn, 2> workers;
+
+ private:
+  EdgeNode edge_;
+};
+
+}  // namespace tealshelf
