--- /dev/null
+++ b/configuration/canonical_json.cpp
@@ -0,0 +1,134 @@
+#include "configuration/canonical_json.hpp"
+
+#include <nettle/sha2.h>
+#include <rapidjson/document.h>
+#include <rapidjson/reader.h>
+#include <rapidjson/stringbuffer.h>
+#include <rapidjson/writer.h>
+
+namespace tealshelf {
+
+namespace {
+/// Deeper than any configuration, and shallow enough for readers that recurse.
+constexpr std::size_t deepest = 32;
+constexpr std::int64_t largestExponent = 1000000;
+
+/// Writes a JSON number as DIGITSeEXPONENT without zeros at either end of the digits, so that 1, 1.0 and 10e-1 agree.
+string canonicalNumber(string_view text) {
+  bool const negative = text.front() == '-';
+  if (negative) text.remove_prefix(1);
+  std::size_t const mark = text.find_first_of("eE");
+  std::int64_t exponent = 0;
+  if (mark != string_view::npos) {
+    string_view shown = text.substr(mark + 1);
+    bool const below = shown.front() == '-';
+    if (below || shown.front() == '+') shown.remove_prefix(1);
+    for (char const c : shown) exponent = std::min(largestExponent, exponent * 10 + (c - '0'));
+    if (below) exponent = -exponent;
+  }
+  string digits;
+  bool fraction = false;
+  for (char const c : text.substr(0, mark)) {
+    if (c == '.') {
+      fraction = true;
+      continue;
+    }
+    digits += c;
+    if (fraction) --exponent;
+  }
+  if (std::abs(exponent) >= largestExponent) throw Error(Code::unreadable, "a number's exponent");
+  digits.erase(0, std::min(digits.find_first_not_of('0'), digits.size()));
+  if (digits.empty()) return "0";
+  while (digits.back() == '0') {
+    digits.pop_back();
+    ++exponent;
+  }
+  return (negative ? "-" : "") + digits + (exponent ? "e" + std::to_string(exponent) : "");
+}
+
+string canonicalString(string_view text) {
+  rapidjson::StringBuffer buffer;
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
+  writer.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
+  return string(buffer.GetString(), buffer.GetSize());
+}
+
+/// Takes the events of the parser and builds the canonical text of each open array or object.
+class CanonicalHandler : public rapidjson::BaseReaderHandler<rapidjson::UTF8<>, CanonicalHandler> {
+ public:
+  string result;
+
+  bool Null() { return value("null"); }
+  bool Bool(bool b) { return value(b ? "true" : "false"); }
+  bool RawNumber(char const* s, rapidjson::SizeType n, bool) { return value(canonicalNumber(string_view(s, n))); }
+  bool String(char const* s, rapidjson::SizeType n, bool) { return value(canonicalString(string_view(s, n))); }
+  bool StartObject() { return start(); }
+  bool StartArray() { return start(); }
+  bool Key(char const* s, rapidjson::SizeType n, bool) {
+    open_.back().key = canonicalString(string_view(s, n));
+    return !open_.back().members.count(open_.back().key);
+  }
+  bool EndObject(rapidjson::SizeType) {
+    string text = "{";
+    for (std::pair<string const, string> const& member : open_.back().members) {
+      if (text.size() > 1) text += ',';
+      text += member.first + ":" + member.second;
+    }
+    open_.pop_back();
+    return value(text + "}");
+  }
+  bool EndArray(rapidjson::SizeType) {
+    string const text = "[" + open_.back().elements + "]";
+    open_.pop_back();
+    return value(text);
+  }
+
+ private:
+  struct Level {
+    std::map<string, string> members;
+    string elements, key;
+  };
+  bool start() {
+    open_.emplace_back();
+    return open_.size() <= deepest;
+  }
+  bool value(string const& text) {
+    if (open_.empty()) {
+      result = text;
+      return true;
+    }
+    Level& level = open_.back();
+    if (level.key.empty()) {
+      if (!level.elements.empty()) level.elements += ',';
+      level.elements += text;
+    } else {
+      level.members[level.key] = text;
+    }
+    return true;
+  }
+  vector<Level> open_;
+};
+}  // namespace
+
+string canonicalJson(string_view text) {
+  // The iterative parser holds its state on the heap, so that no nesting can exhaust the stack.
+  constexpr unsigned flags =
+      rapidjson::kParseIterativeFlag | rapidjson::kParseNumbersAsStringsFlag | rapidjson::kParseValidateEncodingFlag;
+  rapidjson::MemoryStream bytes(text.data(), text.size());
+  rapidjson::EncodedInputStream<rapidjson::UTF8<>, rapidjson::MemoryStream> input(bytes);
+  CanonicalHandler handler;
+  rapidjson::Reader reader;
+  if (reader.Parse<flags>(input, handler).IsError()) throw Error(Code::unreadable, "not JSON");
+  return handler.result;
+}
+
+Digest sha256(string_view bytes) {
+  sha256_ctx state;
+  sha256_init(&state);
+  sha256_update(&state, bytes.size(), reinterpret_cast<std::uint8_t const*>(bytes.data()));
+  string digest(SHA256_DIGEST_SIZE, '\0');
+  sha256_digest(&state, digest.size(), reinterpret_cast<std::uint8_t*>(digest.data()));
+  return Digest(digest);
+}
+
+}  // namespace tealshelf
