--- a/configuration/configuration.cpp
+++ b/configuration/configuration.cpp
@@ -8,6 +8,11 @@
 namespace {
 using Tree = boost::property_tree::ptree;
 
+/// Three years in milliseconds.
+constexpr std::uint64_t longestDuration = 3ull * 366 * 24 * 3600 * 1000;
+/// The largest weight of one part of a route's traffic, so that sums don't overflow.
+constexpr std::uint64_t largestWeight = 1000000000;
+
 class Reader {
  public:
   explicit Reader(vector<ConfigurationFault>& f) : faults_(f) {}
@@ -38,6 +43,14 @@
     fault(real ? Code::outOfRange : Code::wrongType, where + "." + k + " can't be " + s.substr(0, 40));
     return usual;
   }
+  /// A time in milliseconds, small enough to be added to a moment; the text holds it in units of so many.
+  std::int64_t duration(Tree const& t, char const* k, string const& where, std::int64_t usual, bool must = false,
+                        std::uint64_t unit = 1) {
+    std::uint64_t const n = number(t, k, where, static_cast<std::uint64_t>(usual), must);
+    if (n <= longestDuration / unit) return static_cast<std::int64_t>(n * unit);
+    fault(Code::outOfRange, where + "." + k + " is too long");
+    return usual;
+  }
   bool flag(Tree const& t, char const* k, string const& where) {
     boost::optional<Tree const&> const v = t.get_child_optional(k);
     if (!v) return false;
@@ -69,12 +82,12 @@
       known = true;
     }
   if (!known) r.fault(Code::wrongType, w + ".kind");
-  m.timeLimit = static_cast<std::int64_t>(r.number(t, "timeLimitMs", w, 0, true));
+  m.timeLimit = r.duration(t, "timeLimitMs", w, 0, true);
   if (!m.timeLimit) r.fault(Code::noTimeLimit, w);
-  m.aim = static_cast<std::int64_t>(r.number(t, "targetMs", w, 0));
-  m.gapAim = static_cast<std::int64_t>(r.number(t, "gapTargetMs", w, 0));
-  m.dueIn = static_cast<std::int64_t>(r.number(t, "dueInMs", w, 0));
-  m.keepFor = static_cast<std::int64_t>(1000 * r.number(t, "keepForS", w, 0));
+  m.aim = r.duration(t, "targetMs", w, 0);
+  m.gapAim = r.duration(t, "gapTargetMs", w, 0);
+  m.dueIn = r.duration(t, "dueInMs", w, 0);
+  m.keepFor = r.duration(t, "keepForS", w, 0, false, 1000);
   m.priority = r.number(t, "priority", w, 0);
   m.tries = std::max<std::uint64_t>(1, r.number(t, "tries", w, 1));
   m.mostQueued = r.number(t, "maxQueuedTokens", w, 0);
@@ -90,6 +103,7 @@
   }
   for (Share const& s : m.shares) {
     m.weights += s.weight;
+    if (s.weight > largestWeight) r.fault(Code::outOfRange, w + " has a weight that is too large");
     if (!c.services.count(s.service)) r.fault(Code::unknownService, w + " names " + s.service);
   }
   if (!m.weights) r.fault(Code::noWeight, w);
@@ -140,6 +154,8 @@
   boost::optional<Tree const&> const ss = t.get_child_optional("services"), rs = t.get_child_optional("routes"),
                                      ls = t.get_child_optional("limits");
   if (!ss || !rs) r.fault(Code::unreadable, "routes or services are missing");
+  if ((ss && !ss->data().empty()) || (rs && !rs->data().empty()))
+    r.fault(Code::wrongType, "routes or services are no lists");
   if (ss)
     for (Tree::value_type const& p : *ss) {
       ServiceLine s;
@@ -163,10 +179,8 @@
   if (ls) {
     c->limits.headerBytes = r.number(*ls, "maxHeaderBytes", "limits", c->limits.headerBytes);
     c->limits.bodyBytes = r.number(*ls, "maxBodyBytes", "limits", c->limits.bodyBytes);
-    c->limits.headerWait = static_cast<std::int64_t>(
-        r.number(*ls, "headerWaitMs", "limits", static_cast<std::uint64_t>(c->limits.headerWait)));
-    c->limits.idleLimit = static_cast<std::int64_t>(
-        r.number(*ls, "idleLimitMs", "limits", static_cast<std::uint64_t>(c->limits.idleLimit)));
+    c->limits.headerWait = r.duration(*ls, "headerWaitMs", "limits", c->limits.headerWait);
+    c->limits.idleLimit = r.duration(*ls, "idleLimitMs", "limits", c->limits.idleLimit);
   }
   for (std::pair<string const, vector<std::uint32_t>>& p : c->table)
     std::stable_sort(p.second.begin(), p.second.end(), [&](std::uint32_t a, std::uint32_t b) {
--- /dev/null
+++ b/configuration/order_decision.cpp
@@ -0,0 +1,66 @@
+#include "configuration/order_decision.hpp"
+
+#include "configuration/configuration.hpp"
+
+namespace tealshelf {
+
+namespace {
+Decision refuse(Verdict verdict, Code code, string const& detail) {
+  Decision decision;
+  decision.verdict = verdict;
+  decision.code = code;
+  decision.detail = detail;
+  return decision;
+}
+}  // namespace
+
+std::uint64_t currentVersion(std::map<string, string> const& rows) {
+  std::map<string, string>::const_iterator const current = rows.find(currentKey);
+  return current == rows.end() ? 0 : compileConfiguration(current->second)->version;
+}
+
+Decision decide(std::map<string, string> const& rows, Order const& order, HistoryShape shape) {
+  Decision decision;
+  if (!readNumber(order.ifMatch, decision.identity.base))
+    return refuse(Verdict::invalid, Code::badMatch, order.ifMatch.substr(0, 40));
+  try {
+    decision.identity.digest = sha256(canonicalJson(order.body));
+  } catch (Error const& error) {
+    return refuse(Verdict::invalid, error.code(), error.what());
+  }
+  std::uint64_t const current = currentVersion(rows);
+  OrderHistory const history(rows, current, shape);
+  if (TakenOrder const* const taken = history.find(decision.identity)) {
+    decision.verdict = Verdict::acknowledgeAgain;
+    decision.version = taken->version;
+    return decision;
+  }
+  try {
+    decision.version = compileConfiguration(order.body)->version;
+  } catch (Error const& error) {
+    return refuse(Verdict::invalid, error.code(), error.what());
+  }
+  if (history.forgotten(decision.identity.base)) return refuse(Verdict::tooOld, Code::orderTooOld, order.ifMatch);
+  if (decision.identity.base != current)
+    return refuse(Verdict::lostRace, Code::lostRace, "version " + std::to_string(current) + " is current");
+  if (decision.version <= current) return refuse(Verdict::invalid, Code::oldVersion, std::to_string(decision.version));
+  decision.verdict = Verdict::apply;
+  return decision;
+}
+
+vector<OrderHistory::Row> rowsFor(std::map<string, string> const& rows, Order const& order, Decision const& decision,
+                                  HistoryShape shape) {
+  OrderHistory const history(rows, currentVersion(rows), shape);
+  vector<OrderHistory::Row> result;
+  result.push_back(OrderHistory::Row{currentKey, order.body});
+  result.push_back(history.append(decision.identity, decision.version));
+  return result;
+}
+
+bool UnsettledOrder::open(std::uint64_t epoch, std::map<string, string> const& rows) {
+  if (!order_) return false;
+  if (epoch_ != epoch || OrderHistory(rows, currentVersion(rows)).find(*order_)) order_.reset();
+  return order_.has_value();
+}
+
+}  // namespace tealshelf
--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -167,6 +167,12 @@
     ops_.push_back(Op{false, 0, acked, i, x.life, x.consensus->confirm("configuration", now_)});
     pump(x);
   }
+  /// Starts an operation of a test's own at a node; its end is told unless the node's life ends first.
+  void begin(std::size_t i, std::function<std::uint64_t(Consensus&)> const& start, std::function<void(bool)> end) {
+    Node& x = nodes_[i];
+    begun_[{i, x.life, start(*x.consensus)}] = std::move(end);
+    pump(x);
+  }
   std::uint64_t value(Node const& x) const {
     std::map<string, string> const& v = x.consensus->view("configuration");
     std::map<string, string>::const_iterator const c = v.find("current");
@@ -326,6 +332,7 @@
   }
   void outcome(std::size_t node, Outcome const& o) {
     Node& m = nodes_[node];
+    if (std::function<void(bool)> const end = std::exchange(begun_[{node, m.life, o.op}], nullptr)) return end(o.ok);
     if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.op); c != m.changes.end()) {
       tealshelf::Membership const g = c->second;
       m.changes.erase(c);
@@ -377,6 +384,7 @@
   std::multimap<Moment, std::function<void()>> net_;
   std::deque<Op> ops_;
   std::set<std::size_t> writing_;
+  std::map<std::tuple<std::size_t, std::uint64_t, std::uint64_t>, std::function<void(bool)>> begun_;
   vector<std::pair<std::size_t, std::variant<Message, Heartbeat>>> late_;
 };
 
--- /dev/null
+++ b/tests/orders_simulation_test.cpp
@@ -0,0 +1,288 @@
+#include "configuration/configuration.hpp"
+#include "tests/consensus_sim.hpp"
+#include "tests/order_checker.hpp"
+
+#include <CppUTest/TestHarness.h>
+#include <cstdlib>
+
+using namespace tealshelf;
+
+/// Operators send orders and reads to a simulated group in trouble; their history is checked for linearizability.
+namespace {
+/// The rules of an owner: the real ones, and variants that are known to be wrong.
+enum class Rules { real, currentTextOnly, withoutConfirm, withoutSettling };
+
+std::uint64_t seeds() {
+  char const* const text = std::getenv("TEALSHELF_SEEDS");
+  return text ? std::strtoull(text, nullptr, 10) : 12;
+}
+string configuration(std::uint64_t version, std::uint64_t mark) {
+  return "{\"version\":" + std::to_string(version) + ",\"routes\":[],\"services\":[{\"name\":\"s" +
+         std::to_string(mark) + "\"}]}";
+}
+Decision decideByText(std::map<string, string> const& rows, Order const& order) {
+  std::map<string, string> current;
+  std::map<string, string>::const_iterator const row = rows.find(currentKey);
+  if (row != rows.end()) current.insert(*row);
+  Decision decision = decide(current, order);
+  if (decision.verdict == Verdict::tooOld) decision.verdict = Verdict::lostRace;
+  if (row != rows.end() && row->second == order.body) decision.verdict = Verdict::acknowledgeAgain;
+  return decision;
+}
+
+class OrdersSimulation {
+ public:
+  OrdersSimulation(std::uint64_t seed, std::size_t nodes, Rules rules)
+      : cluster_(seed, nodes), rules_(rules), shape_{256, 1 + seed % 4}, owners_(nodes) {
+    cluster_.joins = true;
+    cluster_.survive = 1;
+    cluster_.run(400);
+  }
+  /// Plays a day; says what is broken.
+  string play(std::size_t steps) {
+    for (std::size_t k = 0; k < steps && cluster_.broken.empty(); ++k) {
+      cluster_.step();
+      cluster_.check();
+      for (std::size_t const victim : std::exchange(doomed_, {}))
+        if (cluster_.nodes()[victim].up) dice(2) ? cluster_.kill(victim) : cluster_.power(victim);
+      if (dice(6) == 0) operate();
+      if (dice(120) == 0) trouble();
+      if (dice(60) == 0) relief();
+    }
+    if (!cluster_.broken.empty()) return cluster_.broken;
+    return judge();
+  }
+  std::uint64_t taken = 0, repeated = 0, refused = 0, reads = 0, wipes = 0;
+
+ private:
+  struct Sent {
+    OrderIdentity identity;
+    Order order;
+  };
+  struct Owner {
+    std::uint64_t life = 0, turn = 0;
+    bool busy = false;
+    UnsettledOrder unsettled;
+  };
+  std::uint64_t dice(std::uint64_t n) { return cluster_.dice(n); }
+
+  /// An operator sends a new order, an order once more, or a read, to any node.
+  void operate() {
+    std::size_t const node = dice(cluster_.nodes().size());
+    std::uint64_t const kind = dice(8);
+    if (kind < 2) return read(node);
+    if (kind < 5 && !sent_.empty()) {
+      std::size_t const recent = std::min<std::size_t>(sent_.size(), dice(3) ? 4 : sent_.size());
+      ++repeated;
+      return send(node, sent_[sent_.size() - 1 - dice(recent)]);
+    }
+    std::uint64_t const base = seen_;
+    Order const order{std::to_string(base), configuration(base + 1 + dice(3), dice(1000000))};
+    sent_.push_back(Sent{OrderIdentity{base, sha256(canonicalJson(order.body))}, order});
+    send(node, sent_.back());
+    if (dice(3) == 0) operate();
+  }
+  /// The node that serves a call: the one asked, or one it takes for the owner.
+  std::optional<std::size_t> serving(std::size_t node) {
+    for (int hop = 0; hop < 3; ++hop) {
+      sim::Cluster::Node& x = cluster_.nodes()[node];
+      if (!x.up || x.frozen) return std::nullopt;
+      if (x.consensus->owns("configuration")) return node;
+      node = dice(cluster_.nodes().size());
+    }
+    return std::nullopt;
+  }
+  Owner& ownerState(std::size_t node) {
+    Owner& owner = owners_[node];
+    if (owner.life != cluster_.nodes()[node].life) owner = Owner{cluster_.nodes()[node].life, 0, false, {}};
+    return owner;
+  }
+  /// Trouble may strike the owner at each stage of an order.
+  void stage(std::size_t node) {
+    if (dice(25) == 0) doomed_.insert(node);
+  }
+  void confirmed(std::size_t node, std::function<void(bool)> then) {
+    if (rules_ == Rules::withoutConfirm) return then(true);
+    cluster_.begin(
+        node, [this](Consensus& c) { return c.confirm("configuration", cluster_.now()); }, std::move(then));
+  }
+  void read(std::size_t asked) {
+    Moment const from = cluster_.now();
+    std::optional<std::size_t> const node = serving(asked);
+    if (!node) return;
+    confirmed(*node, [this, from, node = *node](bool ok) {
+      if (!ok) return;
+      std::map<string, string> const& rows = cluster_.nodes()[node].consensus->view("configuration");
+      std::map<string, string>::const_iterator const current = rows.find(currentKey);
+      std::uint64_t const version = current == rows.end() ? 0 : compileConfiguration(current->second)->version;
+      seen_ = std::max(seen_, version);
+      checker_.reads.push_back({from, cluster_.now(), version});
+      ++reads;
+    });
+  }
+  void send(std::size_t asked, Sent const& sent) {
+    std::size_t const index = checker_.attempts.size();
+    checker_.attempts.push_back({sent.identity, cluster_.now(), Moment(), sim::Answer::none});
+    std::optional<std::size_t> const node = serving(asked);
+    if (!node || ownerState(*node).busy) return;
+    Owner& owner = ownerState(*node);
+    owner.busy = true;
+    std::uint64_t const turn = ++owner.turn;
+    stage(*node);
+    confirmed(*node, [this, index, turn, node = *node, order = sent.order](bool ok) {
+      Owner& state = ownerState(node);
+      if (state.turn != turn) return;
+      if (ok)
+        judgeAt(node, index, order);
+      else
+        state.busy = false;
+    });
+  }
+  void judgeAt(std::size_t node, std::size_t index, Order const& order) {
+    Consensus& consensus = *cluster_.nodes()[node].consensus;
+    Owner& owner = ownerState(node);
+    std::map<string, string> const& rows = consensus.view("configuration");
+    std::uint64_t const epoch = consensus.epochOf("configuration").n;
+    owner.busy = false;
+    if (rules_ != Rules::withoutSettling && owner.unsettled.open(epoch, rows)) return;
+    Decision const decision =
+        rules_ == Rules::currentTextOnly ? decideByText(rows, order) : decide(rows, order, shape_);
+    if (decision.verdict == Verdict::acknowledgeAgain) return answer(index, sim::Answer::acknowledged);
+    if (decision.verdict == Verdict::lostRace || decision.verdict == Verdict::invalid)
+      return answer(index, sim::Answer::refused);
+    if (decision.verdict != Verdict::apply) return;
+    vector<Consensus::Change> changes;
+    for (OrderHistory::Row const& row : rowsFor(rows, order, decision, shape_))
+      changes.push_back({row.key, row.value, false});
+    owner.busy = true;
+    owner.unsettled.begin(decision.identity, epoch);
+    std::uint64_t const turn = ++owner.turn;
+    stage(node);
+    cluster_.begin(
+        node, [&](Consensus& c) { return c.propose("configuration", changes, cluster_.now()); },
+        [this, index, turn, node](bool ok) {
+          Owner& state = ownerState(node);
+          if (state.turn != turn) return;
+          state.busy = false;
+          if (!ok) return;
+          state.unsettled.settle();
+          stage(node);
+          answer(index, sim::Answer::acknowledged);
+        });
+    // The wait for the end is bounded: at times the owner gives up on it and serves others.
+    if (dice(4) == 0) owner.busy = false, ++owner.turn;
+  }
+  /// The answer reaches the operator unless it is lost on its way.
+  void answer(std::size_t index, sim::Answer given) {
+    if (dice(4) == 0) return;
+    sim::Attempt& attempt = checker_.attempts[index];
+    attempt.to = cluster_.now();
+    attempt.answer = given;
+    if (given == sim::Answer::refused) ++refused;
+  }
+  void trouble() {
+    std::size_t const count = cluster_.nodes().size(), i = dice(count);
+    sim::Cluster::Node& x = cluster_.nodes()[i];
+    std::size_t thin = 0, away = 0;
+    for (sim::Cluster::Node const& y : cluster_.nodes()) {
+      thin += !y.whole;
+      away += !y.up || y.frozen;
+    }
+    switch (dice(5)) {
+      case 0:
+        if (x.up && away < 2) dice(2) ? cluster_.power(i) : cluster_.kill(i);
+        break;
+      case 1:
+        if (x.up && away < 2) x.frozen = true;
+        break;
+      case 2:
+        for (std::size_t j = 0; j < count; ++j) {
+          if (j != i) cluster_.cuts.insert({i, j});
+          if (j != i && dice(2)) cluster_.cuts.insert({j, i});
+        }
+        break;
+      case 3:
+        cluster_.loss = dice(3) * 0.1;
+        break;
+      default:
+        if (thin || away) break;
+        cluster_.wipe(i);
+        ++wipes;
+    }
+  }
+  void relief() {
+    std::size_t const i = dice(cluster_.nodes().size());
+    sim::Cluster::Node& x = cluster_.nodes()[i];
+    if (!x.up)
+      cluster_.start(i);
+    else if (x.frozen)
+      cluster_.thaw(i);
+    else if (dice(2))
+      cluster_.cuts.clear();
+  }
+  /// All is healed; the chain that is in force then must explain the whole history.
+  string judge() {
+    cluster_.cuts.clear();
+    cluster_.loss = 0;
+    for (std::size_t i = 0; i < cluster_.nodes().size(); ++i) {
+      if (!cluster_.nodes()[i].up)
+        cluster_.start(i);
+      else if (cluster_.nodes()[i].frozen)
+        cluster_.thaw(i);
+    }
+    cluster_.run(2500);
+    for (sim::Cluster::Node& x : cluster_.nodes()) {
+      if (!x.consensus->owns("configuration")) continue;
+      std::map<string, string> const& rows = x.consensus->view("configuration");
+      OrderHistory const history(rows, currentVersion(rows));
+      taken = history.orders().size();
+      return checker_.check(history.orders());
+    }
+    return "nobody owns the configuration after all was healed";
+  }
+
+  sim::Cluster cluster_;
+  Rules rules_;
+  HistoryShape shape_;
+  vector<Owner> owners_;
+  vector<Sent> sent_;
+  sim::OrderChecker checker_;
+  std::uint64_t seen_ = 0;
+  std::set<std::size_t> doomed_;
+};
+bool caught(Rules rules, std::uint64_t most) {
+  for (std::uint64_t seed = 1; seed <= most; ++seed)
+    if (!OrdersSimulation(seed, 4, rules).play(3000).empty()) return true;
+  return false;
+}
+}  // namespace
+
+TEST_GROUP(ordersimulation){};
+
+TEST(ordersimulation, everyHistoryIsLinearizable) {
+  std::uint64_t taken = 0, repeated = 0, refused = 0, reads = 0, wipes = 0;
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    OrdersSimulation simulation(seed, 3 + seed % 3, Rules::real);
+    string const fault = simulation.play(3000);
+    if (!fault.empty()) FAIL(("seed " + std::to_string(seed) + ": " + fault).c_str());
+    taken += simulation.taken;
+    repeated += simulation.repeated;
+    refused += simulation.refused;
+    reads += simulation.reads;
+    wipes += simulation.wipes;
+  }
+  string const totals = std::to_string(taken) + " taken, " + std::to_string(repeated) + " sent again, " +
+                        std::to_string(refused) + " refused, " + std::to_string(reads) + " reads, " +
+                        std::to_string(wipes) + " disks wiped";
+  UT_PRINT(totals.c_str());
+  CHECK(taken > 10 * seeds() && repeated > taken && refused > seeds() && reads > seeds() && wipes > 0);
+}
+TEST(ordersimulation, theRuleOfTheCurrentTextOnlyIsCaught) {
+  CHECK(caught(Rules::currentTextOnly, 100));
+}
+TEST(ordersimulation, anOwnerThatDoesNotConfirmIsCaught) {
+  CHECK(caught(Rules::withoutConfirm, 300));
+}
+TEST(ordersimulation, anOwnerThatJudgesBesideAnUnsettledOrderIsCaught) {
+  CHECK(caught(Rules::withoutSettling, 300));
+}
--- /dev/null
+++ b/tests/orders_test.cpp
@@ -0,0 +1,148 @@
+#include "configuration/order_decision.hpp"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace tealshelf;
+
+namespace {
+using Rows = std::map<string, string>;
+
+/// A valid configuration; `mark` tells apart those of one version.
+string configuration(std::uint64_t version, string const& mark = "a") {
+  return "{\"version\":" + std::to_string(version) + ",\"routes\":[{\"name\":\"" + mark +
+         "\",\"host\":\"h.example\",\"pathStart\":\"/a/\",\"kind\":\"repeatable\",\"timeLimitMs\":1000,"
+         "\"service\":\"s\"}],\"services\":[{\"name\":\"s\"}]}";
+}
+Order order(std::uint64_t base, std::uint64_t version, string const& mark = "a") {
+  return Order{std::to_string(base), configuration(version, mark)};
+}
+/// A valid order on version 9, with one part of its text replaced.
+Order with(string const& part, string const& by) {
+  string text = configuration(10);
+  return Order{"9", text.replace(text.find(part), part.size(), by)};
+}
+void apply(Rows& rows, Order const& o, HistoryShape shape = HistoryShape()) {
+  Decision const d = decide(rows, o, shape);
+  LONGS_EQUAL(static_cast<int>(Verdict::apply), static_cast<int>(d.verdict));
+  for (OrderHistory::Row const& row : rowsFor(rows, o, d, shape)) rows[row.key] = row.value;
+}
+/// Rows after the versions 3, 6, 9 and so on.
+Rows after(std::uint64_t changes, HistoryShape shape = HistoryShape()) {
+  Rows rows;
+  for (std::uint64_t i = 0; i < changes; ++i) apply(rows, order(3 * i, 3 * i + 3), shape);
+  return rows;
+}
+void expect(Rows const& rows, Order const& o, Verdict verdict, int code = 0, HistoryShape shape = HistoryShape()) {
+  Decision const d = decide(rows, o, shape);
+  LONGS_EQUAL_TEXT(static_cast<int>(verdict), static_cast<int>(d.verdict), (o.ifMatch + " " + o.body).c_str());
+  if (code) LONGS_EQUAL(code, static_cast<int>(d.code));
+}
+}  // namespace
+
+TEST_GROUP(orders){};
+
+TEST(orders, verdicts) {
+  Rows const none, rows = after(3);  // 0 > 3 > 6 > 9
+  struct {
+    Rows const& rows;
+    Order order;
+    Verdict verdict;
+    int code;
+  } const table[] = {
+      {none, order(0, 1), Verdict::apply, 0},
+      {none, order(4, 5), Verdict::lostRace, 109},
+      {none, order(0, 0), Verdict::invalid, 105},
+      {rows, order(9, 10), Verdict::apply, 0},
+      {rows, order(6, 9), Verdict::acknowledgeAgain, 0},
+      {rows, order(3, 6), Verdict::acknowledgeAgain, 0},
+      {rows, order(0, 3), Verdict::acknowledgeAgain, 0},
+      {rows, {"0", " " + order(0, 3).body + "\n"}, Verdict::acknowledgeAgain, 0},
+      {rows, order(0, 3, "b"), Verdict::lostRace, 109},  // the same number on the same base with other content
+      {rows, order(6, 9, "b"), Verdict::lostRace, 109},
+      {rows, order(3, 5), Verdict::lostRace, 109},
+      {rows, order(5, 12), Verdict::lostRace, 109},   // a base that never was
+      {rows, order(12, 13), Verdict::lostRace, 109},  // a base that isn't yet
+      {rows, order(9, 9), Verdict::invalid, 105},
+      {rows, order(9, 8), Verdict::invalid, 105},
+      {rows, order(3, 9), Verdict::lostRace, 109},  // the current content on another base
+      {rows, {"", configuration(10)}, Verdict::invalid, 110},
+      {rows, {"x", configuration(10)}, Verdict::invalid, 110},
+      {rows, {"-9", configuration(10)}, Verdict::invalid, 110},
+      {rows, {"9.0", configuration(10)}, Verdict::invalid, 110},
+      {rows, {string(40, '9'), configuration(10)}, Verdict::invalid, 110},
+      {rows, {"9", ""}, Verdict::invalid, 100},
+      {rows, {"9", "[]"}, Verdict::invalid, 100},
+      {rows, {"9", configuration(10).substr(0, 60)}, Verdict::invalid, 100},
+      {rows, {"9", string(1000000, '[')}, Verdict::invalid, 100},
+      {rows, {"9", "{\"version\":-1" + configuration(1).substr(12)}, Verdict::invalid, 107},
+      {rows, {"9", "{\"version\":1e30" + configuration(1).substr(12)}, Verdict::invalid, 107},
+      {rows, {"9", "{\"version\":\"ten\"" + configuration(1).substr(12)}, Verdict::invalid, 106},
+      {rows, {"9", "{\"version\":10,\"routes\":[],\"services\":7}"}, Verdict::invalid, 106},
+      {rows, with("\"timeLimitMs\":1000", "\"timeLimitMs\":100000000000000000"), Verdict::invalid, 107},
+      {rows, with("\"service\":\"s\"", "\"split\":[{\"service\":\"s\",\"share\":900000000000000000}]"),
+       Verdict::invalid, 107},
+  };
+  for (auto const& line : table) expect(line.rows, line.order, line.verdict, line.code);
+}
+TEST(orders, takenOrdersAreKnownThroughTheDay) {
+  std::uint64_t const changes = 1024 + 200;
+  Rows const rows = after(changes);
+  std::size_t bytes = 0, keys = 0;
+  for (Rows::value_type const& row : rows) {
+    if (row.first == currentKey) continue;
+    bytes += row.first.size() + row.second.size();
+    ++keys;
+  }
+  CHECK(keys <= HistoryShape().pages);
+  CHECK(bytes < 64 * 1024);
+  for (std::uint64_t i = 0; i < changes; ++i) {
+    bool const kept = i + 1024 >= changes;
+    if (kept) expect(rows, order(3 * i, 3 * i + 3), Verdict::acknowledgeAgain);
+    if (kept) expect(rows, order(3 * i, 3 * i + 3, "b"), Verdict::lostRace, 109);
+  }
+  // What may have been forgotten is neither refused nor taken again.
+  expect(rows, order(0, 3), Verdict::tooOld, 111);
+  expect(rows, order(0, 3, "b"), Verdict::tooOld, 111);
+}
+TEST(orders, aRingOfAnyShapeKeepsTheNewest) {
+  for (HistoryShape const shape : {HistoryShape{2, 1}, HistoryShape{2, 3}, HistoryShape{4, 4}})
+    for (std::uint64_t changes = 1; changes < 40; ++changes) {
+      Rows const rows = after(changes, shape);
+      std::uint64_t const sure = (shape.pages - 1) * shape.ordersPerPage + 1;
+      for (std::uint64_t i = 0; i < changes; ++i) {
+        Verdict const verdict = decide(rows, order(3 * i, 3 * i + 3), shape).verdict;
+        CHECK(verdict == Verdict::acknowledgeAgain || (verdict == Verdict::tooOld && i + sure < changes));
+      }
+    }
+}
+/// A page may come up that a deposed owner wrote, without the configuration of the same change.
+TEST(orders, pagesWithoutTheirConfigurationDoNotCount) {
+  HistoryShape const shape{8, 1};
+  Rows rows = after(3, shape), other = rows;
+  apply(other, order(9, 12, "lost"), shape);
+  rows["orders/3"] = other.at("orders/3");
+  expect(rows, order(9, 12, "lost"), Verdict::apply, 0, shape);
+  expect(rows, order(6, 9), Verdict::acknowledgeAgain, 0, shape);
+  apply(rows, order(9, 11), shape);
+  expect(rows, order(9, 12, "lost"), Verdict::lostRace, 109, shape);
+  expect(rows, order(9, 11), Verdict::acknowledgeAgain, 0, shape);
+}
+TEST(orders, aStateWithoutHistoryLeavesOldOrdersOpen) {
+  Rows rows;
+  rows[currentKey] = configuration(9);
+  expect(rows, order(6, 9), Verdict::tooOld, 111);
+  expect(rows, order(9, 10), Verdict::apply);
+}
+TEST(orders, nothingIsJudgedWhileAnOrderIsUnsettled) {
+  Rows rows = after(2);
+  UnsettledOrder unsettled;
+  CHECK_FALSE(unsettled.open(5, rows));
+  Order const written = order(6, 9);
+  unsettled.begin(decide(rows, written).identity, 5);
+  CHECK_TRUE(unsettled.open(5, rows));
+  CHECK_TRUE(unsettled.open(5, rows));
+  UnsettledOrder overtaken = unsettled;
+  CHECK_FALSE(overtaken.open(6, rows));  // a new epoch has settled it
+  apply(rows, written);
+  CHECK_FALSE(unsettled.open(5, rows));  // it came into force
+}
