--- a/tests/stand_in.hpp
+++ b/tests/stand_in.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "traffic/edge_node.hpp"
+#include "edge/edge_node.hpp"
 
 namespace tealshelf {
 
