--- a/consensus/consensus.cpp
+++ b/consensus/consensus.cpp
@@ -28,6 +28,12 @@
   return nullptr;
 }
 
+bool Heartbeat::hears(Identity id) const {
+  for (Echo const& e : echoes)
+    if (e.of == id) return true;
+  return false;
+}
+
 void Consensus::record(int sort, string const& keyspace, Epoch e, Message const* m) {
   Record r;
   r.sort = sort;
@@ -140,36 +146,29 @@
 bool Consensus::alive(Identity id, Moment now) const {
   if (id == self_.id) return true;
   std::map<Identity, Peer>::const_iterator const p = peers_.find(id);
-  if (p == peers_.end() || now - p->second.at > times_.alive) return false;
+  if (p == peers_.end() || p->second.contact == Moment()) return false;
+  if (now - p->second.contact > times_.alive || now - p->second.at > times_.alive) return false;
   std::size_t n = 1;
-  for (Identity const& h : p->second.heartbeat.hears)
-    if (h != id && membership_.find(h)) ++n;
+  for (Echo const& e : p->second.heartbeat.echoes)
+    if (e.of != id && membership_.find(e.of)) ++n;
   return n >= membership_.most();
 }
-/// Both ways: a member counts only if its own heartbeat says that it hears this node.
-bool Consensus::mutual(Peer const& p) const {
-  return std::find(p.heartbeat.hears.begin(), p.heartbeat.hears.end(), self_.id) != p.heartbeat.hears.end();
-}
 bool Consensus::inMajority(Moment now) const {
-  std::size_t n = 0;
-  for (Member const& m : membership_.members) {
-    std::map<Identity, Peer>::const_iterator const p = peers_.find(m.id);
-    if (m.id == self_.id || (p != peers_.end() && now - p->second.at <= times_.alive && mutual(p->second))) ++n;
-  }
-  return !membership_.members.empty() && n >= membership_.most();
+  Moment const at = provenAt(now);
+  return at != Moment() && now - at <= times_.alive;
 }
 Moment Consensus::provenAt(Moment now) const {
-  vector<Moment> at;
+  vector<Moment> contacts;
   for (Member const& m : membership_.members) {
     std::map<Identity, Peer>::const_iterator const p = peers_.find(m.id);
     if (m.id == self_.id)
-      at.push_back(now);
-    else if (p != peers_.end() && mutual(p->second))
-      at.push_back(p->second.at);
+      contacts.push_back(now);
+    else if (p != peers_.end())
+      contacts.push_back(p->second.contact);
   }
-  if (membership_.members.empty() || at.size() < membership_.most()) return Moment();
-  std::sort(at.begin(), at.end(), std::greater<Moment>());
-  return at[membership_.most() - 1];
+  if (membership_.members.empty() || contacts.size() < membership_.most()) return Moment();
+  std::sort(contacts.begin(), contacts.end(), std::greater<Moment>());
+  return contacts[membership_.most() - 1];
 }
 bool Consensus::ready(Identity id, Moment now) const {
   if (id == self_.id) return copied_;
@@ -204,8 +203,9 @@
   p.self = self_;
   p.membership = membership_.no;
   p.copied = copied_;
+  p.sent = OwnMoment{life_, now.time_since_epoch().count()};
   for (std::pair<Identity const, Peer> const& q : peers_)
-    if (now - q.second.at <= times_.alive) p.hears.push_back(q.first);
+    if (now - q.second.at <= times_.alive) p.echoes.push_back(Echo{q.first, q.second.heartbeat.sent});
   for (std::pair<string const, Keyspace> const& q : keyspaces_) {
     Keyspace const& s = q.second;
     KeyspaceProgress k;
@@ -219,9 +219,23 @@
   return p;
 }
 
+void Consensus::echoed(Identity from, OwnMoment const& sent, Moment now) {
+  Moment const at = Moment(Moment::duration(sent.ticks));
+  if (sent.life != life_ || at > now) return;
+  Peer& p = peers_[from];
+  p.contact = std::max(p.contact, at);
+}
+
 void Consensus::heard(Heartbeat const& p, Moment now) {
   if (p.self.id == self_.id) return;
-  peers_[p.self.id] = {now, p};
+  for (Echo const& e : p.echoes)
+    if (e.of == self_.id) echoed(p.self.id, e.sent, now);
+  Peer& peer = peers_[p.self.id];
+  OwnMoment const& last = peer.heartbeat.sent;
+  // One that was overtaken by a later heartbeat of the same life says nothing new.
+  if (last.life == p.sent.life && p.sent.ticks < last.ticks) return;
+  peer.at = now;
+  peer.heartbeat = p;
   if (p.membership != membership_.no || !membership_.find(p.self.id)) return;
   for (KeyspaceProgress const& k : p.marks) {
     Keyspace& s = keyspaces_[k.keyspace];
--- a/consensus/consensus.hpp
+++ b/consensus/consensus.hpp
@@ -60,14 +60,29 @@
   bool owned = false;
   MSGPACK_DEFINE(keyspace, epoch, upTo, committed, owned)
 };
+/// A moment of the steady clock of one process; opaque to every other process.
+struct OwnMoment {
+  std::uint64_t life = 0;  ///< of the process, so that no moment outlives it
+  std::int64_t ticks = 0;
+  bool operator==(OwnMoment const&) const = default;
+  MSGPACK_DEFINE(life, ticks)
+};
+/// The latest moment that was received from a member, on its way back to it.
+struct Echo {
+  Identity of;
+  OwnMoment sent;
+  MSGPACK_DEFINE(of, sent)
+};
 /// What a node tells the others of itself.
 struct Heartbeat {
   Member self;
   MembershipNumber membership;
   bool copied = false;
-  vector<Identity> hears;
+  OwnMoment sent;       ///< when this heartbeat was sent, by the sender's clock
+  vector<Echo> echoes;  ///< one for each node that the sender heard lately
   vector<KeyspaceProgress> marks;
-  MSGPACK_DEFINE(self, membership, copied, hears, marks)
+  bool hears(Identity id) const;
+  MSGPACK_DEFINE(self, membership, copied, sent, echoes, marks)
 };
 
 /// The end of a proposal or of a confirmation.
@@ -94,7 +109,8 @@
     string key, value;
     bool gone = false;
   };
-  Consensus(Member self, Times t) : self_(std::move(self)), times_(t) {}
+  /// The number of this process's life must differ from that of every earlier life.
+  Consensus(Member self, Times t, std::uint64_t life) : self_(std::move(self)), times_(t), life_(life) {}
 
   /// Takes back a record of the disk; a bad one throws badMessage.
   void replay(string const& record);
@@ -103,6 +119,8 @@
   void tick(Moment now);
   void receive(Message const& m, Moment now);
   void heard(Heartbeat const& p, Moment now);
+  /// Takes a moment of this node that a peer sent back, with a heartbeat or as the answer to one.
+  void echoed(Identity from, OwnMoment const& sent, Moment now);
   Heartbeat heartbeat(Moment now) const;
   /// Installs a newer membership; copied says that this disk holds all keys.
   void install(Membership const& g, bool copied);
@@ -135,10 +153,11 @@
   bool alive(Identity id, Moment now) const;
   /// True if a member runs, holds all keys and knows this membership.
   bool ready(Identity id, Moment now) const;
+  /// When something of a member arrived last; it may have been sent long before.
   Moment lastHeard(Identity id) const;
-  /// When a majority that hears this node, this node included, was heard last.
+  /// The latest moment at which this node sent what a majority, itself included, is known to have received.
   Moment provenAt(Moment now) const;
-  /// True if a majority was heard lately, and says that it hears this node.
+  /// True if that moment lies within the bound. Arrivals prove nothing: they may have been held back.
   bool inMajority(Moment now) const;
   vector<string> keyspaces() const;
 
@@ -175,10 +194,10 @@
     std::map<Identity, std::pair<Moment, Moment>> behind;
   };
   struct Peer {
-    Moment at;
+    Moment at;       ///< of the last arrival
+    Moment contact;  ///< the latest own moment that the peer sent back
     Heartbeat heartbeat;
   };
-  bool mutual(Peer const& p) const;
   void startTakeover(string const& name, Keyspace& s, Moment now);
   void stepDown(Keyspace& s);
   void sendVoteRequests(string const& name, Keyspace& s, Moment now);
@@ -201,6 +220,7 @@
 
   Member self_;
   Times times_;
+  std::uint64_t life_;
   Membership membership_;
   bool copied_ = false;
   std::map<string, Keyspace> keyspaces_;
--- a/consensus/driver.cpp
+++ b/consensus/driver.cpp
@@ -17,7 +17,7 @@
       period_(settings.bounds.inTouch / 20),
       id_(ownIdentity(settings, fresh_)),
       consensus_(Member{id_, settings.nodeName, settings.ip, settings.zone, false, !settings.dataFolder.empty()},
-                 Consensus::Times{Ms(settings.bounds.inTouch / 4), Ms(settings.bounds.inTouch / 30)}) {
+                 Consensus::Times{Ms(settings.bounds.inTouch / 4), Ms(settings.bounds.inTouch / 30)}, randomId()) {
   if (!settings.dataFolder.empty()) {
     std::size_t const turn = static_cast<std::size_t>(std::max<std::int64_t>(settings.diskMb, 8)) * (1u << 20) / 8;
     log_ = std::make_unique<DiskLog>(io, settings.dataFolder + "/registry", turn,
@@ -38,7 +38,7 @@
     pump();
     co_return Done{};
   });
-  server.on<HeartbeatMessage>([this](HeartbeatMessage m) -> Task<Done> {
+  server.on<HeartbeatMessage>([this](HeartbeatMessage m) -> Task<HeartbeatReply> {
     Moment const now = Clock::now();
     if (m.membership.no > consensus_.membership().no && m.membership.no.v) consensus_.install(m.membership, false);
     consensus_.heard(m.heartbeat, now);
@@ -54,14 +54,14 @@
     consensus_.tick(now);
     pump();
     // One that doesn't hear this node yet gets a heartbeat at once, so that a start takes no whole period.
-    bool const known = std::find(m.heartbeat.hears.begin(), m.heartbeat.hears.end(), id_) != m.heartbeat.hears.end();
+    bool const known = m.heartbeat.hears(id_);
     Moment& back = backAt_[m.heartbeat.self.ip];
     if (!known && now - back > period_ / 5) {
       back = now;
       rpc_.tellTo(at(m.heartbeat.self.ip), heartbeatFor(m.heartbeat.membership, true));
     }
     if (onChange) onChange();
-    co_return Done{};
+    co_return HeartbeatReply{id_, m.heartbeat.sent};
   });
   server.on<Hello>([this](Hello) -> Task<HelloReply> {
     co_return HelloReply{consensus_.self(), consensus_.membership(), settings_.firstStart,
@@ -205,7 +205,10 @@
     return;
   }
   asio::co_spawn(io_, rpc_.ask(at(ip), m, Ms(settings_.bounds.inTouch / 8)),
-                 [this, ip](std::exception_ptr, Done) { awaitingHeartbeat_.erase(ip); });
+                 [this, ip](std::exception_ptr x, HeartbeatReply r) {
+                   awaitingHeartbeat_.erase(ip);
+                   if (!x) consensus_.echoed(r.from, r.sent, Clock::now());
+                 });
 }
 
 Task<void> Driver::tickLoop() {
--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -175,7 +175,7 @@
       if (x.id == driver_.consensus().self().id || !driver_.consensus().alive(x.id, Clock::now())) continue;
       ++*left;
       asio::co_spawn(io_, rpc_.ask(settings_.controlAt(x.ip), m, Ms(settings_.bounds.drain / 5)),
-                     [left, t](std::exception_ptr, Done) {
+                     [left, t](std::exception_ptr, HeartbeatReply) {
                        if (!--*left) t->cancel();
                      });
     }
--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -78,6 +78,8 @@
   Moment now() const { return now_; }
   vector<Node>& nodes() { return nodes_; }
   double loss = 0;
+  std::uint64_t delay = 0;                             ///< packets come up to so many ms later
+  bool datedByArrival = false;                         ///< the broken variant: contact counts from the arrival
   bool syncAtStart = true;                             ///< a start syncs what a killed process left unsynced
   std::set<std::pair<std::size_t, std::size_t>> cuts;  ///< one-way
 
@@ -180,6 +182,7 @@
     for (Node& x : nodes_) {
       if (!x.up) continue;
       if (x.consensus->copied() && x.unsynced.empty()) x.whole = true;
+      if (!x.frozen) checkContact(x);
       std::optional<std::map<string, string>> const v = x.consensus->settled("configuration");
       if (!v || !v->count("current")) continue;
       std::uint64_t const n = std::strtoull(v->at("current").c_str(), nullptr, 10);
@@ -189,11 +192,25 @@
   }
 
  private:
+  /// Who says that it is in touch with a majority has sent what a majority received, within the bound.
+  void checkContact(Node const& x) {
+    if (!x.consensus->inMajority(now_)) return;
+    vector<Moment> truth;
+    for (Member const& m : x.consensus->membership().members)
+      truth.push_back(m.id == x.self.id ? now_ : received_[{x.self.id, m.id}]);
+    std::sort(truth.begin(), truth.end(), std::greater<Moment>());
+    Moment const proof = truth[x.consensus->membership().most() - 1];
+    if (now_ - proof <= Ms(750)) return;
+    std::size_t const i = static_cast<std::size_t>(&x - nodes_.data());
+    bool const overtaken = ackedAt_ > proof && ackedBy_ != i;
+    fail(x.self.name + (overtaken ? " claims a majority while another owner acknowledged a newer write"
+                                  : " claims a majority on an old proof"));
+  }
   void fail(string const& s) {
     if (broken.empty()) broken = s;
   }
   void make(Node& x) {
-    x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)});
+    x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)}, x.life);
     x.consensus->know("configuration");
     x.consensus->know("members");
     x.up = true;
@@ -209,7 +226,7 @@
     x.copies.clear();
     x.copied.clear();
     writing_.erase(static_cast<std::size_t>(&x - nodes_.data()));
-    x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)});
+    x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)}, x.life);
   }
   void pump(Node& x) {
     Batch b = x.consensus->take();
@@ -240,7 +257,8 @@
   void deliver(std::size_t from, std::size_t to, M m) {
     if (from != to && (cuts.count({from, to}) || std::uniform_real_distribution<>(0, 1)(g_) < loss)) return;
     std::uint64_t const life = nodes_[to].life;
-    Moment const at = now_ + Ms(from == to ? 0 : 1 + dice(loss > 0 ? 60 : 3));
+    Ms const late(delay && from != to ? dice(delay) : 0);
+    Moment const at = now_ + late + Ms(from == to ? 0 : 1 + dice(loss > 0 ? 60 : 3));
     net_.emplace(at, [this, to, life, m = std::move(m)] {
       Node& y = nodes_[to];
       if (!y.up || y.life != life) return;
@@ -255,7 +273,19 @@
     y.consensus->receive(m, now_);
     pump(y);
   }
-  void take(Node& y, Heartbeat const& p) {
+  struct HeartbeatAnswer {
+    Identity from;
+    OwnMoment sent;
+  };
+  void take(Node& y, HeartbeatAnswer const& a) { y.consensus->echoed(a.from, a.sent, now_); }
+  void take(Node& y, Heartbeat p) {
+    Moment& received = received_[{p.self.id, y.self.id}];
+    received = std::max(received, Moment(Moment::duration(p.sent.ticks)));
+    for (std::size_t i = 0; i < nodes_.size(); ++i)
+      if (nodes_[i].self.id == p.self.id && !datedByArrival)
+        deliver(static_cast<std::size_t>(&y - nodes_.data()), i, HeartbeatAnswer{y.self.id, p.sent});
+    for (Echo& e : p.echoes)
+      if (datedByArrival && e.of == y.self.id) e.sent = y.consensus->heartbeat(now_).sent;
     for (Node& x : nodes_)
       if (x.self.id == p.self.id && x.consensus && x.consensus->membership().no > y.consensus->membership().no)
         y.consensus->install(x.consensus->membership(), false);
@@ -345,6 +375,8 @@
         ++writes;
         if (op.value <= op.floor) fail("a write was acknowledged over an older value");
         acked = std::max(acked, op.value);
+        ackedAt_ = now_;
+        ackedBy_ = node;
       } else {
         ++reads;
         if (value(nodes_[node]) < op.floor) fail("a confirmed read missed an acknowledged write");
@@ -356,9 +388,9 @@
  public:
   void thaw(std::size_t i) {
     nodes_[i].frozen = false;
-    vector<std::pair<std::size_t, std::variant<Message, Heartbeat>>> l;
+    vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> l;
     l.swap(late_);
-    for (std::pair<std::size_t, std::variant<Message, Heartbeat>>& p : l) {
+    for (std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>& p : l) {
       if (p.first != i) {
         late_.push_back(std::move(p));
         continue;
@@ -377,7 +409,10 @@
   std::multimap<Moment, std::function<void()>> net_;
   std::deque<Op> ops_;
   std::set<std::size_t> writing_;
-  vector<std::pair<std::size_t, std::variant<Message, Heartbeat>>> late_;
+  std::map<std::pair<Identity, Identity>, Moment> received_;  ///< when the latest heartbeat that arrived was sent
+  Moment ackedAt_;
+  std::size_t ackedBy_ = 0;
+  vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> late_;
 };
 
 }  // namespace tealshelf::sim
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -190,3 +190,55 @@
   }
   FAIL("nobody owns the configuration");
 }
+
+namespace {
+/// Cuts a node off, in one direction or both, freezes it or delays all packets; all heal in between.
+string isolate(std::uint64_t seed, bool datedByArrival, std::uint64_t& writes) {
+  sim::Cluster g(seed, 3 + seed % 2);
+  g.datedByArrival = datedByArrival;
+  g.run(400);
+  for (std::uint64_t round = 0; round < 10; ++round) {
+    std::size_t const n = g.nodes().size(), i = g.dice(n), kind = (seed + round) % 5;
+    for (std::size_t j = 0; j < n && kind < 3; ++j) {
+      if (kind != 1) g.cuts.insert({i, j});
+      if (kind != 2) g.cuts.insert({j, i});
+    }
+    g.nodes()[i].frozen = kind == 3;
+    g.delay = kind == 4 ? 2000 : 0;
+    bool const thaws = kind == 3;
+    for (std::size_t k = 0; k < 1600 && g.broken.empty(); ++k) {
+      if (k == 800) {
+        g.cuts.clear();
+        g.delay = 0;
+        if (thaws) g.thaw(i);
+        g.check();
+      }
+      g.step();
+      if (k % 4 == 0) g.write();
+      g.check();
+    }
+    if (!g.broken.empty()) return g.broken;
+    for (sim::Cluster::Node const& x : g.nodes())
+      if (!x.consensus->inMajority(g.now())) return x.self.name + " is not in touch again after the heal";
+  }
+  writes += g.writes;
+  return "";
+}
+}  // namespace
+
+TEST(consensussim, contactIsDatedByOwnQuestions) {
+  std::uint64_t writes = 0;
+  for (std::uint64_t s = 1; s <= seeds(); ++s) {
+    string const b = isolate(s, false, writes);
+    if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
+  }
+  CHECK(writes > 100);
+}
+
+TEST(consensussim, contactDatedByArrivalIsCaught) {
+  bool caught = false;
+  std::uint64_t writes = 0;
+  for (std::uint64_t s = 1; s <= 60 && !caught; ++s)
+    caught = isolate(s, true, writes).find("acknowledged a newer write") != string::npos;
+  CHECK_TEXT(caught, "the old dating was never caught");
+}
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -73,7 +73,8 @@
     if (g.dice(3) == 0) g.write();
     if (g.dice(5) == 0) g.read();
     g.check();
-    if (g.dice(70)) continue;
+    // The broken variant is caught by rare rows of trouble only, so it gets more of it.
+    if (g.dice(keepIdentity ? 20 : 70)) continue;
     std::size_t const i = g.dice(8);
     sim::Cluster::Node& x = g.nodes()[i];
     switch (g.dice(11)) {
--- a/wire/messages.hpp
+++ b/wire/messages.hpp
@@ -50,9 +50,15 @@
   vector<Message> messages;
   MSGPACK_DEFINE(messages)
 };
+/// Brings the sender of a heartbeat its own moment back.
+struct HeartbeatReply {
+  Identity from;
+  OwnMoment sent;
+  MSGPACK_DEFINE(from, sent)
+};
 /// Tells others of oneself; carries the membership when the other's is older, and beats taken since.
 struct HeartbeatMessage {
-  using Reply = Done;
+  using Reply = HeartbeatReply;
   static constexpr Method method = Method::heartbeat;
   Heartbeat heartbeat;
   Membership membership;
