--- /dev/null
+++ b/base/async_mutex.hpp
@@ -0,0 +1,77 @@
+#pragma once
+#include "base/tealshelf.hpp"
+
+/// A mutex for coroutines of one thread, with a bounded queue and a bounded wait.
+namespace tealshelf {
+
+/// Lets one coroutine at a time into a section, in the order of their arrival.
+///
+/// A coroutine that can't wait any more gets an error instead of the lock, so that one section that never ends
+/// doesn't let an endless queue build up behind it.
+class AsyncMutex {
+  struct Waiter {
+    explicit Waiter(asio::io_context& io) : timer(io) {}
+    asio::steady_timer timer;
+    bool granted = false;
+  };
+  struct State {
+    bool locked = false;
+    std::deque<std::shared_ptr<Waiter>> waiters;
+  };
+
+ public:
+  /// Holds the mutex until it is destroyed; the mutex itself may be destroyed earlier.
+  class Lock {
+   public:
+    explicit Lock(std::shared_ptr<State> state) : state_(std::move(state)) {}
+    Lock(Lock&& other) noexcept : state_(std::move(other.state_)) {}
+    Lock& operator=(Lock&&) = delete;
+    ~Lock() {
+      if (state_) release(*state_);
+    }
+
+   private:
+    std::shared_ptr<State> state_;
+  };
+
+  AsyncMutex(asio::io_context& io, std::size_t mostWaiting) : io_(io), mostWaiting_(mostWaiting) {}
+
+  /// Waits for the mutex; throws Code::busy if the queue is full or the limit has passed.
+  Task<Lock> lock(Ms limit) {
+    std::shared_ptr<State> const state = state_;
+    if (!state->locked) {
+      state->locked = true;
+      co_return Lock(state);
+    }
+    if (state->waiters.size() >= mostWaiting_) throw Error(Code::busy, "the queue is full");
+    std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(io_);
+    waiter->timer.expires_after(limit);
+    state->waiters.push_back(waiter);
+    error_code ended;
+    co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, ended));
+    if (waiter->granted) co_return Lock(state);
+    std::erase(state->waiters, waiter);
+    throw Error(Code::busy, "the wait was too long");
+  }
+  bool locked() const { return state_->locked; }
+  std::size_t waiting() const { return state_->waiters.size(); }
+
+ private:
+  /// Hands the mutex to the first that waits, without a moment in which another could take it.
+  static void release(State& state) {
+    if (state.waiters.empty()) {
+      state.locked = false;
+      return;
+    }
+    std::shared_ptr<Waiter> const next = state.waiters.front();
+    state.waiters.pop_front();
+    next->granted = true;
+    next->timer.cancel();
+  }
+
+  asio::io_context& io_;
+  std::size_t mostWaiting_;
+  std::shared_ptr<State> state_ = std::make_shared<State>();
+};
+
+}  // namespace tealshelf
--- /dev/null
+++ b/consensus/forward_to_owner.hpp
@@ -0,0 +1,37 @@
+#pragma once
+#include "consensus/driver.hpp"
+
+/// Hands a call on to the node that owns a keyspace.
+namespace tealshelf {
+
+/// How long and how far a call is handed on.
+struct ForwardLimits {
+  Ms search;         ///< for which an owner is looked for
+  Ms answer;         ///< for which the answer of another node is awaited
+  Ms total;          ///< for both
+  int mostHops = 2;  ///< so that nodes that take each other for the owner don't hand a call round for ever
+};
+
+/// The answer of the owner, or nothing once this node owns the keyspace. Throws Code::noOwner if no owner is found
+/// within the limits. `driver` tells who owns what, `rpc` carries the call on. The message counts its hops; one with a
+/// `budgetMs` is told how much time is left for it.
+template <class Owners, class Calls, class Message>
+Task<std::optional<typename Message::Reply>> forwardToOwner(Owners& driver, Calls& rpc, string ownIp, string keyspace,
+                                                            Message message, ForwardLimits limits) {
+  Moment const begin = Clock::now(), end = begin + limits.total;
+  Moment const searchEnd = std::min(begin + limits.search, end);
+  while (!driver.consensus().owns(keyspace)) {
+    std::optional<Addr> const owner = driver.ownerOf(keyspace);
+    if (owner && owner->ip != ownIp && message.hops < limits.mostHops) {
+      ++message.hops;
+      Ms const left(leftMs(end));
+      if constexpr (requires { message.budgetMs; }) message.budgetMs = left.count();
+      co_return co_await rpc.ask(*owner, message, std::min(limits.answer, left));
+    }
+    if (Clock::now() > searchEnd) throw Error(Code::noOwner);
+    co_await pause(driver.period() / 5);
+  }
+  co_return std::nullopt;
+}
+
+}  // namespace tealshelf
--- a/lots/lot_coordinator.cpp
+++ b/lots/lot_coordinator.cpp
@@ -2,6 +2,11 @@
 
 namespace tealshelf {
 
+namespace {
+/// Calls that wait for one lot at most: its client's and those that the nodes sent again.
+constexpr std::size_t mostWaiting = 16;
+}  // namespace
+
 LotCoordinator::LotCoordinator(asio::io_context& io, Settings const& settings, Rpc& rpc, Driver& driver)
     : io_(io), settings_(settings), rpc_(rpc), driver_(driver) {}
 
@@ -27,19 +32,10 @@
 /// Hands a call to the owner of the keyspace if that is another node.
 template <class Q>
 Task<std::optional<typename Q::Reply>> LotCoordinator::elsewhere(string const& host, Q q) {
-  string const keyspace = keyspaceOf(host);
-  driver_.consensus().know(keyspace);
-  Moment const until = Clock::now() + Ms(settings_.bounds.inTouch / 2);
-  while (!driver_.consensus().owns(keyspace)) {
-    std::optional<Addr> const o = driver_.ownerOf(keyspace);
-    if (o && o->ip != settings_.ip && q.hops < 2) {
-      ++q.hops;
-      co_return co_await rpc_.ask(*o, q, Ms(settings_.bounds.inTouch / 2));
-    }
-    if (Clock::now() > until) throw Error(Code::noOwner);
-    co_await pause(Ms(settings_.bounds.inTouch / 100));
-  }
-  co_return std::nullopt;
+  driver_.consensus().know(keyspaceOf(host));
+  Ms const half(settings_.bounds.inTouch / 2);
+  return forwardToOwner(driver_, rpc_, settings_.ip, keyspaceOf(host), std::move(q),
+                        ForwardLimits{half, half, 2 * half});
 }
 
 std::optional<LotRecord> LotCoordinator::load(string const& host, string const& id) const {
@@ -55,9 +51,10 @@
   if (ok) soft_[{host, id}].rev = ++rev_;
   co_return ok;
 }
-Task<void> LotCoordinator::lock(Key k) {
-  while (soft_[k].locked) co_await pause(Ms(3));
-  soft_[k].locked = true;
+Task<AsyncMutex::Lock> LotCoordinator::lock(Key k) {
+  Soft& soft = soft_[k];
+  if (!soft.mutex) soft.mutex.emplace(io_, mostWaiting);
+  return soft.mutex->lock(Ms(settings_.bounds.inTouch / 2));
 }
 Stamp LotCoordinator::fresh(string const& host) {
   return Stamp((driver_.consensus().epochOf(keyspaceOf(host)).n << 32) | (++counter_ & 0xffffffffu));
@@ -109,12 +106,7 @@
 Task<LotOpenReply> LotCoordinator::open(LotOpen q) {
   if (std::optional<LotOpenReply> r = co_await elsewhere(q.lot.host, q)) co_return *r;
   Key const k(q.lot.host, q.lot.id);
-  co_await lock(k);
-  struct Unlock {
-    LotCoordinator* k;
-    Key key;
-    ~Unlock() { k->unlock(key); }
-  } const u{this, k};
+  AsyncMutex::Lock const held = co_await lock(k);
   std::optional<LotRecord> const had = load(q.lot.host, q.lot.id);
   if (had && had->state != static_cast<int>(LotState::taking)) {
     if (!co_await driver_.confirm(keyspaceOf(q.lot.host), Ms(settings_.bounds.inTouch / 3)))
@@ -156,12 +148,7 @@
 Task<Done> LotCoordinator::accept(LotAccept q) {
   if (std::optional<Done> r = co_await elsewhere(q.host, q)) co_return *r;
   Key const k(q.host, q.id);
-  co_await lock(k);
-  struct Unlock {
-    LotCoordinator* k;
-    Key key;
-    ~Unlock() { k->unlock(key); }
-  } const u{this, k};
+  AsyncMutex::Lock const held = co_await lock(k);
   std::optional<LotRecord> r = load(q.host, q.id);
   if (!r) throw Error(Code::lotUnknown);
   if (r->state != static_cast<int>(LotState::taking)) co_return Done{};
@@ -182,12 +169,7 @@
 Task<LotFindReply> LotCoordinator::end(LotEnd q) {
   if (std::optional<LotFindReply> r = co_await elsewhere(q.host, q)) co_return *r;
   Key const k(q.host, q.id);
-  co_await lock(k);
-  struct Unlock {
-    LotCoordinator* k;
-    Key key;
-    ~Unlock() { k->unlock(key); }
-  } const u{this, k};
+  AsyncMutex::Lock const held = co_await lock(k);
   std::optional<LotRecord> r = load(q.host, q.id);
   if (!r || r->state == static_cast<int>(LotState::taking)) {
     if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
--- a/lots/lot_coordinator.hpp
+++ b/lots/lot_coordinator.hpp
@@ -1,5 +1,6 @@
 #pragma once
-#include "consensus/driver.hpp"
+#include "base/async_mutex.hpp"
+#include "consensus/forward_to_owner.hpp"
 #include "lots/lease_grants.hpp"
 
 namespace tealshelf {
@@ -28,7 +29,8 @@
     std::uint64_t rev = 0, doneTokens = 0, done = 0;
     std::set<Identity> bad;
     Moment badAt, tried, opened;
-    bool resettle = false, busy = false, locked = false;
+    bool resettle = false, busy = false;
+    std::optional<AsyncMutex> mutex;  ///< for changes of the record
   };
   using Key = std::pair<string, string>;
 
@@ -42,8 +44,8 @@
   Task<std::optional<typename Q::Reply>> elsewhere(string const& host, Q q);
   std::optional<LotRecord> load(string const& host, string const& id) const;
   Task<bool> save(LotRecord const& r);
-  Task<void> lock(Key k);
-  void unlock(Key const& k) { soft_[k].locked = false; }
+  /// Lets one change of a lot's record at a time begin; throws Code::busy if that takes too long.
+  Task<AsyncMutex::Lock> lock(Key k);
   Stamp fresh(string const& host);
   bool mayAccept(Key const& k, Ms within) const;
   std::size_t needed() const { return static_cast<std::size_t>(settings_.surviveMachines) + 1; }
--- a/lots/reshape.cpp
+++ b/lots/reshape.cpp
@@ -49,7 +49,7 @@
                               ? age > 4 * settings_.bounds.confirmWithin
                               : age > 2 * settings_.bounds.statusEvery + l.keepFor &&
                                     (l.state == static_cast<int>(LotState::ended) || s.done >= l.total);
-        if (over && !s.busy && !s.locked)
+        if (over && !s.busy && !(s.mutex && s.mutex->locked()))
           old.push_back({l.id, "", true});
         else if (unfit(l, s, now))
           todo.push_back(std::move(l));
@@ -73,14 +73,13 @@
 
 Task<void> LotCoordinator::reshape(LotRecord r) {
   Key const k(r.host, r.id);
-  co_await lock(k);
   try {
+    AsyncMutex::Lock const held = co_await lock(k);
     std::optional<LotRecord> const now = load(r.host, r.id);
     if (now && driver_.consensus().owns(keyspaceOf(r.host))) co_await reshapeNow(*now);
   } catch (std::exception const& x) {
     say(Level::debug, "stamps", r.id + ": " + x.what());
   }
-  unlock(k);
   Soft& s = soft_[k];
   s.busy = false;
   s.tried = Clock::now();
--- a/wire/messages.hpp
+++ b/wire/messages.hpp
@@ -109,7 +109,8 @@
   static constexpr Method method = Method::forwardCall;
   string verb, path, ifMatch, body;
   int hops = 0;
-  MSGPACK_DEFINE(verb, path, ifMatch, body, hops)
+  std::int64_t budgetMs = 0;  ///< time that is left for its answer
+  MSGPACK_DEFINE(verb, path, ifMatch, body, hops, budgetMs)
 };
 
 enum class LotState : int { taking = 0, accepted = 1, ended = 2 };
