--- /dev/null
+++ b/control/call_input.cpp
@@ -0,0 +1,34 @@
+#include "control/call_input.hpp"
+
+#include <rapidjson/document.h>
+
+namespace tealshelf {
+
+namespace {
+constexpr std::size_t longestId = 128;
+constexpr double mostOverS = 24 * 3600;
+}  // namespace
+
+string idInPath(string_view path, string_view prefix) {
+  string_view const id = path.substr(std::min(prefix.size(), path.size()));
+  if (id.empty() || id.size() > longestId || path.substr(0, prefix.size()) != prefix) throw Error(Code::badId);
+  for (char const c : id)
+    if (c <= ' ' || c > '~' || string_view("/?#%\"\\").find(c) != string_view::npos) throw Error(Code::badId);
+  return string(id);
+}
+
+void checkRetirement(string const& body) {
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
+  if (document.HasParseError() || !document.IsObject()) throw Error(Code::badRetirement, "not an object");
+  rapidjson::Value::ConstMemberIterator const over = document.FindMember("overS");
+  if (over == document.MemberEnd() || !over->value.IsNumber()) throw Error(Code::badRetirement, "no overS");
+  double const seconds = over->value.GetDouble();
+  if (!(seconds >= 0 && seconds <= mostOverS)) throw Error(Code::badRetirement, "overS out of its range");
+}
+
+Error shownToCaller(Error const& error) {
+  return error.kind() == Kind::unclear ? Error(Code::orderOpen, error.what()) : error;
+}
+
+}  // namespace tealshelf
--- /dev/null
+++ b/control/call_input.hpp
@@ -0,0 +1,19 @@
+#pragma once
+#include "base/tealshelf.hpp"
+
+/// Checks of what workers and operators send to the control interface.
+namespace tealshelf {
+
+/// The id that follows a prefix in the path of a call. Throws Code::badId unless it is one segment of 1 to 128
+/// visible characters without escapes.
+string idInPath(string_view path, string_view prefix);
+
+/// Checks the body of an order to empty a machine: an object with `overS`, a time in seconds of a day at most.
+/// Throws Code::badRetirement for anything else.
+void checkRetirement(string const& body);
+
+/// What a caller of the control interface is told: an error that leaves the call's end open becomes a 503, which no
+/// caller takes for final.
+Error shownToCaller(Error const& error);
+
+}  // namespace tealshelf
--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -1,7 +1,14 @@
 #include "control/control_node.hpp"
 
+#include "control/call_input.hpp"
+
 namespace tealshelf {
 
+namespace {
+/// Orders that wait for their turn: eight of operators may be under way, each handed on by several nodes.
+constexpr std::size_t mostOrdersWaiting = 32;
+}  // namespace
+
 ControlNode::ControlNode(asio::io_context& io, Settings const& settings)
     : io_(io),
       settings_(settings),
@@ -13,6 +20,7 @@
       http_(
           io, settings.control, [this](Call c) { return handle(std::move(c)); }, 16u << 20,
           Ms(5 * settings.bounds.inTouch)),
+      orders_(io, mostOrdersWaiting),
       publisher_(io, settings, 0),
       health_(Ms(settings.bounds.inTouch / 4), WorkerHealth::Rule()) {
   if (!settings.dataFolder.empty()) {
@@ -68,8 +76,8 @@
   coordinator_.start(server_);
   server_.on<UpdateRequest>([this](UpdateRequest q) { return publisher_.serve(std::move(q)); });
   server_.on<ForwardCall>([this](ForwardCall q) -> Task<CallReply> {
-    if (q.path.rfind("/settings", 0) == 0) co_return co_await configurationCall(std::move(q));
-    co_return co_await retire(std::move(q));
+    if (q.budgetMs <= 0) q.budgetMs = callBudgetMs();
+    co_return co_await route(std::move(q));
   });
   server_.start();
   http_.start();
@@ -135,31 +143,18 @@
   }
 }
 
-Task<CallAnswer> ControlNode::handle(Call c) {
-  ForwardCall q{c.verb, c.path, c.head("If-Match"), std::move(c.body), 0};
-  CallReply r{404, ""};
-  if (c.path.rfind("/servers/", 0) == 0)
-    r = co_await servers(std::move(q));
-  else if (c.path == "/settings")
-    r = co_await configurationCall(std::move(q));
-  else if (c.path.rfind("/retire/", 0) == 0)
-    r = co_await retire(std::move(q));
-  co_return CallAnswer{r.status, r.body, "application/json", {}};
-}
-
 Task<CallReply> ControlNode::servers(ForwardCall q) {
-  string const id = q.path.substr(9);
-  if (id.empty()) throw Error(Code::badBeat);
+  string const id = idInPath(q.path, "/servers/");
+  if (q.verb != "PUT" && q.verb != "DELETE") throw Error(Code::wrongVerb);
   if (!driver_.healthy()) throw Error(Code::noQuorum);
   Worker w;
   if (q.verb == "PUT")
     w = readBeat(id, q.body);
-  else if (q.verb == "DELETE") {
+  else {
     if (Worker const* const had = table_.find(id)) w = *had;
     w.id = id;
     w.gone = true;
-  } else
-    throw Error(Code::badBeat);
+  }
   w.registrar = driver_.consensus().self().id;
   bool const updated = table_.merge(w, Clock::now());
   if (updated) {
@@ -187,90 +182,4 @@
   co_return CallReply{200, to ? "{\"reportTo\":\"" + to->text() + "\"}" : "{}"};
 }
 
-/// Hands a call to the owner of a keyspace if that is another node.
-Task<std::optional<CallReply>> ControlNode::elsewhere(string const& keyspace, ForwardCall q) {
-  Moment const until = Clock::now() + Ms(settings_.bounds.confirmWithin / 8);
-  while (!driver_.consensus().owns(keyspace)) {
-    std::optional<Addr> const o = driver_.ownerOf(keyspace);
-    if (o && o->ip != settings_.ip && q.hops < 2) {
-      ++q.hops;
-      co_return co_await rpc_.ask(*o, q, Ms(settings_.bounds.confirmWithin / 5));
-    }
-    if (Clock::now() > until) throw Error(Code::noOwner);
-    co_await pause(Ms(settings_.bounds.inTouch / 100));
-  }
-  co_return std::nullopt;
-}
-
-Task<CallReply> ControlNode::configurationCall(ForwardCall q) {
-  if (q.verb != "PUT" && q.verb != "GET") co_return CallReply{405, ""};
-  if (std::optional<CallReply> r = co_await elsewhere("configuration", q)) co_return *r;
-  if (q.verb == "PUT") co_return co_await putConfiguration(std::move(q));
-  if (!co_await driver_.confirm("configuration", Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
-  std::map<string, string> const& v = driver_.consensus().view("configuration");
-  std::map<string, string>::const_iterator const i = v.find("current");
-  if (i == v.end()) co_return CallReply{404, "{}"};
-  co_return CallReply{200, i->second};
-}
-
-Task<CallReply> ControlNode::putConfiguration(ForwardCall q) {
-  while (changing_) co_await pause(Ms(3));
-  changing_ = true;
-  struct Unlock {
-    bool& b;
-    ~Unlock() { b = false; }
-  } const u{changing_};
-  // The first configuration waits a while for a membership that bears the losses it should.
-  Moment const until = started_ + Ms(settings_.bounds.inTouch);
-  while (!driver_.wide() && Clock::now() < until && !driver_.consensus().view("configuration").count("current"))
-    co_await pause(Ms(settings_.bounds.inTouch / 60));
-  if (!co_await driver_.confirm("configuration", Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
-  std::map<string, string> const& v = driver_.consensus().view("configuration");
-  std::map<string, string>::const_iterator const i = v.find("current");
-  std::uint64_t current = 0;
-  if (i != v.end()) {
-    if (i->second == q.body) co_return CallReply{200, "{}"};
-    current = compileConfiguration(i->second)->version;
-  }
-  std::shared_ptr<Configuration const> c;
-  try {
-    c = compileConfiguration(q.body);
-  } catch (Error const& x) {
-    tell("configuration", string("a configuration was refused: ") + x.what());
-    throw;
-  }
-  std::uint64_t on = 0;
-  if (!readNumber(q.ifMatch, on) || on != current) throw Error(Code::lostRace, std::to_string(current));
-  if (c->version <= current) throw Error(Code::oldVersion, std::to_string(c->version));
-  vector<Consensus::Change> cs(1, Consensus::Change{"current", q.body, false});
-  if (!co_await driver_.propose("configuration", std::move(cs))) throw Error(Code::noQuorum);
-  driver_.onChange();
-  co_return CallReply{200, "{}"};
-}
-
-Task<CallReply> ControlNode::retire(ForwardCall q) {
-  string const node = q.path.substr(8);
-  if (std::optional<CallReply> r = co_await elsewhere("members", q)) co_return *r;
-  if (!co_await driver_.confirm("members", Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
-  bool const asked = driver_.consensus().view("members").count("retire/" + node) != 0;
-  if (!asked && !coordinator_.knownStore(node)) throw Error(Code::unknownNode, node);
-  if (q.verb == "POST" && !asked) {
-    std::size_t left = 0;
-    std::set<string> const going = coordinator_.retiring();
-    for (StoreRef const& s : coordinator_.liveStores(Clock::now()))
-      if (s.name != node && !going.count(s.name)) ++left;
-    if (left < static_cast<std::size_t>(settings_.surviveMachines) + 1) throw Error(Code::tooFewLeft);
-    vector<Consensus::Change> cs(1, Consensus::Change{"retire/" + node, "1", false});
-    if (!co_await driver_.propose("members", std::move(cs))) throw Error(Code::noQuorum);
-    tell("control", node + " is to be emptied");
-  }
-  if (q.verb == "POST") co_return CallReply{200, "{}"};
-  bool finished = false;
-  if (asked) {
-    std::uint64_t const n = co_await coordinator_.reliesOn(node);
-    finished = n == 0;
-  }
-  co_return CallReply{200, finished ? "{\"state\":\"finished\"}" : "{\"state\":\"serving\"}"};
-}
-
 }  // namespace tealshelf
--- a/control/control_node.hpp
+++ b/control/control_node.hpp
@@ -1,5 +1,7 @@
 #pragma once
+#include "base/async_mutex.hpp"
 #include "configuration/configuration.hpp"
+#include "configuration/order_decision.hpp"
 #include "lots/lot_coordinator.hpp"
 #include "updates/publisher.hpp"
 #include "wire/http.hpp"
@@ -18,9 +20,19 @@
 
  private:
   Task<CallAnswer> handle(Call c);
+  Task<CallReply> route(ForwardCall q);
+  string retryAfter() const;
+  /// Time in which a call is answered; its caller turns to another node soon after.
+  std::int64_t callBudgetMs() const { return settings_.bounds.confirmWithin / 5; }
   Task<CallReply> servers(ForwardCall q);
   Task<CallReply> configurationCall(ForwardCall q);
   Task<CallReply> putConfiguration(ForwardCall q);
+  /// The first configuration waits a while for a membership that bears the losses it should.
+  Task<void> awaitFirstMembership(Moment end);
+  /// Makes sure that this node owns a keyspace; throws Code::noQuorum otherwise.
+  Task<Epoch> confirmOwner(string keyspace, Moment end);
+  /// Has the configuration that an order brings on a majority; throws Code::orderOpen if that isn't known.
+  Task<void> commit(Order order, Decision decision, Epoch epoch);
   Task<CallReply> retire(ForwardCall q);
   Task<std::optional<CallReply>> elsewhere(string const& keyspace, ForwardCall q);
   Task<void> sweepLoop();
@@ -49,7 +61,9 @@
   Moment started_ = Clock::now();
   std::unique_ptr<DiskLog> log_;
   std::set<Identity> tables_;  ///< nodes whose whole register was taken in
-  bool changing_ = false, stopping_ = false;
+  bool stopping_ = false;
+  AsyncMutex orders_;  ///< one order is judged and written at a time
+  UnsettledOrder unsettled_;
   struct Part {
     std::uint64_t digest = 0;
     vector<NodeRow> nodes;
--- a/lots/lot_api.cpp
+++ b/lots/lot_api.cpp
@@ -61,7 +61,7 @@
 
 vector<ItemRecord> readLot(string const& body) {
   rapidjson::Document d;
-  d.Parse(body.data(), body.size());
+  d.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
   if (d.HasParseError() || !d.IsObject() || !d.HasMember("requests") || !d["requests"].IsArray())
     throw Error(Code::lotUnreadable);
   rapidjson::Value const& a = d["requests"];
--- /dev/null
+++ b/tests/call_input_test.cpp
@@ -0,0 +1,44 @@
+#include "control/call_input.hpp"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace tealshelf;
+
+namespace {
+int codeOf(std::function<void()> const& call) {
+  try {
+    call();
+  } catch (Error const& error) {
+    return static_cast<int>(error.code());
+  }
+  return 0;
+}
+}  // namespace
+
+TEST_GROUP(callinput){};
+
+TEST(callinput, idsInPaths) {
+  STRCMP_EQUAL("i-7f3a91c2", idInPath("/servers/i-7f3a91c2", "/servers/").c_str());
+  STRCMP_EQUAL("storage-hall-1", idInPath("/retire/storage-hall-1", "/retire/").c_str());
+  for (string const& id : {string(), string("a/b"), string("a?b=c"), string("a#"), string("a%20"), string("a b"),
+                           string("\xff"), string("a\n"), string("a\0b", 3), string(129, 'a'), string(1 << 20, 'a')})
+    LONGS_EQUAL(407, codeOf([&] { idInPath("/servers/" + id, "/servers/"); }));
+  LONGS_EQUAL(407, codeOf([] { idInPath("/x", "/servers/"); }));
+}
+TEST(callinput, retirements) {
+  for (char const* const body : {"{\"overS\":10}", "{\"overS\":0.5}", "{\"overS\":0}", "{\"overS\":1,\"x\":[]}"})
+    LONGS_EQUAL_TEXT(0, codeOf([&] { checkRetirement(body); }), body);
+  for (string const& body :
+       {string(), string("{"), string("[]"), string("10"), string("{}"), string("{\"overS\":\"10\"}"),
+        string("{\"overS\":-1}"), string("{\"overS\":1e300}"), string("{\"overS\":1e999}"), string("{\"overS\":null}"),
+        string("{\"overS\":NaN}"), string(1000000, '['), string("{\"overS\":10}x")})
+    LONGS_EQUAL_TEXT(408, codeOf([&] { checkRetirement(body); }), body.substr(0, 40).c_str());
+}
+TEST(callinput, whatIsOpenIsNeverFinal) {
+  for (Code const code : {Code::noQuorum, Code::connectionBroke, Code::timeUp})
+    LONGS_EQUAL(503, shownToCaller(Error(code)).status());
+  for (Code const code : {Code::noOwner, Code::busy, Code::noPath, Code::orderOpen, Code::orderTooOld})
+    LONGS_EQUAL(503, shownToCaller(Error(code)).status());
+  LONGS_EQUAL(412, shownToCaller(Error(Code::lostRace)).status());
+  LONGS_EQUAL(400, shownToCaller(Error(Code::badMatch)).status());
+}
--- a/workers/worker_registry.cpp
+++ b/workers/worker_registry.cpp
@@ -119,9 +119,12 @@
   return i == rows_.end() ? nullptr : &i->second.w;
 }
 
+/// The largest count or time in a beat; more can't be meant.
+constexpr double mostNumber = 1e15;
+
 Worker readBeat(string const& id, string const& body) {
   rapidjson::Document d;
-  d.Parse(body.data(), body.size());
+  d.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
   if (d.HasParseError() || !d.IsObject()) throw Error(Code::badBeat);
   Worker w;
   w.id = id;
@@ -131,7 +134,7 @@
   };
   std::function<std::uint64_t(char const*)> const num = [&](char const* k) -> std::uint64_t {
     if (!d.HasMember(k)) return 0;
-    if (!d[k].IsNumber() || d[k].GetDouble() < 0) throw Error(Code::badBeat, k);
+    if (!d[k].IsNumber() || d[k].GetDouble() < 0 || d[k].GetDouble() > mostNumber) throw Error(Code::badBeat, k);
     return static_cast<std::uint64_t>(d[k].GetDouble());
   };
   w.service = text("service");
