--- a/consensus/consensus.cpp
+++ b/consensus/consensus.cpp
@@ -182,13 +182,21 @@
   return p == peers_.end() ? Moment() : p->second.at;
 }
 
+bool Consensus::abstain(bool abstains) {
+  if (abstains_ == abstains) return false;
+  abstains_ = abstains;
+  if (abstains_)
+    for (std::pair<string const, Keyspace>& p : keyspaces_) stepDown(p.second);
+  return true;
+}
+
 Member const* Consensus::wanted(string const& keyspace, Moment now) const {
   Member const* best = nullptr;
   std::pair<bool, std::uint64_t> top;
   for (Member const& m : membership_.members) {
     if (!alive(m.id, now)) continue;
     std::map<Identity, Peer>::const_iterator const p = peers_.find(m.id);
-    if (m.id == self_.id ? !copied_ : (p == peers_.end() || !p->second.heartbeat.copied)) continue;
+    if (m.id == self_.id ? !copied_ || abstains_ : (p == peers_.end() || !p->second.heartbeat.copied)) continue;
     // One without a disk owns nothing while one with a disk can.
     std::pair<bool, std::uint64_t> const rank(m.disk, hashOf(hex(m.id.v), hashOf(keyspace)));
     if (!best || rank > top) {
@@ -203,7 +211,7 @@
   Heartbeat p;
   p.self = self_;
   p.membership = membership_.no;
-  p.copied = copied_;
+  p.copied = copied_ && !abstains_;
   for (std::pair<Identity const, Peer> const& q : peers_)
     if (now - q.second.at <= times_.alive) p.hears.push_back(q.first);
   for (std::pair<string const, Keyspace> const& q : keyspaces_) {
--- a/consensus/consensus.hpp
+++ b/consensus/consensus.hpp
@@ -132,6 +132,9 @@
   Membership const& membership() const { return membership_; }
   Member const& self() const { return self_; }
   bool copied() const { return copied_; }
+  /// Whether this node gives its keyspaces up and takes none, as its disk takes no writes; true if
+  /// that is new.
+  bool abstain(bool abstains);
   bool alive(Identity id, Moment now) const;
   /// True if a member runs, holds all keys and knows this membership.
   bool ready(Identity id, Moment now) const;
@@ -202,7 +205,7 @@
   Member self_;
   Times times_;
   Membership membership_;
-  bool copied_ = false;
+  bool copied_ = false, abstains_ = false;
   std::map<string, Keyspace> keyspaces_;
   std::map<Identity, Peer> peers_;
   std::uint64_t lastOp_ = 0, lastRound_ = 0;
--- a/consensus/driver.cpp
+++ b/consensus/driver.cpp
@@ -92,7 +92,10 @@
   if (b->records.empty() && b->messages.empty() && b->outcomes.empty()) return;
   if (log_)
     for (string const& r : b->records) log_->append(r);
-  if (b->sync && log_)
+  bool const refusing = log_ && !log_->well();
+  // What a refusing disk can't back isn't said; those who wait for it ask again.
+  if (b->sync && refusing) b->messages.clear();
+  if (b->sync && log_ && !refusing)
     log_->synced([this, b] { send(b); });
   else
     send(b);
@@ -210,6 +213,7 @@
 Task<void> Driver::tickLoop() {
   for (;;) {
     co_await pause(Ms(settings_.bounds.inTouch / 60));
+    if (consensus_.abstain(log_ && !log_->well())) sendHeartbeats();
     consensus_.tick(Clock::now());
     pump();
   }
--- a/lots/lot_coordinator.cpp
+++ b/lots/lot_coordinator.cpp
@@ -68,10 +68,16 @@
   Moment const at = i == stores_.end() ? started_ + Ms(settings_.bounds.catchUp / 2) : i->second.at;
   return now > at && now - at > Ms(settings_.bounds.inTouch * 3 / 10);
 }
+/// True if a store said that its disk takes no writes.
+bool LotCoordinator::refusing(Identity id) const {
+  std::map<Identity, Seen>::const_iterator const i = stores_.find(id);
+  return i != stores_.end() && i->second.refusing;
+}
 vector<StoreRef> LotCoordinator::liveStores(Moment now) const {
   vector<StoreRef> v;
   for (std::pair<Identity const, Seen> const& p : stores_)
-    if (!p.second.leaving && now - p.second.at <= Ms(settings_.bounds.inTouch / 4)) v.push_back(p.second.ref);
+    if (!p.second.leaving && !p.second.refusing && now - p.second.at <= Ms(settings_.bounds.inTouch / 4))
+      v.push_back(p.second.ref);
   return v;
 }
 bool LotCoordinator::knownStore(string const& name) const {
@@ -205,8 +211,11 @@
   s.ref = q.self;
   s.at = now;
   s.leaving = q.leaving;
+  s.refusing = q.refusing;
   StoreBeatReply r;
-  LeaseGrants::Word const w = grants_.beat(q.self.id, q.lease, driver_.healthy(), now);
+  // A store with a refusing disk serves reads on, unless others can take its lots over.
+  bool const replaced = s.refusing && liveStores(now).size() >= needed();
+  LeaseGrants::Word const w = grants_.beat(q.self.id, q.lease, driver_.healthy() && !replaced, now);
   r.ok = w == LeaseGrants::Word::granted;
   r.fenced = w == LeaseGrants::Word::fenced;
   r.life = life_;
--- a/lots/lot_coordinator.hpp
+++ b/lots/lot_coordinator.hpp
@@ -22,7 +22,7 @@
   struct Seen {
     StoreRef ref;
     Moment at;
-    bool leaving = false;
+    bool leaving = false, refusing = false;
   };
   struct Soft {
     std::uint64_t rev = 0, doneTokens = 0, done = 0;
@@ -48,6 +48,7 @@
   bool mayAccept(Key const& k, Ms within) const;
   std::size_t needed() const { return static_cast<std::size_t>(settings_.surviveMachines) + 1; }
   bool dead(Identity id, Moment now) const;
+  bool refusing(Identity id) const;
   vector<StoreRef> choose(string const& id, std::set<Identity> const& bar, vector<StoreRef> have, std::size_t count,
                           Moment now) const;
   Task<bool> fenceAt(Identity store);
--- a/lots/reshape.cpp
+++ b/lots/reshape.cpp
@@ -26,7 +26,7 @@
   if (s.resettle || !s.bad.empty()) return true;
   std::set<string> const leaving = retiring ? retiring() : std::set<string>();
   for (StoreRef const& h : r.holders)
-    if (dead(h.id, now) || leaving.count(h.name)) return true;
+    if (dead(h.id, now) || refusing(h.id) || leaving.count(h.name)) return true;
   return r.holders.size() < needed() + 1 &&
          choose(r.id, s.bad, r.holders, needed() + 1, now).size() > r.holders.size() &&
          now - s.tried > Ms(settings_.bounds.inTouch / 3);
@@ -98,7 +98,7 @@
   std::set<Identity> const bad = soft.bad;
   vector<StoreRef> live;
   for (StoreRef const& h : r.holders)
-    if (!dead(h.id, now) && !bad.count(h.id)) live.push_back(h);
+    if (!dead(h.id, now) && !refusing(h.id) && !bad.count(h.id)) live.push_back(h);
   if (live.empty()) {
     soft.bad.clear();
     co_return;
--- a/lots/run_items.cpp
+++ b/lots/run_items.cpp
@@ -178,6 +178,7 @@
 
 /// Writes what is finished to every live holder; what all have synced is listed.
 Task<bool> StoreNode::flush() {
+  if (!log_.well()) co_return false;
   struct Row {
     RunPtr run;
     SegAppend::Part part;
@@ -222,7 +223,13 @@
                      if (!--*left) t.cancel();
                    });
   }
-  co_await log_.settled();
+  bool own = true;
+  try {
+    co_await log_.settled();
+  } catch (Error const& x) {
+    say(Level::debug, "segments", x.what());
+    own = false;
+  }
   error_code e;
   while (*left) co_await t.async_wait(asio::redirect_error(asio::use_awaitable, e));
   for (std::pair<Identity const, std::pair<StoreRef, vector<std::size_t>>> const& p : by) {
@@ -236,8 +243,9 @@
   }
   for (Row& r : rows) {
     if (r.run->lot.stamp != r.part.stamp) continue;
-    if (!r.ok) {
+    if (!r.ok || !own) {
       r.run->stalled = true;
+      r.run->resettle = !own;
       continue;
     }
     r.run->listed = std::max(r.run->listed, r.part.from + r.count);
--- a/lots/store_node.cpp
+++ b/lots/store_node.cpp
@@ -58,7 +58,16 @@
   co_await log_.settled();
 }
 
+void StoreNode::needDisk() const {
+  if (!log_.well()) throw Error(Code::diskRefuses, std::strerror(log_.error()));
+}
+void StoreNode::needRoom(LotRecord const& lot) const {
+  needDisk();
+  if (log_.crowded() && !replicas_.find(lot.host, lot.id)) throw Error(Code::diskRefuses, "the replicas fill its part");
+}
+
 Task<Done> StoreNode::create(SegCreate q) {
+  needRoom(q.lot);
   vector<StoreRef> const holders = q.lot.holders;
   bool const pass = q.pass;
   q.pass = false;
@@ -101,6 +110,7 @@
   for (SegAppend::Part const& p : q.parts) {
     bool ok = true;
     try {
+      needDisk();
       replicas_.append(p.host, p.id, p.stamp, p.from, p.records);
     } catch (Error const& x) {
       say(Level::debug, "segments", x.what());
@@ -112,18 +122,21 @@
   co_return r;
 }
 Task<SegInspectReply> StoreNode::inspect(SegInspect q) {
+  needDisk();
   SegInspectReply const r = replicas_.inspect(q.host, q.id);
   if (std::map<Key, RunPtr>::iterator const i = runs_.find({q.host, q.id}); i != runs_.end()) i->second->stalled = true;
   co_await synced();
   co_return r;
 }
 Task<Done> StoreNode::settle(SegSettle q) {
+  needDisk();
   replicas_.settle(q.host, q.id, q.old, q.stamp, q.cut);
   if (std::map<Key, RunPtr>::iterator const i = runs_.find({q.host, q.id}); i != runs_.end()) i->second->stalled = true;
   co_await synced();
   co_return Done{};
 }
 Task<Done> StoreNode::copy(SegCopy q) {
+  needRoom(q.lot);
   SegFetch const ask{q.lot.host, q.lot.id, q.lot.stamp};
   SegCreate c = co_await rpc_.ask(q.from, ask, Ms(settings_.bounds.inTouch / 3));
   replicas_.create(q.lot, std::move(c.items), std::move(c.results));
@@ -208,12 +221,14 @@
   q.rev = c.rev;
   q.counts = settings_.countsAsLoss;
   q.leaving = stopping_;
+  q.refusing = !log_.well();
   if (marks) q.marks = replicas_.marks();
   Moment const now = Clock::now();
   for (std::pair<Key const, RunPtr> const& p : runs_) {
     LotRun const& r = *p.second;
     if (!r.over) q.progress.push_back({r.lot.host, r.lot.id, r.lot.stamp, r.doneTokens, r.listed});
     for (Identity const& b : r.bad) q.complaints.push_back({r.lot.host, r.lot.id, r.lot.stamp, b});
+    if (r.resettle) q.complaints.push_back({r.lot.host, r.lot.id, r.lot.stamp, id_});
   }
   for (std::pair<Key const, std::pair<Stamp, Moment>> const& p : odd_)
     if (now - p.second.second > Ms(settings_.bounds.inTouch / 12))
@@ -348,6 +363,7 @@
   run->lot = l;
   run->listed = r.results.size();
   run->stalled = false;
+  run->resettle = false;
   run->bad.clear();
   for (std::shared_ptr<asio::steady_timer> const& t : run->readers) t->cancel();
   work_.cancel();
--- a/lots/store_node.hpp
+++ b/lots/store_node.hpp
@@ -18,6 +18,7 @@
   std::uint64_t listed = 0, doneTokens = 0;
   std::deque<ResultRecord> pending;
   bool stalled = false, over = false, writing = false;
+  bool resettle = false;  ///< its own disk failed it; it needs a fresh stamp
   std::set<Identity> bad;
   Moment retryAt;
   std::set<std::shared_ptr<asio::steady_timer>> readers;
@@ -41,6 +42,9 @@
   };
 
   void persist();
+  /// Throws diskRefuses while the disk takes nothing, or nothing new.
+  void needDisk() const;
+  void needRoom(LotRecord const& lot) const;
   Task<void> synced();
   Task<Done> create(SegCreate q);
   Task<SegAppendReply> append(SegAppend q);
--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -15,6 +15,7 @@
     std::deque<std::pair<std::size_t, Batch>>
         waiting;  ///< batches that wait for a sync, with the disk length they need
     bool up = true, frozen = false;
+    bool refuses = false;  ///< its disk syncs nothing
     std::uint64_t life = 0;
     Moment syncAt;
     std::uint64_t seenVersion = 0;                           ///< highest settled version in this life
@@ -51,6 +52,7 @@
   }
   bool joins = false;         ///< nodes outside the membership ask to join, new members copy
   bool keepIdentity = false;  ///< the broken variant: a wiped disk comes back under its old identity, and votes
+  bool speaksUnsynced = false;  ///< the broken variant: what a refusing disk should back is said all the same
   std::int64_t survive = 0;
   /// The disk is lost: the node starts again empty, with a new identity.
   void wipe(std::size_t i) {
@@ -214,6 +216,8 @@
   void pump(Node& x) {
     Batch b = x.consensus->take();
     for (string& r : b.records) x.unsynced.push_back(std::move(r));
+    if (x.refuses && b.sync && !speaksUnsynced) b.messages.clear();
+    if (x.refuses) return send(x, std::move(b));
     if (b.sync && !breakSync_) {
       x.waiting.emplace_back(x.disk.size() + x.unsynced.size(), std::move(b));
       if (x.syncAt < now_) x.syncAt = now_ + Ms(5);
@@ -222,6 +226,7 @@
     }
   }
   void sync(Node& x) {
+    if (x.refuses) return;
     // A sync covers the log that this life writes, not what an earlier life left.
     for (string& r : x.unsynced) x.disk.push_back(std::move(r));
     x.unsynced.clear();
--- /dev/null
+++ b/tests/disk_control_test.cpp
@@ -0,0 +1,106 @@
+#include "tests/consensus_sim.hpp"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace tealshelf;
+
+TEST_GROUP(diskcontrol) {
+  /// The node that owns the configuration; the number of nodes if none does.
+  static std::size_t owner(sim::Cluster & c) {
+    for (std::size_t i = 0; i < c.nodes().size(); ++i)
+      if (c.nodes()[i].consensus->owns("configuration")) return i;
+    return c.nodes().size();
+  }
+  /// Changes that are confirmed while the owner's disk refuses, and again after it is well.
+  struct Outcome {
+    std::uint64_t during = 0, after = 0;
+    std::size_t nextOwner = 0, lastOwner = 0, first = 0;
+    string broken;
+  };
+  static Outcome play(std::uint64_t seed, bool abstains, std::size_t nodes) {
+    sim::Cluster c(seed, nodes);
+    c.run(400);
+    Outcome o;
+    o.first = owner(c);
+    sim::Cluster::Node& x = c.nodes()[o.first];
+    auto const load = [&c, &o](std::size_t steps) {
+      std::uint64_t const before = c.writes;
+      for (std::size_t k = 0; k < steps; ++k) {
+        c.step();
+        if (k % 7 == 0) c.write();
+        if (k % 11 == 0) c.read();
+        c.check();
+      }
+      return c.writes - before;
+    };
+    x.refuses = true;
+    x.consensus->abstain(abstains);
+    load(400);
+    o.during = load(400);
+    o.nextOwner = owner(c);
+    // The process may die before its disk is well; then it starts from what was synced.
+    if (c.dice(2)) {
+      c.power(o.first);
+      c.run(200);
+      c.start(o.first);
+    }
+    x.refuses = false;
+    x.consensus->abstain(false);
+    load(400);
+    o.after = load(400);
+    o.lastOwner = owner(c);
+    o.broken = c.broken;
+    return o;
+  }
+};
+
+/// Disks that refuse and losses of power at random; what broke, if anything.
+static string roughTimes(std::uint64_t seed, bool speaksUnsynced) {
+  sim::Cluster c(seed, 3);
+  c.speaksUnsynced = speaksUnsynced;
+  c.run(400);
+  for (std::size_t k = 0; k < 6000; ++k) {
+    c.step();
+    if (k % 5 == 0) c.write();
+    if (k % 11 == 0) c.read();
+    c.check();
+    if (k % 60 != 0) continue;
+    std::size_t const i = c.dice(3);
+    sim::Cluster::Node& x = c.nodes()[i];
+    std::size_t up = 0;
+    for (sim::Cluster::Node const& n : c.nodes()) up += n.up;
+    if (!x.up)
+      c.start(i);
+    else if (up == 3 && c.dice(2))
+      c.power(i);
+    else
+      x.refuses = !x.refuses;
+    if (x.up) x.consensus->abstain(x.refuses);
+  }
+  return c.broken;
+}
+
+TEST(diskcontrol, aRefusingDiskGivesItsKeyspacesUpAndComesBack) {
+  std::size_t stuck = 0;
+  for (std::size_t const nodes : {3u, 4u, 5u})
+    for (std::uint64_t seed = 1; seed <= 20; ++seed) {
+      Outcome const o = play(seed, true, nodes);
+      STRCMP_EQUAL("", o.broken.c_str());
+      CHECK(o.during > 0);
+      CHECK(o.nextOwner != o.first);
+      CHECK(o.after > 0);
+      LONGS_EQUAL(o.first, o.lastOwner);
+      Outcome const kept = play(seed, false, nodes);
+      stuck += kept.nextOwner == kept.first;
+    }
+  CHECK_TEXT(stuck > 0, "an owner that keeps its keyspaces with a refusing disk was never caught");
+}
+
+TEST(diskcontrol, whatARefusingDiskCantBackIsNeverSaid) {
+  std::size_t caught = 0;
+  for (std::uint64_t seed = 1; seed <= 20; ++seed) {
+    STRCMP_EQUAL("", roughTimes(seed, false).c_str());
+    caught += !roughTimes(seed, true).empty();
+  }
+  CHECK_TEXT(caught > 0, "votes and acks without a sync were never caught");
+}
--- a/wire/messages.hpp
+++ b/wire/messages.hpp
@@ -206,7 +206,8 @@
   vector<ReplicaMark> marks;
   vector<Complaint> complaints;
   bool leaving = false;
-  MSGPACK_DEFINE(self, lease, life, rev, counts, progress, marks, complaints, leaving)
+  bool refusing = false;  ///< its disk takes no writes: it can be read, but holds nothing new
+  MSGPACK_DEFINE(self, lease, life, rev, counts, progress, marks, complaints, leaving, refusing)
 };
 struct StoreFence {
   using Reply = Done;
