--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -23,9 +23,12 @@
     while (!f() && Clock::now() < end) run(Ms(5));
     return f();
   }
+  /// A connection on which the hello was sent, as every connection begins.
   tcp::socket raw() {
     tcp::socket s(io);
     s.connect({asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
+    string const hello = packed(LinkHello{protocolVersion, at, 1});
+    asio::write(s, asio::buffer(head(static_cast<std::uint32_t>(hello.size()), 0, 0, 4) + hello));
     return s;
   }
   /// True if an ordinary ask is still answered.
@@ -87,15 +90,18 @@
                              packed(vector<int>{7, 8})}) {
     tcp::socket s = l.raw();
     asio::write(s, asio::buffer(Loop::head(static_cast<std::uint32_t>(body.size()), 9, 6, 0) + body));
-    char h[15];
+    string got;
+    std::size_t welcome = 0;
     s.non_blocking(true);
-    std::size_t got = 0;
     CHECK(l.until([&] {
       error_code e;
-      got += s.read_some(asio::buffer(h + got, sizeof h - got), e);
-      return got == sizeof h;
+      char h[256];
+      got.append(h, s.read_some(asio::buffer(h), e));
+      if (got.size() >= 15) std::memcpy(&welcome, got.data(), 4);
+      return got.size() >= 15 && got.size() >= 15 + welcome + 15;
     }));
-    LONGS_EQUAL_TEXT(2, h[14], "an error is the answer");
+    LONGS_EQUAL_TEXT(5, got[14], "the welcome comes first");
+    LONGS_EQUAL_TEXT(2, got[15 + welcome + 14], "an error is the answer");
   }
   tcp::socket s = l.raw();
   asio::write(s, asio::buffer(Loop::head(0, 1, 9999, 0)));
--- a/wire/rpc.cpp
+++ b/wire/rpc.cpp
@@ -1,82 +1,13 @@
 #include "wire/rpc.hpp"
 
+#include "wire/frames.hpp"
+#include "wire/http.hpp"
+
 #include <netinet/tcp.h>
 
 namespace tealshelf {
 
-namespace {
-constexpr std::size_t headBytes = 4 + 8 + 2 + 1;
-constexpr std::size_t mostBytes = 64u << 20;
-constexpr std::size_t mostUnread = 8u << 20;  ///< answers that wait for a peer that doesn't read
-enum class Sort : std::uint8_t { call = 0, reply = 1, error = 2, cast = 3 };
-
-struct Head {
-  std::uint32_t size = 0;
-  std::uint64_t id = 0;
-  std::uint16_t method = 0;
-  Sort sort = Sort::call;
-};
-string frame(std::uint64_t id, std::uint16_t m, Sort s, string_view body) {
-  string f(headBytes, '\0');
-  std::uint32_t const n = static_cast<std::uint32_t>(body.size());
-  std::memcpy(&f[0], &n, 4);
-  std::memcpy(&f[4], &id, 8);
-  std::memcpy(&f[12], &m, 2);
-  f[14] = static_cast<char>(s);
-  f.append(body);
-  return f;
-}
-Head readHead(char const* p) {
-  Head h;
-  std::memcpy(&h.size, p, 4);
-  std::memcpy(&h.id, p + 4, 8);
-  std::memcpy(&h.method, p + 12, 2);
-  h.sort = static_cast<Sort>(p[14]);
-  return h;
-}
-/// Reads frames off a socket with as few calls as possible.
-class FrameReader {
- public:
-  Task<bool> next(tcp::socket& s, Head& h, string& body) {
-    bool ok = co_await fill(s, headBytes);
-    if (!ok) co_return false;
-    h = readHead(buf_.data() + at_);
-    at_ += headBytes;
-    if (h.size > mostBytes) co_return false;
-    ok = co_await fill(s, h.size);
-    if (!ok) co_return false;
-    body.assign(buf_, at_, h.size);
-    at_ += h.size;
-    if (at_ == buf_.size()) {
-      buf_.clear();
-      at_ = 0;
-      if (buf_.capacity() > (1u << 16)) buf_.shrink_to_fit();
-    }
-    co_return true;
-  }
-
- private:
-  Task<bool> fill(tcp::socket& s, std::size_t n) {
-    while (buf_.size() - at_ < n) {
-      if (at_) {
-        buf_.erase(0, at_);
-        at_ = 0;
-      }
-      std::size_t const had = buf_.size();
-      std::size_t const room = std::max<std::size_t>(4096, n - had);
-      buf_.resize(had + room);
-      error_code e;
-      std::size_t const got =
-          co_await s.async_read_some(asio::buffer(&buf_[had], room), asio::redirect_error(asio::use_awaitable, e));
-      buf_.resize(had + got);
-      if (e) co_return false;
-    }
-    co_return true;
-  }
-  string buf_;
-  std::size_t at_ = 0;
-};
-}  // namespace
+using namespace wire;
 
 void tune(tcp::socket& s, Ms silence) {
   error_code e;
@@ -102,235 +33,236 @@
   });
 }
 
+namespace {
+constexpr std::size_t mostUnsent = 16u << 20;  ///< calls and messages that wait to be sent to a peer
+}  // namespace
+
 class Link : public std::enable_shared_from_this<Link> {
  public:
-  Link(asio::io_context& io, Addr to, Ms silence) : io_(io), to_(to), silence_(silence), sock_(io) {}
-
-  struct Wait {
-    explicit Wait(asio::io_context& io) : timer(io) {}
-    asio::steady_timer timer;
-    std::optional<string> reply;
-    std::optional<Error> error;
-    bool sent = false;
-  };
+  Link(asio::io_context& io, Addr to, Ms silence, std::uint64_t incarnation)
+      : io_(io), to_(std::move(to)), silence_(silence), incarnation_(incarnation) {}
 
   Task<string> call(Method m, string body, Ms limit) {
     std::shared_ptr<Link> const self = shared_from_this();
-    std::uint64_t const id = ++last_;
+    std::uint64_t const id = ++lastCall_;
+    string f = frame(id, static_cast<std::uint16_t>(m), Sort::call, body);
+    if (!fits(f)) throw Error(Code::queueFull, to_.text());
     std::shared_ptr<Wait> const w = std::make_shared<Wait>(io_);
     w->timer.expires_after(limit);
     waits_[id] = w;
     std::uint64_t const heard = heard_;
-    push(frame(id, static_cast<std::uint16_t>(m), Sort::call, body), id);
+    push(std::move(f), id);
     error_code e;
     co_await w->timer.async_wait(asio::redirect_error(asio::use_awaitable, e));
     waits_.erase(id);
     if (w->reply) co_return std::move(*w->reply);
     if (w->error) throw *w->error;
-    if (heard_ == heard && limit >= silence_ / 4) drop(Code::connectionBroke);
-    throw Error(Code::timeUp, to_.text());
+    // What wasn't sent so far is not sent any more: its caller no longer waits.
+    bool const sent = w->connection != 0;
+    if (!sent) withdraw(id);
+    if (heard_ == heard && limit >= silence_ / 4) drop(Error(Code::connectionBroke, to_.text()));
+    throw Error(sent ? Code::timeUp : Code::noPath, to_.text());
   }
-  void cast(Method m, string const& body) { push(frame(0, static_cast<std::uint16_t>(m), Sort::cast, body), 0); }
+  void cast(Method m, string const& body) {
+    string f = frame(0, static_cast<std::uint16_t>(m), Sort::cast, body);
+    if (fits(f)) push(std::move(f), 0);
+  }
+  std::uint64_t peer() const { return peer_; }
 
  private:
+  struct Wait {
+    explicit Wait(asio::io_context& io) : timer(io) {}
+    asio::steady_timer timer;
+    std::optional<string> reply;
+    std::optional<Error> error;
+    std::uint64_t connection = 0;  ///< number of the connection that it was sent on; 0 before
+  };
+  struct Unsent {
+    string frame;
+    std::uint64_t call = 0;  ///< 0 for a message without an answer
+  };
+  /// One connection, with a number of its own; calls sent on it are answered on it or not at all.
+  struct Connection {
+    Connection(asio::io_context& io, std::uint64_t n) : sock(io), number(n) {}
+    tcp::socket sock;
+    std::uint64_t number;
+    bool welcomed = false;
+  };
+  using ConnectionPtr = std::shared_ptr<Connection>;
+
+  bool fits(string const& f) const {
+    return f.size() <= mostBytes && (out_.empty() || unsent_ + f.size() <= mostUnsent);
+  }
   void push(string f, std::uint64_t id) {
-    out_.emplace_back(std::move(f), id);
-    if (!busy_) {
-      busy_ = true;
-      spawn(io_, "link", run(shared_from_this()));
-    }
+    unsent_ += f.size();
+    out_.push_back({std::move(f), id});
+    if (busy_) return;
+    busy_ = true;
+    spawn(io_, "link", run(shared_from_this()));
   }
-  void drop(Code c) {
-    error_code e;
-    sock_.close(e);
-    ++life_;
-    open_ = false;
+  Unsent pop() {
+    Unsent u = std::move(out_.front());
+    out_.pop_front();
+    unsent_ -= u.frame.size();
+    return u;
+  }
+  void withdraw(std::uint64_t id) {
+    for (Unsent const& u : out_)
+      if (u.call == id) unsent_ -= u.frame.size();
+    std::erase_if(out_, [id](Unsent const& u) { return u.call == id; });
+  }
+  /// Ends the connection and every call: those that were sent with the error, the others as not sent.
+  void drop(Error const& x) {
+    if (now_) {
+      error_code e;
+      now_->sock.close(e);
+      now_.reset();
+    }
     std::map<std::uint64_t, std::shared_ptr<Wait>> ws;
     ws.swap(waits_);
     for (std::pair<std::uint64_t const, std::shared_ptr<Wait>>& p : ws) {
-      p.second->error = Error(p.second->sent ? c : Code::noPath, to_.text());
+      p.second->error = p.second->connection ? x : Error(Code::noPath, to_.text());
       p.second->timer.cancel();
     }
     out_.clear();
+    unsent_ = 0;
   }
   Task<void> run(std::shared_ptr<Link>) {
     while (!out_.empty()) {
-      if (!open_) {
-        bool const ok = co_await connect();
-        if (!ok) {
-          drop(Code::noPath);
-          continue;
-        }
-      }
-      std::uint64_t const life = life_;
-      string all;
-      vector<std::uint64_t> ids;
-      while (!out_.empty() && all.size() < (1u << 18)) {
-        if (all.empty())
-          all = std::move(out_.front().first);
+      try {
+        bool open = now_ != nullptr;
+        if (!open) open = co_await connect();
+        if (open)
+          co_await sendSome(now_);
         else
-          all += out_.front().first;
-        if (out_.front().second) ids.push_back(out_.front().second);
-        out_.pop_front();
+          drop(Error(Code::noPath, to_.text()));
+      } catch (std::exception const& x) {
+        warn("link", to_.text() + ": " + x.what());
+        drop(Error(Code::connectionBroke, to_.text()));
       }
-      for (std::uint64_t const id : ids)
-        if (std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(id); w != waits_.end())
-          w->second->sent = true;
-      error_code e;
-      co_await asio::async_write(sock_, asio::buffer(all), asio::redirect_error(asio::use_awaitable, e));
-      if (e && life == life_) drop(Code::connectionBroke);
     }
     busy_ = false;
   }
+  Task<void> sendSome(ConnectionPtr c) {
+    string all = std::exchange(greeting_, "");
+    while (!out_.empty() && all.size() < mostAtOnce) {
+      Unsent u = pop();
+      if (all.empty())
+        all = std::move(u.frame);
+      else
+        all += u.frame;
+      std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(u.call);
+      if (w != waits_.end()) w->second->connection = c->number;
+    }
+    error_code e;
+    co_await asio::async_write(c->sock, asio::buffer(all), asio::redirect_error(asio::use_awaitable, e));
+    if (e && c == now_) drop(Error(Code::connectionBroke, to_.text()));
+  }
   Task<bool> connect() {
-    sock_ = tcp::socket(io_);
+    ConnectionPtr const c = std::make_shared<Connection>(io_, ++connections_);
+    Guard g(io_, c->sock);
+    g.until(Clock::now() + silence_ / 4);
     error_code e;
-    std::uint64_t const life = ++life_;
-    asio::steady_timer t(io_, silence_ / 4);
-    std::weak_ptr<Link> const weak = weak_from_this();
-    t.async_wait([weak, life](error_code x) {
-      std::shared_ptr<Link> const l = weak.lock();
-      if (!x && l && l->life_ == life && !l->open_) {
-        error_code y;
-        l->sock_.close(y);
-      }
-    });
-    co_await sock_.async_connect({asio::ip::make_address(to_.ip), static_cast<std::uint16_t>(to_.port)},
-                                 asio::redirect_error(asio::use_awaitable, e));
-    if (e || life != life_ || !sock_.is_open()) co_return false;
-    open_ = true;
-    tune(sock_, silence_);
-    spawn(io_, "link reader", read(shared_from_this(), life));
+    tcp::endpoint const to(asio::ip::make_address(to_.ip), static_cast<std::uint16_t>(to_.port));
+    co_await c->sock.async_connect(to, asio::redirect_error(asio::use_awaitable, e));
+    if (e || !c->sock.is_open()) co_return false;
+    tune(c->sock, silence_);
+    greeting_ = frame(0, 0, Sort::hello, packed(LinkHello{protocolVersion, to_, incarnation_}));
+    now_ = c;
+    spawn(io_, "link reader", read(shared_from_this(), c));
     co_return true;
   }
-  Task<void> read(std::shared_ptr<Link>, std::uint64_t life) {
-    FrameReader r;
-    Head h;
-    string body;
-    while (life == life_) {
-      bool const ok = co_await r.next(sock_, h, body);
-      if (!ok) break;
-      if (life != life_) co_return;
-      ++heard_;
-      std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(h.id);
-      if (w == waits_.end()) continue;
-      if (h.sort == Sort::reply)
-        w->second->reply = std::move(body);
-      else {
-        std::pair<int, string> const p = unpacked<std::pair<int, string>>(body);
-        w->second->error = Error(static_cast<Code>(p.first), p.second);
+  /// Reads answers until the connection ends; however it ends, calls sent on it don't wait on.
+  Task<void> read(std::shared_ptr<Link>, ConnectionPtr c) {
+    Error end(Code::connectionBroke, to_.text());
+    try {
+      FrameReader r;
+      Head h;
+      string body;
+      bool more = co_await r.next(c->sock, h, body);
+      while (more && c == now_) {
+        ++heard_;
+        take(*c, h, std::move(body));
+        more = co_await r.next(c->sock, h, body);
       }
-      w->second->timer.cancel();
-      waits_.erase(w);
+    } catch (Error const& x) {
+      end = x;
+    } catch (std::exception const& x) {
+      warn("link", to_.text() + ": " + x.what());
+    }
+    if (c == now_) drop(end);
+  }
+  void take(Connection& c, Head const& h, string body) {
+    if (!c.welcomed) return welcome(c, h, body);
+    if (h.sort != Sort::reply && h.sort != Sort::error) throw Error(Code::connectionBroke, "a malformed frame");
+    std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(h.id);
+    if (w == waits_.end() || w->second->connection != c.number) return;
+    if (h.sort == Sort::reply)
+      w->second->reply = std::move(body);
+    else
+      w->second->error = errorIn(body);
+    w->second->timer.cancel();
+    waits_.erase(w);
+  }
+  /// Whoever answers must be the process that has the address, and speak the same version.
+  void welcome(Connection& c, Head const& h, string const& body) {
+    std::optional<Error> refused;
+    LinkWelcome w;
+    if (h.sort == Sort::welcome) w = unpacked<LinkWelcome>(body);
+    if (h.sort != Sort::welcome || w.version != protocolVersion)
+      refused = Error(Code::otherProtocol, to_.text());
+    else if (w.self != to_)
+      refused = Error(Code::wrongProcess, to_.text() + " is answered by " + w.self.text());
+    if (h.sort == Sort::error) {
+      Error const x = errorIn(body);
+      if (x.code() == Code::wrongProcess) refused = x;
     }
-    if (life == life_) drop(Code::connectionBroke);
+    if (refused) {
+      if (!std::exchange(warned_, true)) warn("link", refused->what());
+      throw *refused;
+    }
+    if (peer_ && peer_ != w.incarnation) say(Level::debug, "link", to_.text() + " has started again");
+    peer_ = w.incarnation;
+    warned_ = false;
+    c.welcomed = true;
+  }
+  static Error errorIn(string const& body) {
+    WireError const x = unpacked<WireError>(body);
+    Code const c = static_cast<Code>(x.code);
+    return Error(lineOf(c).code == c ? c : Code::callFailed, x.text);
   }
 
   asio::io_context& io_;
   Addr to_;
   Ms silence_;
-  tcp::socket sock_;
-  bool open_ = false, busy_ = false;
-  std::uint64_t last_ = 0, life_ = 0, heard_ = 0;
-  std::deque<std::pair<string, std::uint64_t>> out_;
+  std::uint64_t incarnation_, peer_ = 0;
+  ConnectionPtr now_;
+  string greeting_;
+  bool busy_ = false, warned_ = false;
+  std::uint64_t lastCall_ = 0, connections_ = 0, heard_ = 0;
+  std::size_t unsent_ = 0;
+  std::deque<Unsent> out_;
   std::map<std::uint64_t, std::shared_ptr<Wait>> waits_;
 };
 
 Rpc::Rpc(asio::io_context& io, Ms silence) : io_(io), silence_(silence) {}
 Rpc::~Rpc() = default;
 
-Task<string> Rpc::call(Addr to, Method m, string body, Ms limit) {
+std::shared_ptr<Link> const& Rpc::linkTo(Addr const& to) {
   std::shared_ptr<Link>& l = links_[to];
-  if (!l) l = std::make_shared<Link>(io_, to, silence_);
-  std::shared_ptr<Link> const k = l;
+  if (!l) l = std::make_shared<Link>(io_, to, silence_, incarnation_);
+  return l;
+}
+Task<string> Rpc::call(Addr to, Method m, string body, Ms limit) {
+  std::shared_ptr<Link> const k = linkTo(to);
   co_return co_await k->call(m, std::move(body), limit);
 }
 void Rpc::cast(Addr const& to, Method m, string body) {
-  std::shared_ptr<Link>& l = links_[to];
-  if (!l) l = std::make_shared<Link>(io_, to, silence_);
-  l->cast(m, body);
-}
-
-struct RpcServer::Connection {
-  explicit Connection(tcp::socket s) : sock(std::move(s)) {}
-  tcp::socket sock;
-  std::deque<string> out;
-  std::size_t queued = 0;
-  bool writing = false;
-};
-
-RpcServer::RpcServer(asio::io_context& io, Addr at, Ms silence) : io_(io), silence_(silence), acceptor_(io) {
-  tcp::endpoint const p(asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port));
-  acceptor_.open(p.protocol());
-  acceptor_.set_option(tcp::acceptor::reuse_address(true));
-  acceptor_.bind(p);
-  acceptor_.listen(256);
-}
-void RpcServer::start() {
-  spawn(io_, "rpc listener", take());
-}
-
-Task<void> RpcServer::take() {
-  while (acceptor_.is_open()) {
-    error_code e;
-    tcp::socket s = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, e));
-    if (e) {
-      if (e == asio::error::operation_aborted) co_return;
-      co_await pause(Ms(10));
-      continue;
-    }
-    tune(s, silence_);
-    spawn(io_, "rpc connection", serve(std::make_shared<Connection>(std::move(s))));
-  }
+  linkTo(to)->cast(m, body);
 }
-Task<void> RpcServer::serve(std::shared_ptr<Connection> p) {
-  FrameReader r;
-  Head h;
-  string body;
-  for (;;) {
-    bool const ok = co_await r.next(p->sock, h, body);
-    if (!ok) break;
-    spawn(io_, "rpc call", handle(p, h.id, static_cast<Method>(h.method), h.sort == Sort::cast, std::move(body)));
-  }
-  error_code e;
-  p->sock.close(e);
-}
-Task<void> RpcServer::handle(std::shared_ptr<Connection> p, std::uint64_t id, Method m, bool cast, string body) {
-  Sort sort = Sort::reply;
-  string r;
-  try {
-    std::map<Method, Handler>::const_iterator const f = handlers_.find(m);
-    if (f == handlers_.end()) throw Error(Code::badMessage);
-    r = co_await f->second(std::move(body));
-  } catch (Error const& x) {
-    sort = Sort::error;
-    r = packed(std::make_pair(static_cast<int>(x.code()), string(x.what())));
-  }
-  if (cast || !p->sock.is_open()) co_return;
-  // One answer always fits; a peer that asks on without reading is cut off.
-  if (!p->out.empty() && p->queued + r.size() > mostUnread) {
-    error_code e;
-    p->sock.close(e);
-    p->out.clear();
-    co_return;
-  }
-  p->out.push_back(frame(id, static_cast<std::uint16_t>(m), sort, r));
-  p->queued += p->out.back().size();
-  if (p->writing) co_return;
-  p->writing = true;
-  while (!p->out.empty() && p->sock.is_open()) {
-    string all = std::move(p->out.front());
-    p->out.pop_front();
-    while (!p->out.empty() && all.size() < (1u << 18)) {
-      all += p->out.front();
-      p->out.pop_front();
-    }
-    p->queued -= std::min(p->queued, all.size());
-    error_code e;
-    co_await asio::async_write(p->sock, asio::buffer(all), asio::redirect_error(asio::use_awaitable, e));
-    if (e) p->sock.close(e);
-  }
-  p->writing = false;
+std::uint64_t Rpc::incarnationAt(Addr const& to) const {
+  std::map<Addr, std::shared_ptr<Link>>::const_iterator const l = links_.find(to);
+  return l == links_.end() ? 0 : l->second->peer();
 }
 
 }  // namespace tealshelf
--- a/wire/rpc.hpp
+++ b/wire/rpc.hpp
@@ -60,6 +60,25 @@
   MSGPACK_DEFINE(ok)
 };
 
+/// Version of what is spoken between the system's own processes; both ends must have the same one.
+constexpr std::uint32_t protocolVersion = 2;
+
+/// First frame of a connection, sent along with the first call: who is wanted. Nothing that follows it is
+/// handled unless it fits.
+struct LinkHello {
+  std::uint32_t version = protocolVersion;
+  Addr wanted;                    ///< the address that the caller means to reach
+  std::uint64_t incarnation = 0;  ///< of the calling process
+  MSGPACK_DEFINE(version, wanted, incarnation)
+};
+/// First frame of the way back, sent along with the first answer: who answers.
+struct LinkWelcome {
+  std::uint32_t version = protocolVersion;
+  Addr self;
+  std::uint64_t incarnation = 0;  ///< drawn anew at each start of the process
+  MSGPACK_DEFINE(version, self, incarnation)
+};
+
 /// A connection to one other process, opened when first used and again after a breakdown.
 class Link;
 
@@ -82,8 +101,11 @@
     cast(to, Q::method, packed(q));
   }
   asio::io_context& io() { return io_; }
+  /// Incarnation of the process that answered last at an address; 0 if none did.
+  std::uint64_t incarnationAt(Addr const& to) const;
 
  private:
+  std::shared_ptr<Link> const& linkTo(Addr const& to);
   template <class R>
   Task<R> typed(Addr to, Method m, string body, Ms limit) {
     string const r = co_await call(to, m, std::move(body), limit);
@@ -91,13 +113,15 @@
   }
   asio::io_context& io_;
   Ms silence_;
+  std::uint64_t incarnation_ = randomId();
   std::map<Addr, std::shared_ptr<Link>> links_;
 };
 
 /// Handles one message; what it returns is the answer.
 using Handler = std::function<Task<string>(string)>;
 
-/// Takes the messages of other processes.
+/// Takes the messages of other processes. A connection begins with a LinkHello that names this server's
+/// address and the same version; any other is refused by number before anything on it is handled.
 class RpcServer {
  public:
   RpcServer(asio::io_context& io, Addr at, Ms silence);
@@ -117,10 +141,17 @@
 
  private:
   struct Connection;
+  using ConnectionPtr = std::shared_ptr<Connection>;
   Task<void> take();
-  Task<void> serve(std::shared_ptr<Connection> p);
-  Task<void> handle(std::shared_ptr<Connection> p, std::uint64_t id, Method m, bool cast, string body);
+  Task<void> serve(ConnectionPtr p);
+  Task<void> readCalls(ConnectionPtr p);
+  Task<void> refuse(ConnectionPtr p, std::uint64_t id, Error x);
+  Task<void> handle(ConnectionPtr p, std::uint64_t id, Method m, bool cast, string body);
+  Task<string> result(Method m, string body);
+  Task<void> flush(ConnectionPtr p);
   asio::io_context& io_;
+  Addr at_;
+  std::uint64_t incarnation_ = randomId();
   Ms silence_;
   tcp::acceptor acceptor_;
   std::map<Method, Handler> handlers_;
