--- a/consensus/consensus.cpp
+++ b/consensus/consensus.cpp
@@ -11,9 +11,8 @@
   std::uint64_t prev = 0, upTo = 0;
   bool full = false;
   Entries entries;
-  Membership membership;
-  bool copied = false;
-  MSGPACK_DEFINE(sort, keyspace, epoch, prev, upTo, full, entries, membership, copied)
+  Standing standing;
+  MSGPACK_DEFINE(sort, keyspace, epoch, prev, upTo, full, entries, standing)
 };
 string packRecord(Record const& r) {
   msgpack::sbuffer b;
@@ -39,10 +38,7 @@
     r.full = m->full;
     r.entries = m->entries;
   }
-  if (sort == recMembership) {
-    r.membership = membership_;
-    r.copied = copied_;
-  }
+  if (sort == recMembership) r.standing = standing();
   out_.records.push_back(packRecord(r));
   out_.sync = true;
 }
@@ -55,8 +51,11 @@
     throw Error(Code::badMessage, "consensus record");
   }
   if (r.sort == recMembership) {
-    membership_ = r.membership;
-    copied_ = r.copied;
+    membership_ = r.standing.membership;
+    copied_ = r.standing.copied;
+    retired_ = r.standing.retired;
+    self_.stay = r.standing.stay;
+    votedBefore_ = r.standing.votedBefore;
     return;
   }
   Keyspace& s = keyspaces_[r.keyspace];
@@ -73,8 +72,7 @@
   vector<string> v;
   Record g;
   g.sort = recMembership;
-  g.membership = membership_;
-  g.copied = copied_;
+  g.standing = standing();
   v.push_back(packRecord(g));
   for (std::pair<string const, Keyspace> const& p : keyspaces_) {
     Record r;
@@ -87,47 +85,19 @@
   return v;
 }
 
-void Consensus::install(Membership const& g, bool copied) {
-  if (g.no <= membership_.no && membership_.no.v) return;
-  membership_ = g;
-  Member const* const me = membership_.find(self_.id);
-  copied_ = me && (copied_ || copied || me->founder);
+void Consensus::recordStanding() {
   record(recMembership, "", Epoch(), nullptr);
-  for (std::pair<string const, Keyspace>& p : keyspaces_) stepDown(p.second);
 }
-
-void Consensus::markCopied() {
-  copied_ = true;
-  record(recMembership, "", Epoch(), nullptr);
-}
-
-void Consensus::absorb(vector<std::pair<string, std::pair<Epoch, Entries>>> const& l) {
-  for (std::pair<string, std::pair<Epoch, Entries>> const& p : l) {
-    Keyspace& s = keyspaces_[p.first];
-    s.votedEpoch = std::max(s.votedEpoch, p.second.first);
-    s.seen = std::max(s.seen, s.votedEpoch);
-    for (std::pair<string const, Entry> const& e : p.second.second) {
-      Entry& x = s.entries[e.first];
-      if (std::tie(x.epoch, x.seq) < std::tie(e.second.epoch, e.second.seq)) x = e.second;
-    }
-    s.upTo = 0;
-    Record r;
-    r.sort = recDump;
-    r.keyspace = p.first;
-    r.epoch = s.votedEpoch;
-    r.entries = s.entries;
-    out_.records.push_back(packRecord(r));
-  }
+void Consensus::recordDump(string const& name, Keyspace const& s) {
+  Record r;
+  r.sort = recDump;
+  r.keyspace = name;
+  r.epoch = s.votedEpoch;
+  r.entries = s.entries;
+  out_.records.push_back(packRecord(r));
   out_.sync = true;
 }
 
-vector<std::pair<string, std::pair<Epoch, Entries>>> Consensus::dump() const {
-  vector<std::pair<string, std::pair<Epoch, Entries>>> v;
-  for (std::pair<string const, Keyspace> const& p : keyspaces_)
-    v.push_back({p.first, {p.second.votedEpoch, p.second.entries}});
-  return v;
-}
-
 void Consensus::know(string const& keyspace) {
   keyspaces_[keyspace];
 }
@@ -177,10 +147,6 @@
   return p != peers_.end() && alive(id, now) && p->second.heartbeat.copied &&
          p->second.heartbeat.membership == membership_.no;
 }
-Moment Consensus::lastHeard(Identity id) const {
-  std::map<Identity, Peer>::const_iterator const p = peers_.find(id);
-  return p == peers_.end() ? Moment() : p->second.at;
-}
 
 Member const* Consensus::wanted(string const& keyspace, Moment now) const {
   Member const* best = nullptr;
@@ -222,6 +188,7 @@
 void Consensus::heard(Heartbeat const& p, Moment now) {
   if (p.self.id == self_.id) return;
   peers_[p.self.id] = {now, p};
+  noteHeard(p, now);
   if (p.membership != membership_.no || !membership_.find(p.self.id)) return;
   for (KeyspaceProgress const& k : p.marks) {
     Keyspace& s = keyspaces_[k.keyspace];
--- a/consensus/consensus.hpp
+++ b/consensus/consensus.hpp
@@ -25,17 +25,21 @@
   string name, ip, zone;
   bool founder = false;  ///< of the first membership: its disk never missed anything
   bool disk = true;      ///< keeps its state on a disk
+  /// Number of one uninterrupted membership of this disk: a disk that was put out or lost its vote
+  /// comes back under another one, and is a newcomer then.
+  std::uint64_t stay = 0;
   bool operator==(Member const&) const = default;
-  MSGPACK_DEFINE(id, name, ip, zone, founder, disk)
+  MSGPACK_DEFINE(id, name, ip, zone, founder, disk, stay)
 };
 /// The disks that hold the control state; changed one at a time under a rising number.
 struct Membership {
   MembershipNumber no;
   vector<Member> members;
-  std::uint64_t oldSize = 0;  ///< size of the membership before
+  vector<Member> former;  ///< members of the membership before; a newcomer copies from a majority of them
   Member const* find(Identity id) const;
   std::size_t most() const { return members.size() / 2 + 1; }
-  MSGPACK_DEFINE(no, members, oldSize)
+  std::size_t mostFormer() const { return former.size() / 2 + 1; }
+  MSGPACK_DEFINE(no, members, former)
 };
 
 /// Messages between the registries of the membership.
@@ -70,12 +74,33 @@
   MSGPACK_DEFINE(self, membership, copied, hears, marks)
 };
 
+/// A keyspace as one disk holds it, for a disk that copies all keys.
+struct KeyspaceCopy {
+  string keyspace;
+  Epoch votedEpoch;
+  Entries entries;
+  bool same = false;  ///< the asker holds this very content, which is left out
+  std::uint64_t digest() const;
+  MSGPACK_DEFINE(keyspace, votedEpoch, entries, same)
+};
+using DiskCopy = vector<KeyspaceCopy>;
+
 /// The end of a proposal or of a confirmation.
 struct Outcome {
   std::uint64_t op = 0;
   bool ok = false;
 };
 
+/// What a disk knows of its membership and of its own part in it.
+struct Standing {
+  Membership membership;
+  bool copied = false;   ///< it holds all keys and votes, if it is a member
+  bool retired = false;  ///< it was a member under its stay and is one no more
+  std::uint64_t stay = 0;
+  vector<Member> votedBefore;  ///< itself as it voted in the membership before: one or none
+  MSGPACK_DEFINE(membership, copied, retired, stay, votedBefore)
+};
+
 /// What the consensus wants done: records synced first, then messages sent and outcomes told.
 struct Batch {
   vector<string> records;
@@ -106,10 +131,15 @@
   Heartbeat heartbeat(Moment now) const;
   /// Installs a newer membership; copied says that this disk holds all keys.
   void install(Membership const& g, bool copied);
-  /// Takes in the keyspaces that other members hold.
-  void absorb(vector<std::pair<string, std::pair<Epoch, Entries>>> const& keyspaces);
-  vector<std::pair<string, std::pair<Epoch, Entries>>> dump() const;
-  void markCopied();
+  /// Replaces the state by what a majority of the former members hold; this disk votes from then on.
+  void adopt(vector<DiskCopy> const& copies);
+  DiskCopy dump() const;
+  /// Gives up the vote, durably, for example because the disk lost a record: this disk can't tell what
+  /// it acknowledged. It is a member again only under the new stay (any number not used before), as a
+  /// newcomer that copied all keys from a majority.
+  void loseVote(std::uint64_t stay);
+  /// Lets a retired disk ask to become a member again, under a stay not used before.
+  void comeBack(std::uint64_t stay);
   /// Makes a keyspace known, so that its wanted owner takes it.
   void know(string const& keyspace);
 
@@ -132,10 +162,20 @@
   Membership const& membership() const { return membership_; }
   Member const& self() const { return self_; }
   bool copied() const { return copied_; }
+  /// True if this disk is a member under its own stay, with or without a vote.
+  bool isMember() const;
+  /// True if this disk was a member under its stay and is one no more; it needs another stay to come back.
+  bool isRetired() const { return retired_; }
+  /// The member that this disk may answer copies for: itself while it votes, or as it voted in the
+  /// membership before; nothing if it may not.
+  std::optional<Member> copySource() const;
   bool alive(Identity id, Moment now) const;
   /// True if a member runs, holds all keys and knows this membership.
   bool ready(Identity id, Moment now) const;
-  Moment lastHeard(Identity id) const;
+  /// How long no member in touch with this node has heard a member, as far as this node was awake to tell.
+  Ms silentFor(Identity id, Moment now) const;
+  /// True if all keyspaces that a majority knows were written anew by their owners in this membership.
+  bool writtenAnew(Moment now) const;
   /// When a majority that hears this node, this node included, was heard last.
   Moment provenAt(Moment now) const;
   /// True if a majority was heard lately, and says that it hears this node.
@@ -143,6 +183,7 @@
   vector<string> keyspaces() const;
 
  private:
+  friend struct ConsensusProbe;  ///< of the tests: starts takeovers and packs the whole state
   struct Write {
     std::uint64_t op = 0, first = 0, last = 0;
     Entries entries;
@@ -196,13 +237,21 @@
   void post(Message m) { out_.messages.push_back(std::move(m)); }
   void record(int sort, string const& keyspace, Epoch e, Message const* m);
   void apply(Keyspace& s, Epoch e, bool full, std::uint64_t prev, std::uint64_t upTo, Entries const& es);
-  bool mayVote() const { return copied_ && membership_.find(self_.id); }
+  bool mayVote() const { return copied_ && isMember(); }
+  Standing standing() const;
+  void recordStanding();
+  void recordDump(string const& name, Keyspace const& s);
+  void noteAwake(Moment now);
+  void noteHeard(Heartbeat const& p, Moment now);
   void finish(vector<std::uint64_t> const& ops, bool ok);
 
   Member self_;
   Times times_;
   Membership membership_;
-  bool copied_ = false;
+  bool copied_ = false, retired_ = false;
+  vector<Member> votedBefore_;          ///< this disk as it voted in the membership before: one or none
+  std::map<Identity, Moment> heardOf_;  ///< when a member was last heard, here or by a peer
+  Moment awakeSince_, lastTick_;
   std::map<string, Keyspace> keyspaces_;
   std::map<Identity, Peer> peers_;
   std::uint64_t lastOp_ = 0, lastRound_ = 0;
--- a/consensus/driver.cpp
+++ b/consensus/driver.cpp
@@ -67,12 +67,7 @@
     co_return HelloReply{consensus_.self(), consensus_.membership(), settings_.firstStart,
                          !settings_.dataFolder.empty(), consensus_.copied()};
   });
-  server.on<CopyAll>([this](CopyAll q) -> Task<CopyReply> {
-    if (q.membership != consensus_.membership().no || !consensus_.copied()) throw Error(Code::notMember);
-    CopyReply r{consensus_.membership(), consensus_.dump()};
-    if (log_) co_await log_->settled();
-    co_return r;
-  });
+  server.on<CopyAll>([this](CopyAll q) -> Task<CopyReply> { co_return co_await copyFor(q); });
   server.on<JoinRequest>([this](JoinRequest q) -> Task<Done> { co_return Done{co_await joined(q)}; });
   spawn(io_, "consensus tick", tickLoop());
   spawn(io_, "consensus heartbeat", heartbeatLoop());
--- a/consensus/driver.hpp
+++ b/consensus/driver.hpp
@@ -30,6 +30,8 @@
     sendHeartbeats();
   }
   void sendHeartbeats();
+  /// Gives up this disk's vote, durably, until it has copied all keys from a majority as a newcomer.
+  void loseVote() { consensus_.loseVote(randomId()); }
   /// Called for each heartbeat that comes in, with what it carries; true if the registers differ.
   std::function<bool(HeartbeatMessage const&)> onHeartbeat;
   /// Fills in the workers and nodes that a heartbeat shall carry; full asks for the whole register.
@@ -54,6 +56,9 @@
   bool mayJoin() const;
   Task<bool> found();
   Task<bool> copyAll();
+  Task<CopyReply> copyFor(CopyAll const& q);
+  Task<void> askToJoin();
+  Task<void> removeSilent();
   Task<bool> joined(JoinRequest q);
   Task<bool> changeMembership(JoinRequest const& q);
   Task<void> pruneLoop();
@@ -63,6 +68,9 @@
   Settings const& settings_;
   Rpc& rpc_;
   Ms period_;
+  /// What a learner copied before its promotion, by the disk that it came from, and under which membership.
+  std::map<Identity, DiskCopy> prefetched_;
+  MembershipNumber prefetchedUnder_;
   bool fresh_ = false, leaving_ = false, changing_ = false, warned_ = false;
   Identity id_;
   Consensus consensus_;
--- a/consensus/joining.cpp
+++ b/consensus/joining.cpp
@@ -30,40 +30,89 @@
   }
   if (!seed || !settings_.firstStart) co_return false;
   std::sort(g.members.begin(), g.members.end(), [](Member const& a, Member const& b) { return a.ip < b.ip; });
-  g.oldSize = g.members.size();
   for (Member& m : g.members) m.founder = true;
+  g.former = g.members;
   consensus_.install(g, true);
   tell("consensus", "the membership is founded with " + std::to_string(g.members.size()) + " disks");
   co_return true;
 }
 
+Task<CopyReply> Driver::copyFor(CopyAll const& q) {
+  std::optional<Member> const source = consensus_.copySource();
+  if (q.membership != consensus_.membership().no || !source) throw Error(Code::notMember);
+  CopyReply r;
+  r.source = *source;
+  r.keyspaces = consensus_.dump();
+  for (KeyspaceCopy& k : r.keyspaces) {
+    std::map<string, std::uint64_t>::const_iterator const d = q.digests.find(k.keyspace);
+    k.same = d != q.digests.end() && d->second == k.digest();
+    if (k.same) k.entries.clear();
+  }
+  // The membership must be durable here before the copy counts, as this disk acknowledges nothing under
+  // an older one from then on.
+  if (log_) co_await log_->settled();
+  co_return r;
+}
+
+namespace {
+/// Copies on their way from several disks.
+struct Gather {
+  explicit Gather(asio::io_context& io) : timer(io, Moment::max()) {}
+  asio::steady_timer timer;
+  std::map<Identity, DiskCopy> got;
+  std::size_t left = 0;
+};
+
+/// Puts what the asker held already into a copy.
+DiskCopy whole(DiskCopy copy, DiskCopy const& held) {
+  for (KeyspaceCopy& k : copy) {
+    if (!k.same) continue;
+    for (KeyspaceCopy const& h : held)
+      if (h.keyspace == k.keyspace) k.entries = h.entries;
+    k.same = false;
+  }
+  return copy;
+}
+}  // namespace
+
+/// Copies all keys: as a learner from a majority of the voters, to be quick later; as a member without
+/// a vote from a majority of the former voters, all of which are sealed by the present membership.
 Task<bool> Driver::copyAll() {
   Membership const g = consensus_.membership();
-  std::size_t const need = g.oldSize / 2 + 1;
-  struct Gather {
-    explicit Gather(asio::io_context& io) : timer(io, Moment::max()) {}
-    asio::steady_timer timer;
-    vector<CopyReply> got;
-    std::size_t left = 0;
-  };
+  bool const member = consensus_.isMember();
+  vector<Member> const sources = member ? g.former : g.members;
+  std::size_t const need = member ? g.mostFormer() : g.most();
   std::shared_ptr<Gather> const all = std::make_shared<Gather>(io_);
-  for (Member const& m : g.members) {
-    if (m.id == id_) continue;
+  for (Member const& m : sources) {
+    if (m.ip == settings_.ip) continue;
+    CopyAll ask;
+    ask.membership = g.no;
+    for (KeyspaceCopy const& k : prefetched_[m.id]) ask.digests[k.keyspace] = k.digest();
     ++all->left;
-    asio::co_spawn(io_, rpc_.ask(at(m.ip), CopyAll{g.no}, Ms(settings_.bounds.inTouch / 2)),
-                   [all, need](std::exception_ptr x, CopyReply r) {
+    asio::co_spawn(io_, rpc_.ask(at(m.ip), ask, Ms(settings_.bounds.inTouch / 2)),
+                   [all, need, m](std::exception_ptr x, CopyReply r) {
                      --all->left;
-                     if (!x) all->got.push_back(std::move(r));
+                     bool const right = !x && r.source.id == m.id && r.source.stay == m.stay;
+                     if (right) all->got[m.id] = std::move(r.keyspaces);
                      if (!all->left || all->got.size() >= need) all->timer.cancel();
                    });
   }
   error_code e;
   if (all->left) co_await all->timer.async_wait(asio::redirect_error(asio::use_awaitable, e));
-  vector<CopyReply> const got = all->got;
-  if (got.size() < need || consensus_.membership().no != g.no) co_return false;
-  for (CopyReply const& r : got) consensus_.absorb(r.keyspaces);
-  consensus_.markCopied();
-  tell("consensus", "all keys are copied from " + std::to_string(got.size()) + " disks");
+  std::map<Identity, DiskCopy> const got = all->got;
+  if (got.size() < need || consensus_.membership().no != g.no || consensus_.isMember() != member) co_return false;
+  std::map<Identity, DiskCopy> copies;
+  for (std::pair<Identity const, DiskCopy> const& c : got) copies[c.first] = whole(c.second, prefetched_[c.first]);
+  if (member) {
+    vector<DiskCopy> l;
+    for (std::pair<Identity const, DiskCopy>& c : copies) l.push_back(std::move(c.second));
+    consensus_.adopt(l);
+    prefetched_.clear();
+    tell("consensus", "all keys are copied from " + std::to_string(l.size()) + " disks");
+  } else {
+    prefetched_ = std::move(copies);
+    prefetchedUnder_ = g.no;
+  }
   co_return true;
 }
 
@@ -75,26 +124,36 @@
   return true;
 }
 
+/// Asks the members, and the seeds, for a place as a member; first copies all keys as a learner.
+Task<void> Driver::askToJoin() {
+  if (consensus_.isRetired()) consensus_.comeBack(randomId());
+  if (prefetchedUnder_ != consensus_.membership().no) co_await copyAll();
+  JoinRequest ask;
+  ask.self = consensus_.self();
+  ask.copiedUnder = prefetchedUnder_;
+  vector<string> ips;
+  for (Member const& m : consensus_.membership().members) ips.push_back(m.ip);
+  for (Addr const& s : settings_.seeds) ips.push_back(s.ip);
+  for (string const& ip : ips) {
+    if (ip == settings_.ip) continue;
+    try {
+      Done const r = co_await rpc_.ask(at(ip), ask, Ms(settings_.bounds.inTouch / 2));
+      if (r.ok) co_return;
+    } catch (Error const&) {
+    }
+  }
+}
+
 Task<void> Driver::joinLoop() {
   for (;;) {
-    bool const in = consensus_.membership().find(id_) != nullptr;
+    bool const in = consensus_.isMember();
     if (!consensus_.membership().no.v) {
       co_await found();
       pump();
       sendHeartbeats();
     } else if (!in && !leaving_ && mayJoin()) {
-      bool ok = false;
-      vector<string> ips;
-      for (Member const& m : consensus_.membership().members) ips.push_back(m.ip);
-      for (Addr const& s : settings_.seeds) ips.push_back(s.ip);
-      for (string const& ip : ips) {
-        if (ok || ip == settings_.ip) continue;
-        try {
-          JoinRequest const ask{consensus_.self(), 0, false};
-          ok = (co_await rpc_.ask(at(ip), ask, Ms(settings_.bounds.inTouch / 2))).ok;
-        } catch (Error const&) {
-        }
-      }
+      co_await askToJoin();
+      pump();
     } else if (in && !consensus_.copied()) {
       co_await copyAll();
       pump();
@@ -112,7 +171,8 @@
 }
 
 Task<bool> Driver::joined(JoinRequest q) {
-  if (!q.leave && consensus_.membership().find(q.self.id)) co_return true;
+  Member const* const known = consensus_.membership().find(q.self.id);
+  if (!q.leave && known && known->stay == q.self.stay) co_return true;
   if (!consensus_.owns("members")) {
     std::optional<Addr> const o = ownerOf("members");
     if (!o || q.hops > 1 || o->ip == settings_.ip) co_return false;
@@ -135,9 +195,10 @@
 Task<bool> Driver::changeMembership(JoinRequest const& q) {
   Moment const now = Clock::now();
   MembershipNumber const old = consensus_.membership().no;
-  MembershipPolicy const rule{Ms(settings_.bounds.inTouch / 2), now - started_ > Ms(settings_.bounds.inTouch),
+  MembershipPolicy const rule{MembershipPolicy::deadAfterFor(settings_.bounds),
                               std::max<std::size_t>(3, MembershipPolicy::needed(settings_.surviveMachines))};
-  std::optional<Membership> const g = rule.next(consensus_, q.self, q.leave, now);
+  MembershipWish const wish{q.self, q.leave, q.copiedUnder};
+  std::optional<Membership> const g = rule.next(consensus_, wish, now);
   if (!g) co_return false;
   vector<Consensus::Change> cs(1, Consensus::Change{"membership", packed(*g), false});
   bool const ok = co_await propose("members", std::move(cs));
@@ -151,29 +212,33 @@
 Task<void> Driver::pruneLoop() {
   for (;;) {
     co_await pause(Ms(settings_.bounds.inTouch / 3));
-    if (consensus_.owns("members")) {
-      std::map<string, string> const v = consensus_.view("members");
-      std::map<string, string>::const_iterator const g = v.find("membership");
-      if (g != v.end()) {
-        Membership const x = unpacked<Membership>(g->second);
-        if (x.no > consensus_.membership().no) {
-          consensus_.install(x, false);
-          pump();
-          sendHeartbeats();
-          continue;
-        }
-      }
-      Moment const now = Clock::now();
-      std::size_t const least = std::max<std::size_t>(3, MembershipPolicy::needed(settings_.surviveMachines));
-      if (consensus_.membership().members.size() > least && !changing_ &&
-          now - started_ > Ms(2 * settings_.bounds.catchUp))
-        for (Member const& m : consensus_.membership().members)
-          if (m.id != id_ && now - consensus_.lastHeard(m.id) > Ms(2 * settings_.bounds.catchUp)) {
-            JoinRequest const ask{m, 9, true};
-            co_await joined(ask);
-            break;
-          }
+    if (!consensus_.owns("members")) continue;
+    std::map<string, string> const v = consensus_.view("members");
+    std::map<string, string>::const_iterator const g = v.find("membership");
+    Membership const newest = g == v.end() ? Membership() : unpacked<Membership>(g->second);
+    if (newest.no > consensus_.membership().no) {
+      consensus_.install(newest, false);
+      pump();
+      sendHeartbeats();
+      continue;
     }
+    co_await removeSilent();
+  }
+}
+
+/// Takes out a member that is gone for good, where the membership is larger than it must be.
+Task<void> Driver::removeSilent() {
+  Moment const now = Clock::now();
+  std::size_t const least = std::max<std::size_t>(3, MembershipPolicy::needed(settings_.surviveMachines));
+  if (consensus_.membership().members.size() <= least || changing_) co_return;
+  for (Member const& m : vector<Member>(consensus_.membership().members)) {
+    if (consensus_.silentFor(m.id, now) <= Ms(2 * settings_.bounds.catchUp)) continue;
+    JoinRequest ask;
+    ask.self = m;
+    ask.hops = 9;
+    ask.leave = true;
+    co_await joined(ask);
+    co_return;
   }
 }
 
--- a/consensus/rounds.cpp
+++ b/consensus/rounds.cpp
@@ -83,6 +83,7 @@
 }
 
 void Consensus::tick(Moment now) {
+  noteAwake(now);
   if (!mayVote()) return;
   for (std::pair<string const, Keyspace>& p : keyspaces_) {
     Keyspace& s = p.second;
--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -23,7 +23,10 @@
     std::set<std::size_t> copies;                            ///< members copied from under the membership in copyNo
     MembershipNumber copyNo;
     bool whole = false;  ///< its disk is known to hold all keys
-    vector<vector<std::pair<string, std::pair<Epoch, Entries>>>> copied;
+    vector<DiskCopy> copied;
+    bool copiesAsMember = false;    ///< copies are for a vote, not a learner's
+    MembershipNumber learnedUnder;  ///< as a learner it copied from a majority under this number
+    vector<DiskCopy> learned;
   };
   struct Op {
     bool write = false;
@@ -44,13 +47,15 @@
   void found(std::size_t i) {
     tealshelf::Membership first;
     first.no = MembershipNumber(1);
-    first.oldSize = founders_;
     for (std::size_t k = 0; k < founders_; ++k) first.members.push_back(nodes_[k].self);
+    first.former = first.members;
     nodes_[i].consensus->install(first, true);
     pump(nodes_[i]);
   }
   bool joins = false;         ///< nodes outside the membership ask to join, new members copy
   bool keepIdentity = false;  ///< the broken variant: a wiped disk comes back under its old identity, and votes
+  bool trustLearner = false;  ///< the broken variant: a promoted learner votes with what it copied before
+  Ms deadAfter = Ms(3600);
   std::int64_t survive = 0;
   /// The disk is lost: the node starts again empty, with a new identity.
   void wipe(std::size_t i) {
@@ -63,11 +68,44 @@
     x.self.founder = false;
     x.whole = false;
   }
+  /// Records in the middle of the log are lost; the disk knows, and gives up its vote unless it is broken.
+  void corrupt(std::size_t i, bool votesOn = false) {
+    Node& x = nodes_[i];
+    if (x.up) power(i);
+    x.disk.erase(x.disk.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(1, x.disk.size())), x.disk.end());
+    start(i);
+    if (votesOn) return;
+    x.consensus->loseVote(++lastIdentity_);
+    x.whole = false;
+    pump(x);
+  }
   void noDisk(std::size_t i) {
     nodes_[i].lasting = false;
     nodes_[i].self.disk = false;
     make(nodes_[i]);
   }
+  /// The newest membership that any running node knows.
+  tealshelf::Membership newest() const {
+    tealshelf::Membership g;
+    for (Node const& x : nodes_)
+      if (x.up && x.consensus->membership().no > g.no) g = x.consensus->membership();
+    return g;
+  }
+  /// How many running members vote, or will once they learn of the newest membership.
+  std::size_t voters() const {
+    tealshelf::Membership const g = newest();
+    std::size_t n = 0;
+    for (Node const& x : nodes_) {
+      Member const* const m = g.find(x.consensus->self().id);
+      n += m && m->stay == x.consensus->self().stay && x.up && x.consensus->copied();
+    }
+    return n;
+  }
+  std::size_t ownerOf(string const& keyspace) const {
+    for (std::size_t i = 0; i < nodes_.size(); ++i)
+      if (nodes_[i].consensus->owns(keyspace)) return i;
+    return nodes_.size();
+  }
   std::size_t members() const {
     std::size_t most = 0;
     for (Node const& x : nodes_)
@@ -208,6 +246,8 @@
     x.changes.clear();
     x.copies.clear();
     x.copied.clear();
+    x.learnedUnder = MembershipNumber();
+    x.learned.clear();
     writing_.erase(static_cast<std::size_t>(&x - nodes_.data()));
     x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)});
   }
@@ -266,7 +306,7 @@
   void join(std::size_t i) {
     Node& x = nodes_[i];
     tealshelf::Membership const& g = x.consensus->membership();
-    if (g.no.v && g.find(x.self.id)) {
+    if (g.no.v && x.consensus->isMember()) {
       if (!x.consensus->copied()) copy(x, i);
       if (x.consensus->owns("members")) {
         std::map<string, string> const& v = x.consensus->view("members");
@@ -288,13 +328,17 @@
     if (!x.lasting && (anyDisk || !g.no.v)) {
       if (g.no.v) return;
     }
+    if (g.no.v && x.consensus->isRetired()) {
+      x.consensus->comeBack(++lastIdentity_);
+      pump(x);
+    }
+    if (!g.no.v || x.learnedUnder != g.no) return copy(x, i);
     std::size_t const j = dice(nodes_.size());
     Node& y = nodes_[j];
-    if (j == i || !y.up || y.frozen || cuts.count({i, j}) || cuts.count({j, i}) || !y.consensus->owns("members") ||
-        !y.changes.empty())
-      return;
-    MembershipPolicy const rule{Ms(1500), true, std::max<std::size_t>(3, MembershipPolicy::needed(survive))};
-    std::optional<tealshelf::Membership> const n = rule.next(*y.consensus, x.self, false, now_);
+    if (!reaches(i, j) || !y.consensus->owns("members") || !y.changes.empty()) return;
+    MembershipPolicy const rule{deadAfter, std::max<std::size_t>(3, MembershipPolicy::needed(survive))};
+    MembershipWish const wish{x.consensus->self(), false, x.learnedUnder};
+    std::optional<tealshelf::Membership> const n = rule.next(*y.consensus, wish, now_);
     if (!n) return;
     msgpack::sbuffer b;
     msgpack::pack(b, *n);
@@ -302,27 +346,41 @@
     y.changes[op] = *n;
     pump(y);
   }
+  bool reaches(std::size_t i, std::size_t j) const {
+    return i != j && nodes_[j].up && !nodes_[j].frozen && !cuts.count({i, j}) && !cuts.count({j, i});
+  }
+  /// Copies from one disk, as a learner or for the vote.
   void copy(Node& x, std::size_t i) {
     tealshelf::Membership const g = x.consensus->membership();
-    if (x.copyNo != g.no) {
+    bool const member = x.consensus->isMember();
+    if (x.copyNo != g.no || x.copiesAsMember != member) {
       x.copyNo = g.no;
+      x.copiesAsMember = member;
       x.copies.clear();
       x.copied.clear();
     }
-    std::size_t const j = dice(nodes_.size());
-    Node& y = nodes_[j];
-    if (j != i && y.up && !y.frozen && !cuts.count({i, j}) && !cuts.count({j, i}) &&
-        y.consensus->membership().no == g.no && g.find(y.self.id) && y.consensus->copied() && y.unsynced.empty() &&
-        !x.copies.count(j)) {
+    vector<Member> const& sources = member ? g.former : g.members;
+    std::size_t const need = sources.size() / 2 + 1;
+    for (int k = 0; k < 3 && x.copies.size() < need; ++k) {
+      std::size_t const j = dice(nodes_.size());
+      Node& y = nodes_[j];
+      if (!reaches(i, j) || y.consensus->membership().no != g.no || !y.unsynced.empty() || x.copies.count(j)) continue;
+      std::optional<Member> const source = y.consensus->copySource();
+      if (!source || std::find(sources.begin(), sources.end(), *source) == sources.end()) continue;
       x.copies.insert(j);
       x.copied.push_back(y.consensus->dump());
     }
-    if (x.copies.size() < g.oldSize / 2 + 1) return;
-    for (vector<std::pair<string, std::pair<Epoch, Entries>>> const& d : x.copied) x.consensus->absorb(d);
-    x.consensus->markCopied();
+    bool const trusted = member && trustLearner && !x.learned.empty();
+    if (!trusted && (!g.no.v || x.copies.size() < need)) return;
+    if (member) {
+      x.consensus->adopt(trusted ? x.learned : x.copied);
+      pump(x);
+    } else {
+      x.learned = x.copied;
+      x.learnedUnder = g.no;
+    }
     x.copies.clear();
     x.copied.clear();
-    pump(x);
   }
   void outcome(std::size_t node, Outcome const& o) {
     Node& m = nodes_[node];
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,65 +1,13 @@
-#include "tests/consensus_sim.hpp"
+#include "tests/membership_runs.hpp"
 
 #include <CppUTest/TestHarness.h>
-#include <cstdlib>
 
 using namespace tealshelf;
+using namespace tealshelf::sim;
 
 namespace {
-std::uint64_t seeds() {
-  char const* const s = std::getenv("TEALSHELF_SEEDS");
-  return s ? std::strtoull(s, nullptr, 10) : 8;
-}
-void write(sim::Cluster& g, int n) {
-  for (int k = 0; k < 8 * n; ++k) {
-    g.write();
-    g.run(3);
-  }
-}
-/// Runs until all eight are members that hold all keys, for so long at the most.
-void founded(sim::Cluster& g) {
-  for (int k = 0; k < 60; ++k) {
-    g.run(100);
-    std::size_t n = 0;
-    for (sim::Cluster::Node const& x : g.nodes())
-      n += x.consensus->copied() && x.consensus->membership().members.size() == 8;
-    if (n == 8) return;
-  }
-}
-/// So many disks don't hold all keys.
-std::size_t thin(vector<sim::Cluster::Node> const& nodes) {
-  std::size_t n = 0;
-  for (sim::Cluster::Node const& x : nodes) n += !x.whole;
-  return n;
-}
-/// Everyone is up again; says what is broken.
-string healed(sim::Cluster& g) {
-  g.cuts.clear();
-  g.loss = 0;
-  for (std::size_t i = 0; i < g.nodes().size(); ++i) {
-    if (!g.nodes()[i].up)
-      g.start(i);
-    else if (g.nodes()[i].frozen)
-      g.thaw(i);
-  }
-  for (int k = 0; k < 2500 && g.broken.empty(); ++k) {
-    g.step();
-    g.check();
-  }
-  if (!g.broken.empty()) return g.broken;
-  std::size_t owners = 0;
-  for (sim::Cluster::Node const& x : g.nodes()) {
-    owners += x.consensus->owns("configuration");
-    if (x.consensus->owns("configuration") && g.value(x) < g.acked) return "the owner lost an acknowledged write";
-  }
-  if (owners != 1) return std::to_string(owners) + " owners after all was healed";
-  std::set<std::uint64_t> numbers;
-  for (sim::Cluster::Node const& x : g.nodes())
-    if (x.consensus->membership().find(x.self.id)) numbers.insert(x.consensus->membership().no.v);
-  return numbers.size() == 1 ? "" : "members know different memberships";
-}
 /// Joins, wipes of up to two disks at once, cuts, freezes and losses of power.
-string play(std::uint64_t seed, bool keepIdentity, std::uint64_t& changes) {
+string play(std::uint64_t seed, bool keepIdentity, std::uint64_t& changes, bool corruptVotes = false) {
   sim::Cluster g(seed, 8, false, 3);
   g.joins = true;
   g.survive = 2;
@@ -76,7 +24,7 @@
     if (g.dice(70)) continue;
     std::size_t const i = g.dice(8);
     sim::Cluster::Node& x = g.nodes()[i];
-    switch (g.dice(11)) {
+    switch (g.dice(12)) {
       case 0:
         if (x.up) g.power(i);
         break;
@@ -111,6 +59,9 @@
               if (j != i && g.nodes()[j].up) g.power(j);
         }
         break;
+      case 11:
+        if (thin(g.nodes()) < 2) g.corrupt(i, corruptVotes);
+        break;
       default:
         break;
     }
@@ -130,6 +81,13 @@
   CHECK(wipes > 10);
 }
 
+TEST(membership, aCorruptDiskThatVotesIsCaught) {
+  bool caught = false;
+  std::uint64_t wipes = 0;
+  for (std::uint64_t s = 1; s <= 300 && !caught; ++s) caught = !play(s, false, wipes, true).empty();
+  CHECK_TEXT(caught, "the broken variant was never caught");
+}
+
 TEST(membership, aWipedDiskThatVotesIsCaught) {
   bool caught = false;
   std::uint64_t wipes = 0;
--- a/wire/messages.hpp
+++ b/wire/messages.hpp
@@ -78,15 +78,17 @@
   MSGPACK_DEFINE(self)
 };
 struct CopyReply {
-  Membership membership;
-  vector<std::pair<string, std::pair<Epoch, Entries>>> keyspaces;
-  MSGPACK_DEFINE(membership, keyspaces)
+  Member source;  ///< the member that held these keys when its membership ended, or holds them now
+  DiskCopy keyspaces;
+  MSGPACK_DEFINE(source, keyspaces)
 };
+/// Asks for all keys; what the asker holds of them already (by digest) is left out.
 struct CopyAll {
   using Reply = CopyReply;
   static constexpr Method method = Method::copyAll;
   MembershipNumber membership;
-  MSGPACK_DEFINE(membership)
+  std::map<string, std::uint64_t> digests;
+  MSGPACK_DEFINE(membership, digests)
 };
 struct JoinRequest {
   using Reply = Done;
@@ -94,7 +96,8 @@
   Member self;
   int hops = 0;
   bool leave = false;
-  MSGPACK_DEFINE(self, hops, leave)
+  MembershipNumber copiedUnder;  ///< the learner copied all keys from a majority under this membership
+  MSGPACK_DEFINE(self, hops, leave, copiedUnder)
 };
 
 /// An answer of a resource to a worker or an operator.
