--- a/consensus/consensus.hpp
+++ b/consensus/consensus.hpp
@@ -85,10 +85,16 @@
   MSGPACK_DEFINE(self, membership, copied, sent, echoes, marks)
 };
 
+/// How a proposal or a confirmation ended.
+enum class Result {
+  committed,  ///< a majority has it, or has confirmed the ownership
+  notOwner,   ///< nothing was sent: it never comes into force
+  unknown     ///< the ownership ended first: the next one settles whether it is in force
+};
 /// The end of a proposal or of a confirmation.
 struct Outcome {
   std::uint64_t op = 0;
-  bool ok = false;
+  Result result = Result::unknown;
 };
 
 /// What the consensus wants done: records synced first, then messages sent and outcomes told.
@@ -102,8 +108,12 @@
 /// The control state of one node, without any input or output of its own.
 class Consensus {
  public:
+  /// Bounds, as ratios of the settings'.
   struct Times {
-    Ms alive, again;
+    Ms alive;  ///< age of a contact from which on it doesn't count
+    Ms again;  ///< until a message without an answer is sent again
+    Ms lost;   ///< age of the last contact with a majority at which an owner steps down
+    Ms open;   ///< how long a write or a read may wait for a majority
   };
   struct Change {
     string key, value;
@@ -131,7 +141,11 @@
   /// Makes a keyspace known, so that its wanted owner takes it.
   void know(string const& keyspace);
 
+  /// Has a change made; its end comes with a batch, at the latest when the bound for open writes is over.
+  /// An owner whose write ends as unknown has given the keyspace up: only its takeover tells what is in force.
   std::uint64_t propose(string const& keyspace, vector<Change> changes, Moment now);
+  /// Gives a keyspace up; what is open ends as unknown.
+  void giveUp(string const& keyspace);
   std::uint64_t confirm(string const& keyspace, Moment now);
   Batch take() {
     Batch b = std::move(out_);
@@ -166,14 +180,14 @@
     std::uint64_t op = 0, first = 0, last = 0;
     Entries entries;
     std::set<Identity> acks;
-    Moment sent;
+    Moment begun, sent;
     bool full = false, done = false;
   };
   struct Read {
     std::uint64_t round = 0;
     vector<std::uint64_t> ops;
     std::set<Identity> acks;
-    Moment sent;
+    Moment begun, sent;
   };
   enum class Phase { none, taking, writing, owning };
   struct Keyspace {
@@ -200,6 +214,9 @@
   };
   void startTakeover(string const& name, Keyspace& s, Moment now);
   void stepDown(Keyspace& s);
+  void expire(Keyspace& s, Moment now);
+  void resend(string const& name, Keyspace& s, Moment now);
+  void forgetWrites(Keyspace& s, Moment now);
   void sendVoteRequests(string const& name, Keyspace& s, Moment now);
   void sendWrite(string const& name, Keyspace& s, Write& w, Moment now);
   void sendRead(string const& name, Keyspace& s, Read& r, Moment now);
@@ -216,7 +233,7 @@
   void record(int sort, string const& keyspace, Epoch e, Message const* m);
   void apply(Keyspace& s, Epoch e, bool full, std::uint64_t prev, std::uint64_t upTo, Entries const& es);
   bool mayVote() const { return copied_ && membership_.find(self_.id); }
-  void finish(vector<std::uint64_t> const& ops, bool ok);
+  void finish(vector<std::uint64_t> const& ops, Result r);
 
   Member self_;
   Times times_;
--- a/consensus/driver.cpp
+++ b/consensus/driver.cpp
@@ -114,12 +114,8 @@
   }
   for (Outcome const& o : b->outcomes) {
     std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(o.op);
-    if (w == waits_.end()) {
-      early_[o.op] = o.ok;
-      continue;
-    }
-    w->second->done = true;
-    w->second->ok = o.ok;
+    if (w == waits_.end()) continue;
+    w->second->result = o.result;
     w->second->timer.cancel();
   }
   if (!b->outcomes.empty() && onChange) onChange();
@@ -130,29 +126,30 @@
   });
 }
 
-Task<bool> Driver::await(std::uint64_t op, Ms limit) {
+Task<std::optional<Result>> Driver::await(std::uint64_t op, Ms limit) {
   std::shared_ptr<Wait> const w = std::make_shared<Wait>(io_);
   w->timer.expires_after(limit);
   waits_[op] = w;
   pump();
-  if (std::map<std::uint64_t, bool>::iterator const e = early_.find(op); e != early_.end()) {
-    w->done = true;
-    w->ok = e->second;
-    early_.erase(e);
-  }
   error_code e;
-  if (!w->done) co_await w->timer.async_wait(asio::redirect_error(asio::use_awaitable, e));
+  if (!w->result) co_await w->timer.async_wait(asio::redirect_error(asio::use_awaitable, e));
   waits_.erase(op);
-  co_return w->ok;
+  co_return w->result;
 }
-Task<bool> Driver::propose(string keyspace, vector<Consensus::Change> changes) {
+Task<Result> Driver::propose(string keyspace, vector<Consensus::Change> changes) {
+  Epoch const epoch = consensus_.epochOf(keyspace);
   std::uint64_t const op = consensus_.propose(keyspace, std::move(changes), Clock::now());
-  bool const ok = co_await await(op, std::chrono::hours(24));
-  if (ok && (keyspace == "configuration" || keyspace == "members")) sendHeartbeats();
-  co_return ok;
+  std::optional<Result> const end = co_await await(op, Ms(settings_.bounds.confirmWithin / 5));
+  Result const r = end.value_or(Result::unknown);
+  // Where a stalled disk or a freeze kept the consensus from ending it, the keyspace is given up here.
+  if (!end && consensus_.epochOf(keyspace) == epoch) consensus_.giveUp(keyspace);
+  pump();
+  if (r == Result::committed && (keyspace == "configuration" || keyspace == "members")) sendHeartbeats();
+  co_return r;
 }
 Task<bool> Driver::confirm(string keyspace, Ms limit) {
-  co_return co_await await(consensus_.confirm(keyspace, Clock::now()), limit);
+  std::optional<Result> const r = co_await await(consensus_.confirm(keyspace, Clock::now()), limit);
+  co_return r == Result::committed;
 }
 
 std::optional<Addr> Driver::ownerOf(string const& keyspace) const {
--- a/consensus/driver.hpp
+++ b/consensus/driver.hpp
@@ -11,10 +11,9 @@
   Driver(asio::io_context& io, Settings const& settings, Rpc& rpc);
   /// Starts heartbeats, founding or joining, and the listeners of the consensus's messages.
   void start(RpcServer& server);
-  /// Has a change on a majority of the disks; false once it is sure that this node won't do so.
-  /// It waits as long as that takes: a change given up on could still come into force later,
-  /// after another was made on what stood before it.
-  Task<bool> propose(string keyspace, vector<Consensus::Change> changes);
+  /// Has a change on a majority of the disks, within a bound. After an unknown end this node has given the
+  /// keyspace up: nothing is built on its old view, and only its next owner knows what came of the change.
+  Task<Result> propose(string keyspace, vector<Consensus::Change> changes);
   /// True once a majority says that this node still owns the keyspace.
   Task<bool> confirm(string keyspace, Ms limit);
   Consensus& consensus() { return consensus_; }
@@ -42,12 +41,13 @@
   struct Wait {
     explicit Wait(asio::io_context& io) : timer(io) {}
     asio::steady_timer timer;
-    bool done = false, ok = false;
+    std::optional<Result> result;
   };
   void pump();
   HeartbeatMessage heartbeatFor(MembershipNumber theirs, bool full);
   void send(std::shared_ptr<Batch> b);
-  Task<bool> await(std::uint64_t op, Ms limit);
+  /// How an operation ended; nothing if it took longer than the limit.
+  Task<std::optional<Result>> await(std::uint64_t op, Ms limit);
   Task<void> tickLoop();
   Task<void> heartbeatLoop();
   Task<void> joinLoop();
@@ -68,7 +68,6 @@
   Consensus consensus_;
   std::unique_ptr<DiskLog> log_;
   std::map<std::uint64_t, std::shared_ptr<Wait>> waits_;
-  std::map<std::uint64_t, bool> early_;
   std::map<Identity, std::pair<HeartbeatMessage, Moment>> others_;
   void sendHeartbeat(string const& ip, HeartbeatMessage const& m);
   std::set<string> awaitingHeartbeat_;  ///< addresses whose answer to a heartbeat is awaited
--- a/consensus/joining.cpp
+++ b/consensus/joining.cpp
@@ -140,8 +140,8 @@
   std::optional<Membership> const g = rule.next(consensus_, q.self, q.leave, now);
   if (!g) co_return false;
   vector<Consensus::Change> cs(1, Consensus::Change{"membership", packed(*g), false});
-  bool const ok = co_await propose("members", std::move(cs));
-  if (!ok || consensus_.membership().no != old) co_return false;
+  Result const r = co_await propose("members", std::move(cs));
+  if (r != Result::committed || consensus_.membership().no != old) co_return false;
   consensus_.install(*g, false);
   tell("consensus", "membership " + std::to_string(g->no.v) + " has " + std::to_string(g->members.size()) + " disks; " +
                         q.self.name + (q.leave ? " left" : " joined"));
--- a/consensus/rounds.cpp
+++ b/consensus/rounds.cpp
@@ -6,15 +6,15 @@
 enum RecordSort { recVote = 1, recAccept = 2 };
 }
 
-void Consensus::finish(vector<std::uint64_t> const& ops, bool ok) {
+void Consensus::finish(vector<std::uint64_t> const& ops, Result r) {
   for (std::uint64_t const op : ops)
-    if (op) out_.outcomes.push_back({op, ok});
+    if (op) out_.outcomes.push_back(Outcome{op, r});
 }
 
 void Consensus::stepDown(Keyspace& s) {
   for (Write const& w : s.writes)
-    if (!w.done) finish({w.op}, false);
-  for (Read const& r : s.reads) finish(r.ops, false);
+    if (!w.done) finish({w.op}, Result::unknown);
+  for (Read const& r : s.reads) finish(r.ops, Result::unknown);
   s.writes.clear();
   s.reads.clear();
   s.behind.clear();
@@ -82,10 +82,46 @@
   }
 }
 
+/// What has waited too long for a majority ends, also where the answers come after all: a process that was
+/// frozen doesn't go on where it stood. A write that ends so costs the ownership.
+void Consensus::expire(Keyspace& s, Moment now) {
+  for (Write const& w : s.writes)
+    if (!w.done && s.phase == Phase::owning && now - w.begun > times_.open) return stepDown(s);
+  while (!s.reads.empty() && now - s.reads.front().begun > times_.open) {
+    finish(s.reads.front().ops, Result::unknown);
+    s.reads.pop_front();
+  }
+}
+
+void Consensus::giveUp(string const& keyspace) {
+  stepDown(keyspaces_[keyspace]);
+}
+
+void Consensus::resend(string const& name, Keyspace& s, Moment now) {
+  for (Write& w : s.writes)
+    if (now - w.sent > times_.again) sendWrite(name, s, w, now);
+  for (Read& r : s.reads)
+    if (now - r.sent > times_.again) sendRead(name, s, r, now);
+}
+
+/// A committed write is kept until all who are up have it, but only so many of them.
+void Consensus::forgetWrites(Keyspace& s, Moment now) {
+  while (!s.writes.empty() && s.writes.front().done) {
+    bool all = true;
+    for (Member const& m : membership_.members) all = all && (s.writes.front().acks.count(m.id) || !alive(m.id, now));
+    if (!all && s.writes.size() < 64) return;
+    s.writes.pop_front();
+  }
+}
+
 void Consensus::tick(Moment now) {
   if (!mayVote()) return;
+  Moment const proven = provenAt(now);
+  bool const lost = proven == Moment() || now - proven > times_.lost;
   for (std::pair<string const, Keyspace>& p : keyspaces_) {
     Keyspace& s = p.second;
+    if (lost && s.phase != Phase::none) stepDown(s);
+    expire(s, now);
     Member const* const w = wanted(p.first, now);
     bool const mine = w && w->id == self_.id && inMajority(now);
     if (s.phase == Phase::none && mine)
@@ -96,16 +132,8 @@
       else if (s.phase == Phase::taking && now - s.sent > times_.again)
         sendVoteRequests(p.first, s, now);
     }
-    for (Write& x : s.writes)
-      if (now - x.sent > times_.again) sendWrite(p.first, s, x, now);
-    for (Read& x : s.reads)
-      if (now - x.sent > times_.again) sendRead(p.first, s, x, now);
-    while (!s.writes.empty() && s.writes.front().done) {
-      bool all = true;
-      for (Member const& m : membership_.members) all = all && (s.writes.front().acks.count(m.id) || !alive(m.id, now));
-      if (!all && s.writes.size() < 64) break;
-      s.writes.pop_front();
-    }
+    resend(p.first, s, now);
+    forgetWrites(s, now);
   }
 }
 
@@ -113,7 +141,7 @@
   Keyspace& s = keyspaces_[keyspace];
   std::uint64_t const op = ++lastOp_;
   if (s.phase != Phase::owning || !mayVote()) {
-    finish({op}, false);
+    finish({op}, Result::notOwner);
     return op;
   }
   Write w;
@@ -121,6 +149,7 @@
   w.first = s.next;
   for (Change& c : cs) w.entries[c.key] = Entry{s.epoch, s.next++, std::move(c.value), c.gone};
   w.last = s.next - 1;
+  w.begun = now;
   s.writes.push_back(std::move(w));
   sendWrite(keyspace, s, s.writes.back(), now);
   return op;
@@ -130,12 +159,13 @@
   Keyspace& s = keyspaces_[keyspace];
   std::uint64_t const op = ++lastOp_;
   if (s.phase != Phase::owning || !mayVote()) {
-    finish({op}, false);
+    finish({op}, Result::notOwner);
     return op;
   }
   Read r;
   r.round = ++lastRound_;
   r.ops.push_back(op);
+  r.begun = now;
   s.reads.push_back(std::move(r));
   sendRead(keyspace, s, s.reads.back(), now);
   return op;
@@ -158,6 +188,7 @@
   if (m.membership != membership_.no || m.to != self_.id || !membership_.find(m.from) || !mayVote()) return;
   Keyspace& s = keyspaces_[m.keyspace];
   s.seen = std::max({s.seen, m.epoch, m.votedEpoch});
+  expire(s, now);
   switch (m.sort) {
     case Message::requestVote:
       onRequestVote(m, s);
@@ -281,7 +312,7 @@
         s.view[e.first] = e.second.value;
     }
     if (w.full) s.phase = Phase::owning;
-    finish({w.op}, true);
+    finish({w.op}, Result::committed);
   }
 }
 
@@ -299,7 +330,7 @@
     if (r->round != m.round) continue;
     r->acks.insert(m.from);
     if (r->acks.size() < membership_.most()) return;
-    finish(r->ops, true);
+    finish(r->ops, Result::committed);
     s.reads.erase(r);
     return;
   }
--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -138,12 +138,20 @@
 Task<CallAnswer> ControlNode::handle(Call c) {
   ForwardCall q{c.verb, c.path, c.head("If-Match"), std::move(c.body), 0};
   CallReply r{404, ""};
-  if (c.path.rfind("/servers/", 0) == 0)
-    r = co_await servers(std::move(q));
-  else if (c.path == "/settings")
-    r = co_await configurationCall(std::move(q));
-  else if (c.path.rfind("/retire/", 0) == 0)
-    r = co_await retire(std::move(q));
+  try {
+    if (c.path.rfind("/servers/", 0) == 0)
+      r = co_await servers(std::move(q));
+    else if (c.path == "/settings")
+      r = co_await configurationCall(std::move(q));
+    else if (c.path.rfind("/retire/", 0) == 0)
+      r = co_await retire(std::move(q));
+  } catch (Error const& x) {
+    // An unknown end of an order is answered "not now": it may be sent again as it was.
+    if (x.kind() != Kind::unclear) throw;
+    CallAnswer a = answerOf(x);
+    a.status = statusOf(Kind::refused);
+    co_return a;
+  }
   co_return CallAnswer{r.status, r.body, "application/json", {}};
 }
 
@@ -189,12 +197,14 @@
 
 /// Hands a call to the owner of a keyspace if that is another node.
 Task<std::optional<CallReply>> ControlNode::elsewhere(string const& keyspace, ForwardCall q) {
-  Moment const until = Clock::now() + Ms(settings_.bounds.confirmWithin / 8);
+  Moment const now = Clock::now();
+  Moment const until = now + Ms(settings_.bounds.confirmWithin / 8),
+               answered = now + Ms(settings_.bounds.confirmWithin / 5);
   while (!driver_.consensus().owns(keyspace)) {
     std::optional<Addr> const o = driver_.ownerOf(keyspace);
     if (o && o->ip != settings_.ip && q.hops < 2) {
       ++q.hops;
-      co_return co_await rpc_.ask(*o, q, Ms(settings_.bounds.confirmWithin / 5));
+      co_return co_await rpc_.ask(*o, q, Ms(leftMs(answered)));
     }
     if (Clock::now() > until) throw Error(Code::noOwner);
     co_await pause(Ms(settings_.bounds.inTouch / 100));
@@ -202,6 +212,14 @@
   co_return std::nullopt;
 }
 
+namespace {
+/// Only a committed change is answered; an unknown end gets no final status.
+void requireCommitted(Result r) {
+  if (r == Result::notOwner) throw Error(Code::noOwner);
+  if (r == Result::unknown) throw Error(Code::noQuorum);
+}
+}  // namespace
+
 Task<CallReply> ControlNode::configurationCall(ForwardCall q) {
   if (q.verb != "PUT" && q.verb != "GET") co_return CallReply{405, ""};
   if (std::optional<CallReply> r = co_await elsewhere("configuration", q)) co_return *r;
@@ -243,7 +261,7 @@
   if (!readNumber(q.ifMatch, on) || on != current) throw Error(Code::lostRace, std::to_string(current));
   if (c->version <= current) throw Error(Code::oldVersion, std::to_string(c->version));
   vector<Consensus::Change> cs(1, Consensus::Change{"current", q.body, false});
-  if (!co_await driver_.propose("configuration", std::move(cs))) throw Error(Code::noQuorum);
+  requireCommitted(co_await driver_.propose("configuration", std::move(cs)));
   driver_.onChange();
   co_return CallReply{200, "{}"};
 }
@@ -261,7 +279,7 @@
       if (s.name != node && !going.count(s.name)) ++left;
     if (left < static_cast<std::size_t>(settings_.surviveMachines) + 1) throw Error(Code::tooFewLeft);
     vector<Consensus::Change> cs(1, Consensus::Change{"retire/" + node, "1", false});
-    if (!co_await driver_.propose("members", std::move(cs))) throw Error(Code::noQuorum);
+    requireCommitted(co_await driver_.propose("members", std::move(cs)));
     tell("control", node + " is to be emptied");
   }
   if (q.verb == "POST") co_return CallReply{200, "{}"};
--- a/lots/lot_coordinator.cpp
+++ b/lots/lot_coordinator.cpp
@@ -51,7 +51,9 @@
 Task<bool> LotCoordinator::save(LotRecord const& r) {
   string const host = r.host, id = r.id, body = packed(r);
   vector<Consensus::Change> cs(1, Consensus::Change{id, body, false});
-  bool const ok = co_await driver_.propose(keyspaceOf(host), std::move(cs));
+  // An unknown end is reported like none: the callers answer with a status that promises nothing.
+  Result const end = co_await driver_.propose(keyspaceOf(host), std::move(cs));
+  bool const ok = end == Result::committed;
   if (ok) soft_[{host, id}].rev = ++rev_;
   co_return ok;
 }
--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -27,7 +27,7 @@
   };
   struct Op {
     bool write = false;
-    std::uint64_t value = 0, floor = 0, node = 0, life = 0, op = 0;
+    std::uint64_t value = 0, floor = 0, node = 0, life = 0, op = 0, mark = 0;
   };
 
   /// Some nodes found the membership; the others, if any, join it.
@@ -79,6 +79,7 @@
   vector<Node>& nodes() { return nodes_; }
   double loss = 0;
   std::uint64_t delay = 0;                             ///< packets come up to so many ms later
+  bool unknownIsRefused = false;                       ///< the broken variant: an unknown end counts as a refusal
   bool datedByArrival = false;                         ///< the broken variant: contact counts from the arrival
   bool syncAtStart = true;                             ///< a start syncs what a killed process left unsynced
   std::set<std::pair<std::size_t, std::size_t>> cuts;  ///< one-way
@@ -149,15 +150,10 @@
     std::map<string, string> const& v = x.consensus->view("configuration");
     std::map<string, string>::const_iterator const c = v.find("current");
     std::uint64_t const value = (c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10)) + 1;
-    Op o{true,
-         value,
-         acked,
-         i,
-         x.life,
-         x.consensus->propose("configuration",
-                              {{"current", std::to_string(value), false},
-                               {"k" + std::to_string(value % 7), std::to_string(value), false}},
-                              now_)};
+    string const mark = std::to_string(++lastMark_);
+    vector<Consensus::Change> const changes{{"current", std::to_string(value), false},
+                                            {"k" + std::to_string(value % 7), mark, false}};
+    Op const o{true, value, acked, i, x.life, x.consensus->propose("configuration", changes, now_), lastMark_};
     writing_.insert(i);
     ops_.push_back(o);
     pump(x);
@@ -174,7 +170,8 @@
     std::map<string, string>::const_iterator const c = v.find("current");
     return c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10);
   }
-  std::uint64_t acked = 0, reads = 0, writes = 0;
+  bool writing(std::size_t i) const { return writing_.count(i) != 0; }
+  std::uint64_t acked = 0, reads = 0, writes = 0, unknown = 0;
   string broken;
 
   /// Nobody's settled view goes back within a life, nor is ahead of what was ever proposed.
@@ -186,6 +183,9 @@
       std::optional<std::map<string, string>> const v = x.consensus->settled("configuration");
       if (!v || !v->count("current")) continue;
       std::uint64_t const n = std::strtoull(v->at("current").c_str(), nullptr, 10);
+      for (std::pair<string const, string> const& p : *v)
+        if (p.first != "current" && refused_.count(std::strtoull(p.second.c_str(), nullptr, 10)))
+          fail("a write that was refused is in force at " + x.self.name);
       if (n < x.seenVersion) fail("a settled view went back at " + x.self.name);
       x.seenVersion = n;
     }
@@ -210,7 +210,7 @@
     if (broken.empty()) broken = s;
   }
   void make(Node& x) {
-    x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)}, x.life);
+    x.consensus = std::make_unique<Consensus>(x.self, times_, x.life);
     x.consensus->know("configuration");
     x.consensus->know("members");
     x.up = true;
@@ -226,7 +226,7 @@
     x.copies.clear();
     x.copied.clear();
     writing_.erase(static_cast<std::size_t>(&x - nodes_.data()));
-    x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)}, x.life);
+    x.consensus = std::make_unique<Consensus>(x.self, times_, x.life);
   }
   void pump(Node& x) {
     Batch b = x.consensus->take();
@@ -359,7 +359,7 @@
     if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.op); c != m.changes.end()) {
       tealshelf::Membership const g = c->second;
       m.changes.erase(c);
-      if (o.ok && m.consensus->membership().no.v + 1 == g.no.v) {
+      if (o.result == Result::committed && m.consensus->membership().no.v + 1 == g.no.v) {
         m.consensus->install(g, false);
         pump(m);
       }
@@ -370,7 +370,9 @@
       Op const op = *i;
       ops_.erase(i);
       if (op.write) writing_.erase(node);
-      if (!o.ok) return;
+      if (o.result == Result::notOwner || (unknownIsRefused && o.result == Result::unknown)) refused_.insert(op.mark);
+      if (op.write) unknown += o.result == Result::unknown;
+      if (o.result != Result::committed) return;
       if (op.write) {
         ++writes;
         if (op.value <= op.floor) fail("a write was acknowledged over an older value");
@@ -408,7 +410,10 @@
   std::uint64_t turn_ = 0, lastIdentity_ = 0;
   std::multimap<Moment, std::function<void()>> net_;
   std::deque<Op> ops_;
+  Consensus::Times times_{Ms(750), Ms(100), Ms(1500), Ms(600)};
   std::set<std::size_t> writing_;
+  std::uint64_t lastMark_ = 0;
+  std::set<std::uint64_t> refused_;  ///< marks of writes that were said never to come into force
   std::map<std::pair<Identity, Identity>, Moment> received_;  ///< when the latest heartbeat that arrived was sent
   Moment ackedAt_;
   std::size_t ackedBy_ = 0;
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -242,3 +242,56 @@
     caught = isolate(s, true, writes).find("acknowledged a newer write") != string::npos;
   CHECK_TEXT(caught, "the old dating was never caught");
 }
+
+namespace {
+std::size_t ownerOf(sim::Cluster& g) {
+  for (std::size_t i = 0; i < g.nodes().size(); ++i)
+    if (g.nodes()[i].up && g.nodes()[i].consensus->owns("configuration")) return i;
+  return g.nodes().size();
+}
+}  // namespace
+
+TEST(consensussim, anOwnerCutOffStepsDownAndItsOpenWriteIsUnknown) {
+  for (std::uint64_t s = 1; s <= seeds(); ++s) {
+    sim::Cluster g(s, 3);
+    g.run(400);
+    std::size_t const owner = ownerOf(g);
+    CHECK(owner < 3);
+    Consensus& c = *g.nodes()[owner].consensus;
+    for (std::size_t j = 0; j < 3; ++j) {
+      if (s % 3 != 1) g.cuts.insert({owner, j});
+      if (s % 3 != 2) g.cuts.insert({j, owner});
+    }
+    std::uint64_t const before = c.epochOf("configuration").n;
+    std::size_t const open = g.unknown;
+    while (!g.writing(owner)) g.write();
+    g.run(130);  // the bound of an open write, and a tick
+    CHECK_EQUAL(open + 1, g.unknown);
+    CHECK_FALSE_TEXT(c.owns("configuration"), "it builds on after an unknown end");
+    g.run(310);
+    CHECK_FALSE(c.owns("members"));
+    CHECK(ownerOf(g) != owner && ownerOf(g) < 3);
+    g.cuts.clear();
+    g.run(600);
+    CHECK(c.inMajority(g.now()));
+    std::size_t const next = ownerOf(g);
+    CHECK(next < 3 && g.nodes()[next].consensus->epochOf("configuration").n > before);
+  }
+}
+
+TEST(consensussim, anUnknownEndTakenForARefusalIsCaught) {
+  bool caught = false;
+  for (std::uint64_t s = 1; s <= 60 && !caught; ++s) {
+    sim::Cluster g(s, 3);
+    g.unknownIsRefused = true;
+    g.run(400);
+    for (int k = 0; k < 6000 && g.broken.empty(); ++k) {
+      g.step();
+      if (g.dice(3) == 0) g.write();
+      if (g.dice(60) == 0) trouble(g);
+      g.check();
+    }
+    caught = g.broken.find("refused is in force") != string::npos;
+  }
+  CHECK_TEXT(caught, "the broken variant was never caught");
+}
