--- a/consensus/consensus.hpp
+++ b/consensus/consensus.hpp
@@ -60,20 +60,41 @@
   bool owned = false;
   MSGPACK_DEFINE(keyspace, epoch, upTo, committed, owned)
 };
+/// A moment of the steady clock of one process; opaque to every other process.
+struct OwnMoment {
+  std::uint64_t life = 0;  ///< of the process, so that no moment outlives it
+  std::int64_t ticks = 0;
+  bool operator==(OwnMoment const&) const = default;
+  MSGPACK_DEFINE(life, ticks)
+};
+/// The latest moment that was received from a member, on its way back to it.
+struct Echo {
+  Identity of;
+  OwnMoment sent;
+  MSGPACK_DEFINE(of, sent)
+};
 /// What a node tells the others of itself.
 struct Heartbeat {
   Member self;
   MembershipNumber membership;
   bool copied = false;
-  vector<Identity> hears;
+  OwnMoment sent;       ///< when this heartbeat was sent, by the sender's clock
+  vector<Echo> echoes;  ///< one for each node that the sender heard lately
   vector<KeyspaceProgress> marks;
-  MSGPACK_DEFINE(self, membership, copied, hears, marks)
+  bool hears(Identity id) const;
+  MSGPACK_DEFINE(self, membership, copied, sent, echoes, marks)
 };
 
+/// How a proposal or a confirmation ended.
+enum class Result {
+  committed,  ///< a majority has it, or has confirmed the ownership
+  notOwner,   ///< nothing was sent: it never comes into force
+  unknown     ///< the ownership ended first: the next one settles whether it is in force
+};
 /// The end of a proposal or of a confirmation.
 struct Outcome {
   std::uint64_t op = 0;
-  bool ok = false;
+  Result result = Result::unknown;
 };
 
 /// What the consensus wants done: records synced first, then messages sent and outcomes told.
@@ -87,14 +108,19 @@
 /// The control state of one node, without any input or output of its own.
 class Consensus {
  public:
+  /// Bounds, as ratios of the settings'.
   struct Times {
-    Ms alive, again;
+    Ms alive;  ///< age of a contact from which on it doesn't count
+    Ms again;  ///< until a message without an answer is sent again
+    Ms lost;   ///< age of the last contact with a majority at which an owner steps down
+    Ms open;   ///< how long a write or a read may wait for a majority
   };
   struct Change {
     string key, value;
     bool gone = false;
   };
-  Consensus(Member self, Times t) : self_(std::move(self)), times_(t) {}
+  /// The number of this process's life must differ from that of every earlier life.
+  Consensus(Member self, Times t, std::uint64_t life) : self_(std::move(self)), times_(t), life_(life) {}
 
   /// Takes back a record of the disk; a bad one throws badMessage.
   void replay(string const& record);
@@ -103,6 +129,8 @@
   void tick(Moment now);
   void receive(Message const& m, Moment now);
   void heard(Heartbeat const& p, Moment now);
+  /// Takes a moment of this node that a peer sent back, with a heartbeat or as the answer to one.
+  void echoed(Identity from, OwnMoment const& sent, Moment now);
   Heartbeat heartbeat(Moment now) const;
   /// Installs a newer membership; copied says that this disk holds all keys.
   void install(Membership const& g, bool copied);
@@ -113,7 +141,11 @@
   /// Makes a keyspace known, so that its wanted owner takes it.
   void know(string const& keyspace);
 
+  /// Has a change made; its end comes with a batch, at the latest when the bound for open writes is over.
+  /// An owner whose write ends as unknown has given the keyspace up: only its takeover tells what is in force.
   std::uint64_t propose(string const& keyspace, vector<Change> changes, Moment now);
+  /// Gives a keyspace up; what is open ends as unknown.
+  void giveUp(string const& keyspace);
   std::uint64_t confirm(string const& keyspace, Moment now);
   Batch take() {
     Batch b = std::move(out_);
@@ -135,10 +167,11 @@
   bool alive(Identity id, Moment now) const;
   /// True if a member runs, holds all keys and knows this membership.
   bool ready(Identity id, Moment now) const;
+  /// When something of a member arrived last; it may have been sent long before.
   Moment lastHeard(Identity id) const;
-  /// When a majority that hears this node, this node included, was heard last.
+  /// The latest moment at which this node sent what a majority, itself included, is known to have received.
   Moment provenAt(Moment now) const;
-  /// True if a majority was heard lately, and says that it hears this node.
+  /// True if that moment lies within the bound. Arrivals prove nothing: they may have been held back.
   bool inMajority(Moment now) const;
   vector<string> keyspaces() const;
 
@@ -147,14 +180,14 @@
     std::uint64_t op = 0, first = 0, last = 0;
     Entries entries;
     std::set<Identity> acks;
-    Moment sent;
+    Moment begun, sent;
     bool full = false, done = false;
   };
   struct Read {
     std::uint64_t round = 0;
     vector<std::uint64_t> ops;
     std::set<Identity> acks;
-    Moment sent;
+    Moment begun, sent;
   };
   enum class Phase { none, taking, writing, owning };
   struct Keyspace {
@@ -175,12 +208,15 @@
     std::map<Identity, std::pair<Moment, Moment>> behind;
   };
   struct Peer {
-    Moment at;
+    Moment at;       ///< of the last arrival
+    Moment contact;  ///< the latest own moment that the peer sent back
     Heartbeat heartbeat;
   };
-  bool mutual(Peer const& p) const;
   void startTakeover(string const& name, Keyspace& s, Moment now);
   void stepDown(Keyspace& s);
+  void expire(Keyspace& s, Moment now);
+  void resend(string const& name, Keyspace& s, Moment now);
+  void forgetWrites(Keyspace& s, Moment now);
   void sendVoteRequests(string const& name, Keyspace& s, Moment now);
   void sendWrite(string const& name, Keyspace& s, Write& w, Moment now);
   void sendRead(string const& name, Keyspace& s, Read& r, Moment now);
@@ -197,10 +233,11 @@
   void record(int sort, string const& keyspace, Epoch e, Message const* m);
   void apply(Keyspace& s, Epoch e, bool full, std::uint64_t prev, std::uint64_t upTo, Entries const& es);
   bool mayVote() const { return copied_ && membership_.find(self_.id); }
-  void finish(vector<std::uint64_t> const& ops, bool ok);
+  void finish(vector<std::uint64_t> const& ops, Result r);
 
   Member self_;
   Times times_;
+  std::uint64_t life_;
   Membership membership_;
   bool copied_ = false;
   std::map<string, Keyspace> keyspaces_;
--- a/control/operator_calls.cpp
+++ b/control/operator_calls.cpp
@@ -93,8 +93,8 @@
   for (OrderHistory::Row const& row : rowsFor(driver_.consensus().view("configuration"), order, decision))
     changes.push_back(Consensus::Change{row.key, row.value, false});
   unsettled_.begin(decision.identity, epoch.n);
-  bool const committed = co_await driver_.propose("configuration", std::move(changes));
-  if (!committed) throw Error(Code::orderOpen);
+  Result const result = co_await driver_.propose("configuration", std::move(changes));
+  if (result != Result::committed) throw Error(Code::orderOpen);
   unsettled_.settle();
   driver_.onChange();
 }
@@ -115,7 +115,8 @@
       if (s.name != node && !going.count(s.name)) ++left;
     if (left < static_cast<std::size_t>(settings_.surviveMachines) + 1) throw Error(Code::tooFewLeft);
     vector<Consensus::Change> changes(1, Consensus::Change{"retire/" + node, "1", false});
-    if (!co_await driver_.propose("members", std::move(changes))) throw Error(Code::orderOpen);
+    Result const result = co_await driver_.propose("members", std::move(changes));
+    if (result != Result::committed) throw Error(Code::orderOpen);
     tell("control", node + " is to be emptied");
   }
   if (q.verb == "POST") co_return CallReply{200, "{}"};
--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -27,7 +27,7 @@
   };
   struct Op {
     bool write = false;
-    std::uint64_t value = 0, floor = 0, node = 0, life = 0, op = 0;
+    std::uint64_t value = 0, floor = 0, node = 0, life = 0, op = 0, mark = 0;
   };
 
   /// Some nodes found the membership; the others, if any, join it.
@@ -78,6 +78,9 @@
   Moment now() const { return now_; }
   vector<Node>& nodes() { return nodes_; }
   double loss = 0;
+  std::uint64_t delay = 0;                             ///< packets come up to so many ms later
+  bool unknownIsRefused = false;                       ///< the broken variant: an unknown end counts as a refusal
+  bool datedByArrival = false;                         ///< the broken variant: contact counts from the arrival
   bool syncAtStart = true;                             ///< a start syncs what a killed process left unsynced
   std::set<std::pair<std::size_t, std::size_t>> cuts;  ///< one-way
 
@@ -147,15 +150,10 @@
     std::map<string, string> const& v = x.consensus->view("configuration");
     std::map<string, string>::const_iterator const c = v.find("current");
     std::uint64_t const value = (c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10)) + 1;
-    Op o{true,
-         value,
-         acked,
-         i,
-         x.life,
-         x.consensus->propose("configuration",
-                              {{"current", std::to_string(value), false},
-                               {"k" + std::to_string(value % 7), std::to_string(value), false}},
-                              now_)};
+    string const mark = std::to_string(++lastMark_);
+    vector<Consensus::Change> const changes{{"current", std::to_string(value), false},
+                                            {"k" + std::to_string(value % 7), mark, false}};
+    Op const o{true, value, acked, i, x.life, x.consensus->propose("configuration", changes, now_), lastMark_};
     writing_.insert(i);
     ops_.push_back(o);
     pump(x);
@@ -178,7 +176,8 @@
     std::map<string, string>::const_iterator const c = v.find("current");
     return c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10);
   }
-  std::uint64_t acked = 0, reads = 0, writes = 0;
+  bool writing(std::size_t i) const { return writing_.count(i) != 0; }
+  std::uint64_t acked = 0, reads = 0, writes = 0, unknown = 0;
   string broken;
 
   /// Nobody's settled view goes back within a life, nor is ahead of what was ever proposed.
@@ -186,20 +185,38 @@
     for (Node& x : nodes_) {
       if (!x.up) continue;
       if (x.consensus->copied() && x.unsynced.empty()) x.whole = true;
+      if (!x.frozen) checkContact(x);
       std::optional<std::map<string, string>> const v = x.consensus->settled("configuration");
       if (!v || !v->count("current")) continue;
       std::uint64_t const n = std::strtoull(v->at("current").c_str(), nullptr, 10);
+      for (std::pair<string const, string> const& p : *v)
+        if (p.first != "current" && refused_.count(std::strtoull(p.second.c_str(), nullptr, 10)))
+          fail("a write that was refused is in force at " + x.self.name);
       if (n < x.seenVersion) fail("a settled view went back at " + x.self.name);
       x.seenVersion = n;
     }
   }
 
  private:
+  /// Who says that it is in touch with a majority has sent what a majority received, within the bound.
+  void checkContact(Node const& x) {
+    if (!x.consensus->inMajority(now_)) return;
+    vector<Moment> truth;
+    for (Member const& m : x.consensus->membership().members)
+      truth.push_back(m.id == x.self.id ? now_ : received_[{x.self.id, m.id}]);
+    std::sort(truth.begin(), truth.end(), std::greater<Moment>());
+    Moment const proof = truth[x.consensus->membership().most() - 1];
+    if (now_ - proof <= Ms(750)) return;
+    std::size_t const i = static_cast<std::size_t>(&x - nodes_.data());
+    bool const overtaken = ackedAt_ > proof && ackedBy_ != i;
+    fail(x.self.name + (overtaken ? " claims a majority while another owner acknowledged a newer write"
+                                  : " claims a majority on an old proof"));
+  }
   void fail(string const& s) {
     if (broken.empty()) broken = s;
   }
   void make(Node& x) {
-    x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)});
+    x.consensus = std::make_unique<Consensus>(x.self, times_, x.life);
     x.consensus->know("configuration");
     x.consensus->know("members");
     x.up = true;
@@ -215,7 +232,7 @@
     x.copies.clear();
     x.copied.clear();
     writing_.erase(static_cast<std::size_t>(&x - nodes_.data()));
-    x.consensus = std::make_unique<Consensus>(x.self, Consensus::Times{Ms(750), Ms(100)});
+    x.consensus = std::make_unique<Consensus>(x.self, times_, x.life);
   }
   void pump(Node& x) {
     Batch b = x.consensus->take();
@@ -246,7 +263,8 @@
   void deliver(std::size_t from, std::size_t to, M m) {
     if (from != to && (cuts.count({from, to}) || std::uniform_real_distribution<>(0, 1)(g_) < loss)) return;
     std::uint64_t const life = nodes_[to].life;
-    Moment const at = now_ + Ms(from == to ? 0 : 1 + dice(loss > 0 ? 60 : 3));
+    Ms const late(delay && from != to ? dice(delay) : 0);
+    Moment const at = now_ + late + Ms(from == to ? 0 : 1 + dice(loss > 0 ? 60 : 3));
     net_.emplace(at, [this, to, life, m = std::move(m)] {
       Node& y = nodes_[to];
       if (!y.up || y.life != life) return;
@@ -261,7 +279,19 @@
     y.consensus->receive(m, now_);
     pump(y);
   }
-  void take(Node& y, Heartbeat const& p) {
+  struct HeartbeatAnswer {
+    Identity from;
+    OwnMoment sent;
+  };
+  void take(Node& y, HeartbeatAnswer const& a) { y.consensus->echoed(a.from, a.sent, now_); }
+  void take(Node& y, Heartbeat p) {
+    Moment& received = received_[{p.self.id, y.self.id}];
+    received = std::max(received, Moment(Moment::duration(p.sent.ticks)));
+    for (std::size_t i = 0; i < nodes_.size(); ++i)
+      if (nodes_[i].self.id == p.self.id && !datedByArrival)
+        deliver(static_cast<std::size_t>(&y - nodes_.data()), i, HeartbeatAnswer{y.self.id, p.sent});
+    for (Echo& e : p.echoes)
+      if (datedByArrival && e.of == y.self.id) e.sent = y.consensus->heartbeat(now_).sent;
     for (Node& x : nodes_)
       if (x.self.id == p.self.id && x.consensus && x.consensus->membership().no > y.consensus->membership().no)
         y.consensus->install(x.consensus->membership(), false);
@@ -332,11 +362,11 @@
   }
   void outcome(std::size_t node, Outcome const& o) {
     Node& m = nodes_[node];
-    if (std::function<void(bool)> const end = std::exchange(begun_[{node, m.life, o.op}], nullptr)) return end(o.ok);
+    if (std::function<void(bool)> const end = std::exchange(begun_[{node, m.life, o.op}], nullptr)) return end(o.result == Result::committed);
     if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.op); c != m.changes.end()) {
       tealshelf::Membership const g = c->second;
       m.changes.erase(c);
-      if (o.ok && m.consensus->membership().no.v + 1 == g.no.v) {
+      if (o.result == Result::committed && m.consensus->membership().no.v + 1 == g.no.v) {
         m.consensus->install(g, false);
         pump(m);
       }
@@ -347,11 +377,15 @@
       Op const op = *i;
       ops_.erase(i);
       if (op.write) writing_.erase(node);
-      if (!o.ok) return;
+      if (o.result == Result::notOwner || (unknownIsRefused && o.result == Result::unknown)) refused_.insert(op.mark);
+      if (op.write) unknown += o.result == Result::unknown;
+      if (o.result != Result::committed) return;
       if (op.write) {
         ++writes;
         if (op.value <= op.floor) fail("a write was acknowledged over an older value");
         acked = std::max(acked, op.value);
+        ackedAt_ = now_;
+        ackedBy_ = node;
       } else {
         ++reads;
         if (value(nodes_[node]) < op.floor) fail("a confirmed read missed an acknowledged write");
@@ -363,9 +397,9 @@
  public:
   void thaw(std::size_t i) {
     nodes_[i].frozen = false;
-    vector<std::pair<std::size_t, std::variant<Message, Heartbeat>>> l;
+    vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> l;
     l.swap(late_);
-    for (std::pair<std::size_t, std::variant<Message, Heartbeat>>& p : l) {
+    for (std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>& p : l) {
       if (p.first != i) {
         late_.push_back(std::move(p));
         continue;
@@ -383,9 +417,15 @@
   std::uint64_t turn_ = 0, lastIdentity_ = 0;
   std::multimap<Moment, std::function<void()>> net_;
   std::deque<Op> ops_;
+  Consensus::Times times_{Ms(750), Ms(100), Ms(1500), Ms(600)};
   std::set<std::size_t> writing_;
   std::map<std::tuple<std::size_t, std::uint64_t, std::uint64_t>, std::function<void(bool)>> begun_;
-  vector<std::pair<std::size_t, std::variant<Message, Heartbeat>>> late_;
+  std::uint64_t lastMark_ = 0;
+  std::set<std::uint64_t> refused_;  ///< marks of writes that were said never to come into force
+  std::map<std::pair<Identity, Identity>, Moment> received_;  ///< when the latest heartbeat that arrived was sent
+  Moment ackedAt_;
+  std::size_t ackedBy_ = 0;
+  vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> late_;
 };
 
 }  // namespace tealshelf::sim
