--- a/configuration/order_decision.cpp
+++ b/configuration/order_decision.cpp
@@ -45,18 +45,11 @@
     return refuse(Verdict::lostRace, Code::lostRace, "version " + std::to_string(current) + " is current");
   if (decision.version <= current) return refuse(Verdict::invalid, Code::oldVersion, std::to_string(decision.version));
   decision.verdict = Verdict::apply;
+  decision.rows.push_back(OrderHistory::Row{currentKey, order.body});
+  decision.rows.push_back(history.append(decision.identity, decision.version));
   return decision;
 }
 
-vector<OrderHistory::Row> rowsFor(std::map<string, string> const& rows, Order const& order, Decision const& decision,
-                                  HistoryShape shape) {
-  OrderHistory const history(rows, currentVersion(rows), shape);
-  vector<OrderHistory::Row> result;
-  result.push_back(OrderHistory::Row{currentKey, order.body});
-  result.push_back(history.append(decision.identity, decision.version));
-  return result;
-}
-
 bool UnsettledOrder::open(std::uint64_t epoch, std::map<string, string> const& rows) {
   if (!order_) return false;
   if (epoch_ != epoch || OrderHistory(rows, currentVersion(rows)).find(*order_)) order_.reset();
--- a/configuration/order_decision.hpp
+++ b/configuration/order_decision.hpp
@@ -19,10 +19,11 @@
 
 struct Decision {
   Verdict verdict = Verdict::invalid;
-  Code code = Code::unreadable;  ///< why an order is refused or left open
-  string detail;                 ///< for the log
-  OrderIdentity identity;        ///< of a readable order
-  std::uint64_t version = 0;     ///< that a valid order brings
+  Code code = Code::unreadable;    ///< why an order is refused or left open
+  string detail;                   ///< for the log
+  OrderIdentity identity;          ///< of a readable order
+  std::uint64_t version = 0;       ///< that a valid order brings
+  vector<OrderHistory::Row> rows;  ///< to write, in one change, for an order that shall be applied
 };
 
 /// Key of the current configuration in its keyspace.
@@ -34,10 +35,6 @@
 /// Judges an order by the committed rows of the configuration's keyspace.
 Decision decide(std::map<string, string> const& rows, Order const& order, HistoryShape shape = HistoryShape());
 
-/// The rows to write, in one change, for an order that shall be applied.
-vector<OrderHistory::Row> rowsFor(std::map<string, string> const& rows, Order const& order, Decision const& decision,
-                                  HistoryShape shape = HistoryShape());
-
 /// Bars decisions while the end of a written order is unknown.
 ///
 /// A write whose end this owner doesn't know may still be committed in its epoch. Until the epoch has passed, or the
--- a/configuration/order_history.cpp
+++ b/configuration/order_history.cpp
@@ -13,15 +13,18 @@
   std::map<std::uint64_t, TakenOrder> read;
   for (std::map<string, string>::const_iterator row = rows.lower_bound(pagePrefix);
        row != rows.end() && row->first.rfind(pagePrefix, 0) == 0; ++row)
-    for (TakenOrder const& order : unpacked<vector<TakenOrder>>(row->second)) read[order.number] = order;
+    for (TakenOrder& order : unpacked<vector<TakenOrder>>(row->second))
+      read.emplace_hint(read.end(), order.number, std::move(order));
   std::uint64_t expected = currentVersion;
-  for (std::map<std::uint64_t, TakenOrder>::const_reverse_iterator order = read.rbegin(); order != read.rend();
-       ++order) {
-    bool const next = orders_.empty() || orders_.begin()->first == order->first + 1;
-    if (order->second.version == expected && next) {
-      orders_.insert(*order);
-      expected = order->second.base;
-    } else if (!orders_.empty()) {
+  while (!read.empty()) {
+    std::map<std::uint64_t, TakenOrder>::iterator const newest = std::prev(read.end());
+    bool const next = orders_.empty() || orders_.begin()->first == newest->first + 1;
+    if (newest->second.version == expected && next) {
+      expected = newest->second.base;
+      orders_.insert(read.extract(newest));
+    } else if (orders_.empty()) {
+      read.erase(newest);
+    } else {
       break;
     }
   }
--- a/control/call_input.cpp
+++ b/control/call_input.cpp
@@ -27,8 +27,9 @@
   if (!(seconds >= 0 && seconds <= mostOverS)) throw Error(Code::badRetirement, "overS out of its range");
 }
 
-Error shownToCaller(Error const& error) {
-  return error.kind() == Kind::unclear ? Error(Code::orderOpen, error.what()) : error;
+Error shownToCaller(Error const& error, CallKind kind) {
+  if (error.kind() != Kind::unclear) return error;
+  return Error(kind == CallKind::read ? Code::unhealthy : Code::orderOpen, error.what());
 }
 
 }  // namespace tealshelf
--- a/control/call_input.hpp
+++ b/control/call_input.hpp
@@ -12,8 +12,10 @@
 /// Throws Code::badRetirement for anything else.
 void checkRetirement(string const& body);
 
+enum class CallKind { read, change };
+
 /// What a caller of the control interface is told: an error that leaves the call's end open becomes a 503, which no
-/// caller takes for final.
-Error shownToCaller(Error const& error);
+/// caller takes for final. A read has no end that could be open; it wasn't served.
+Error shownToCaller(Error const& error, CallKind kind);
 
 }  // namespace tealshelf
--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -146,7 +146,7 @@
 Task<CallReply> ControlNode::servers(ForwardCall q) {
   string const id = idInPath(q.path, "/servers/");
   if (q.verb != "PUT" && q.verb != "DELETE") throw Error(Code::wrongVerb);
-  if (!driver_.healthy()) throw Error(Code::noQuorum);
+  if (!driver_.healthy()) throw Error(Code::unhealthy);
   Worker w;
   if (q.verb == "PUT")
     w = readBeat(id, q.body);
--- a/control/control_node.hpp
+++ b/control/control_node.hpp
@@ -32,7 +32,7 @@
   /// Makes sure that this node owns a keyspace; throws Code::noQuorum otherwise.
   Task<Epoch> confirmOwner(string keyspace, Moment end);
   /// Has the configuration that an order brings on a majority; throws Code::orderOpen if that isn't known.
-  Task<void> commit(Order order, Decision decision, Epoch epoch);
+  Task<void> commit(Decision decision, Epoch epoch);
   Task<CallReply> retire(ForwardCall q);
   Task<std::optional<CallReply>> elsewhere(string const& keyspace, ForwardCall q);
   Task<void> sweepLoop();
--- a/control/operator_calls.cpp
+++ b/control/operator_calls.cpp
@@ -8,12 +8,13 @@
 
 Task<CallAnswer> ControlNode::handle(Call c) {
   ForwardCall q{c.verb, c.path, c.head("If-Match"), std::move(c.body), 0, callBudgetMs()};
+  CallKind const kind = c.verb == "GET" ? CallKind::read : CallKind::change;
   CallAnswer answer;
   try {
     CallReply const reply = co_await route(std::move(q));
     answer = CallAnswer{reply.status, reply.body, "application/json", {}};
   } catch (Error const& error) {
-    answer = answerOf(shownToCaller(error));
+    answer = answerOf(shownToCaller(error, kind));
   }
   if (answer.status == statusOf(Kind::notNow)) answer.heads.emplace_back("Retry-After", retryAfter());
   co_return answer;
@@ -80,7 +81,7 @@
   Order const order{q.ifMatch, std::move(q.body)};
   Decision const decision = decide(rows, order);
   if (decision.verdict == Verdict::apply)
-    co_await commit(order, decision, epoch);
+    co_await commit(decision, epoch);
   else if (decision.verdict != Verdict::acknowledgeAgain) {
     tell("configuration", string("an order was refused: ") + Error(decision.code, decision.detail).what());
     throw Error(decision.code, decision.detail);
@@ -88,10 +89,9 @@
   co_return CallReply{200, "{}"};
 }
 
-Task<void> ControlNode::commit(Order order, Decision decision, Epoch epoch) {
+Task<void> ControlNode::commit(Decision decision, Epoch epoch) {
   vector<Consensus::Change> changes;
-  for (OrderHistory::Row const& row : rowsFor(driver_.consensus().view("configuration"), order, decision))
-    changes.push_back(Consensus::Change{row.key, row.value, false});
+  for (OrderHistory::Row const& row : decision.rows) changes.push_back(Consensus::Change{row.key, row.value, false});
   unsettled_.begin(decision.identity, epoch.n);
   Result const result = co_await driver_.propose("configuration", std::move(changes));
   if (result != Result::committed) throw Error(Code::orderOpen);
--- a/tests/orders_simulation_test.cpp
+++ b/tests/orders_simulation_test.cpp
@@ -152,8 +152,7 @@
       return answer(index, sim::Answer::refused);
     if (decision.verdict != Verdict::apply) return;
     vector<Consensus::Change> changes;
-    for (OrderHistory::Row const& row : rowsFor(rows, order, decision, shape_))
-      changes.push_back({row.key, row.value, false});
+    for (OrderHistory::Row const& row : decision.rows) changes.push_back({row.key, row.value, false});
     owner.busy = true;
     owner.unsettled.begin(decision.identity, epoch);
     std::uint64_t const turn = ++owner.turn;
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -24,7 +24,7 @@
 void apply(Rows& rows, Order const& o, HistoryShape shape = HistoryShape()) {
   Decision const d = decide(rows, o, shape);
   LONGS_EQUAL(static_cast<int>(Verdict::apply), static_cast<int>(d.verdict));
-  for (OrderHistory::Row const& row : rowsFor(rows, o, d, shape)) rows[row.key] = row.value;
+  for (OrderHistory::Row const& row : d.rows) rows[row.key] = row.value;
 }
 /// Rows after the versions 3, 6, 9 and so on.
 Rows after(std::uint64_t changes, HistoryShape shape = HistoryShape()) {
