--- a/consensus/learning.cpp
+++ b/consensus/learning.cpp
@@ -74,8 +74,7 @@
       }
     }
   for (std::pair<string const, Keyspace>& p : keyspaces_) {
-    p.second.applied = Epoch();
-    p.second.upTo = 0;
+    startFrom(p.second, Position(), Entries(p.second.entries));
     recordDump(p.first, p.second);
   }
   copied_ = true;
