--- /dev/null
+++ b/tests/membership_search.hpp
@@ -0,0 +1,399 @@
+#pragma once
+#include "consensus/membership.hpp"
+
+#include <unordered_map>
+
+namespace tealshelf {
+
+/// Reaches into the state machine: the search decides who leads, and knows states by their content.
+struct ConsensusProbe {
+  static Moment now() { return Moment() + std::chrono::hours(10); }
+  static void lead(Consensus& c, string const& keyspace) {
+    if (c.mayVote()) c.startTakeover(keyspace, c.keyspaces_[keyspace], now());
+  }
+  /// Forgets whom it heard, and for how long.
+  static void deafen(Consensus& c) {
+    c.peers_.clear();
+    c.heardOf_.clear();
+    c.awakeSince_ = Moment() + std::chrono::hours(1);
+    c.lastTick_ = now();
+  }
+  static bool holds(Consensus const& c, string const& keyspace, string const& key) {
+    std::map<string, Consensus::Keyspace>::const_iterator const k = c.keyspaces_.find(keyspace);
+    return k != c.keyspaces_.end() && k->second.entries.count(key);
+  }
+  static std::uint64_t hash(Consensus const& c) {
+    msgpack::sbuffer b;
+    for (string const& r : c.snapshot()) msgpack::pack(b, r);
+    msgpack::pack(b, c.out_.records.size());
+    for (std::pair<string const, Consensus::Keyspace> const& p : c.keyspaces_) {
+      Consensus::Keyspace const& k = p.second;
+      msgpack::pack(b, std::make_tuple(static_cast<int>(k.phase), k.epoch, k.seen, k.next, k.committed, k.upTo));
+      for (Identity const& v : k.votes) msgpack::pack(b, v);
+      for (Consensus::Write const& w : k.writes) {
+        msgpack::pack(b, std::make_tuple(w.op, w.last, w.done, w.entries));
+        for (Identity const& v : w.acks) msgpack::pack(b, v);
+      }
+      msgpack::pack(b, k.view);
+    }
+    return hashOf(string(b.data(), b.size()));
+  }
+};
+
+namespace sim {
+
+/// Faults built in on purpose, to show that the search finds them.
+enum class Broken { nothing, learnerVotesAtOnce, leavesAnyTime, comesBackAsBefore, corruptDiskVotes, forgetsFormer };
+
+/// How often each event may happen on a path of the search.
+struct Budget {
+  int writes = 1, changes = 2, leads = 2, crashes = 1, wipes = 0, corruptions = 0, reads = 0, late = 0;
+};
+
+/// A small world of real state machines; every event ends with what it sent delivered, lost or under way.
+class World {
+ public:
+  using Set = unsigned;  ///< of disks, by bits
+  struct Disk {
+    std::shared_ptr<Consensus const> state;
+    std::shared_ptr<vector<string> const> durable;
+    std::map<Identity, std::shared_ptr<DiskCopy const>> copies, learned;
+    MembershipNumber copiesUnder;
+    std::uint64_t hash = 0, stays = 0;
+    bool stale = true;
+  };
+
+  World(std::size_t disks, std::size_t founders, Budget budget, Broken broken) : budget_(budget), broken_(broken) {
+    Membership first;
+    first.no = MembershipNumber(1);
+    for (std::size_t i = 0; i < disks; ++i) {
+      Member const m{Identity(100 + i), "n", "10.0.0." + std::to_string(i), "z", i < founders, true, 0};
+      if (i < founders) first.members.push_back(m);
+      Disk d;
+      d.state = std::make_shared<Consensus>(fresh(m));
+      disks_.push_back(d);
+    }
+    first.former = first.members;
+    for (std::size_t i = 0; i < disks; ++i) {
+      change(i).install(first, i < founders);
+      flush(i, 0);
+    }
+    budget_.leads = 2;
+    lead(0, all(), "configuration");
+    lead(0, all(), "members");
+    flight_.clear();
+    for (std::size_t i = founders; i < disks; ++i)
+      for (std::size_t j = 0; j < first.most(); ++j) disks_[i].learned[id(j)] = copyOf(j);
+    budget_ = budget;
+  }
+
+  string broken;  ///< what rule an event broke; empty if none
+  std::size_t size() const { return disks_.size(); }
+  void allow(Budget b) { budget_ = b; }
+  Set all() const { return (1u << size()) - 1; }
+
+  /// All worlds that one event leads to.
+  template <class Visit>
+  void each(Visit visit) const {
+    auto const tryOut = [&](bool may, auto event) {
+      if (!may) return;
+      World w = *this;
+      if (!event(w)) return;
+      w.check();
+      visit(w);
+    };
+    for (std::size_t k = 0; k < flight_.size(); ++k) tryOut(true, [k](World& w) { return w.late(k); });
+    for (std::size_t i = 0; i < size(); ++i) {
+      Consensus const& c = at(i);
+      for (std::size_t j = 0; j < size(); ++j) {
+        tryOut(at(j).membership().no > c.membership().no, [i, j](World& w) { return w.learn(i, j); });
+        tryOut(i != j && c.isMember() && !c.copied(), [i, j](World& w) { return w.copyFrom(i, j); });
+      }
+      tryOut(budget_.crashes, [i](World& w) { return w.crash(i); });
+      tryOut(budget_.wipes, [i](World& w) { return w.wipe(i); });
+      tryOut(budget_.corruptions && c.isMember(), [i](World& w) { return w.corrupt(i); });
+      for (Set s = 0; s <= all(); ++s)
+        if (!(s & 1u << i)) eachRound(i, s, tryOut);
+    }
+  }
+
+  bool late(std::size_t k) {
+    Message const m = flight_[k];
+    flight_.erase(flight_.begin() + static_cast<std::ptrdiff_t>(k));
+    std::optional<std::size_t> const to = indexOf(m.to), from = indexOf(m.from);
+    if (!to || !from) return false;
+    change(*to).receive(m, ConsensusProbe::now());
+    flush(*to, 1u << *from);
+    return true;
+  }
+  bool lead(std::size_t i, Set reach, string const& keyspace) {
+    if (!at(i).copied() || !spend(budget_.leads)) return false;
+    ConsensusProbe::lead(change(i), keyspace);
+    flush(i, reach);
+    if (at(i).owns("configuration") && keyspace == "configuration") mustKnow(i, acked_, "an owner");
+    return true;
+  }
+  bool write(std::size_t i, Set reach, bool holdReplies) {
+    if (!at(i).owns("configuration") || !spend(budget_.writes)) return false;
+    string const key = "x" + std::to_string(budget_.writes);
+    writes_[change(i).propose("configuration", {{key, "1", false}}, ConsensusProbe::now()) * 16 + i] = key;
+    flush(i, reach, holdReplies ? reach : 0);
+    return true;
+  }
+  bool read(std::size_t i, Set reach) {
+    if (!at(i).owns("configuration") || !spend(budget_.reads)) return false;
+    reads_[change(i).confirm("configuration", ConsensusProbe::now()) * 16 + i] = acked_;
+    flush(i, reach);
+    return true;
+  }
+  /// The disks in reach beat, the others are silent; the owner decides on a wish of disk j.
+  bool changeMembers(std::size_t i, Set reach, std::size_t j, bool leave) {
+    if (!at(i).owns("members") || budget_.changes < 1) return false;
+    if (leave ? !at(i).membership().find(id(j)) : at(j).isMember()) return false;
+    Consensus& c = change(i);
+    ConsensusProbe::deafen(c);
+    if (!leave && at(j).isRetired() && broken_ != Broken::comesBackAsBefore) change(j).comeBack(++disks_[j].stays);
+    for (std::size_t k = 0; k < size(); ++k) {
+      if (k == i || !(reach & 1u << k)) continue;
+      Heartbeat h = at(k).heartbeat(ConsensusProbe::now());
+      for (std::size_t o = 0; o < size(); ++o)
+        if (o == i || reach & 1u << o) h.hears.push_back(id(o));
+      c.heard(h, ConsensusProbe::now());
+    }
+    MembershipPolicy const policy{Ms(3600), 1};
+    MembershipWish const wish{at(j).self(), leave, at(j).membership().no};
+    std::optional<Membership> next = policy.next(c, wish, ConsensusProbe::now());
+    if (!next && leave && broken_ == Broken::leavesAnyTime && c.membership().members.size() > 1 && i != j) {
+      next = c.membership();
+      next->no = MembershipNumber(next->no.v + 1);
+      next->former = c.membership().members;
+      std::erase_if(next->members, [&](Member const& m) { return m.id == id(j); });
+    }
+    if (!next) return false;
+    if (broken_ == Broken::forgetsFormer) next->former.erase(next->former.begin(), next->former.end() - 1);
+    --budget_.changes;
+    std::uint64_t const op = c.propose("members", {{"membership", packed(*next), false}}, ConsensusProbe::now());
+    changes_[op * 16 + i] = *next;
+    flush(i, reach);
+    return true;
+  }
+  /// What a heartbeat brings; it is not synced before this disk sends something.
+  bool learn(std::size_t i, std::size_t j) {
+    if (at(j).membership().no <= at(i).membership().no) return false;
+    change(i).install(at(j).membership(), false);
+    if (broken_ == Broken::learnerVotesAtOnce && at(i).isMember() && !at(i).copied() && !disks_[i].learned.empty()) {
+      vector<DiskCopy> l;
+      for (std::pair<Identity const, std::shared_ptr<DiskCopy const>> const& c : disks_[i].learned)
+        l.push_back(*c.second);
+      change(i).adopt(l);
+    }
+    return true;
+  }
+  bool copyFrom(std::size_t i, std::size_t j) {
+    Membership const g = at(i).membership();
+    if (!at(i).isMember() || at(i).copied()) return false;
+    learn(j, i);
+    std::optional<Member> const source = at(j).copySource();
+    bool const listed = source && std::find(g.former.begin(), g.former.end(), *source) != g.former.end();
+    if (!listed || at(j).membership().no != g.no) return false;
+    flush(j, 0);
+    Disk& d = disks_[i];
+    if (d.copiesUnder != g.no) d.copies.clear();
+    d.copiesUnder = g.no;
+    d.copies[source->id] = copyOf(j);
+    if (d.copies.size() < g.mostFormer()) return true;
+    vector<DiskCopy> l;
+    for (std::pair<Identity const, std::shared_ptr<DiskCopy const>> const& c : d.copies) l.push_back(*c.second);
+    change(i).adopt(l);
+    d.copies.clear();
+    flush(i, 0);
+    return true;
+  }
+  void restart(std::size_t i, Consensus c) {
+    disks_[i].state = std::make_shared<Consensus>(std::move(c));
+    disks_[i].stale = true;
+    disks_[i].copies.clear();
+    disks_[i].learned.clear();
+    std::erase_if(writes_, [i](auto const& w) { return w.first % 16 == i; });
+    std::erase_if(reads_, [i](auto const& r) { return r.first % 16 == i; });
+    std::erase_if(changes_, [i](auto const& c) { return c.first % 16 == i; });
+  }
+  bool crash(std::size_t i) {
+    if (!spend(budget_.crashes)) return false;
+    Consensus c = fresh(at(i).self());
+    for (string const& r : *disks_[i].durable) c.replay(r);
+    restart(i, std::move(c));
+    return true;
+  }
+  bool wipe(std::size_t i) {
+    if (!spend(budget_.wipes)) return false;
+    Member m = at(i).self();
+    m.id = Identity(m.id.v + 1000);
+    m.founder = false;
+    m.stay = 0;
+    restart(i, fresh(m));
+    disks_[i].durable = std::make_shared<vector<string>>();
+    return true;
+  }
+  /// The disk lost all records of keys, and knows that it lost some.
+  bool corrupt(std::size_t i) {
+    if (!spend(budget_.corruptions) || disks_[i].durable->empty()) return false;
+    Consensus c = fresh(at(i).self());
+    c.replay(disks_[i].durable->front());
+    if (broken_ != Broken::corruptDiskVotes) c.loseVote(++disks_[i].stays + 50);
+    restart(i, std::move(c));
+    return true;
+  }
+
+  std::uint64_t hash() {
+    msgpack::sbuffer b;
+    for (Disk& d : disks_) {
+      if (d.stale) d.hash = ConsensusProbe::hash(*d.state) ^ (d.durable ? hashOf(packed(*d.durable)) * 31 : 0);
+      d.stale = false;
+      msgpack::pack(b, std::make_tuple(d.hash, d.copiesUnder, d.stays));
+      for (std::pair<Identity const, std::shared_ptr<DiskCopy const>> const& c : d.copies) msgpack::pack(b, *c.second);
+    }
+    msgpack::pack(b, flight_);
+    msgpack::pack(b, acked_);
+    msgpack::pack(b, std::make_tuple(budget_.writes, budget_.changes, budget_.leads, budget_.crashes, budget_.wipes,
+                                     budget_.corruptions, budget_.reads));
+    return hashOf(string(b.data(), b.size()));
+  }
+
+ private:
+  /// All rounds of messages that disk i may start with some disks in reach.
+  template <class Try>
+  void eachRound(std::size_t i, Set s, Try const& tryOut) const {
+    Consensus const& c = at(i);
+    bool const sense = (s & ~membersOf(i)) == 0;
+    for (string const& k : {string("configuration"), string("members")})
+      tryOut(sense && budget_.leads && c.copied(), [i, s, k](World& w) { return w.lead(i, s, k); });
+    bool const owns = sense && c.owns("configuration");
+    tryOut(owns && budget_.writes, [i, s](World& w) { return w.write(i, s, false); });
+    tryOut(owns && budget_.writes && budget_.late, [i, s](World& w) { return w.write(i, s, true); });
+    tryOut(owns && budget_.reads, [i, s](World& w) { return w.read(i, s); });
+    for (std::size_t j = 0; j < size(); ++j)
+      for (bool const leave : {false, true})
+        tryOut(sense && c.owns("members") && budget_.changes,
+               [i, s, j, leave](World& w) { return w.changeMembers(i, s, j, leave); });
+  }
+  Set membersOf(std::size_t i) const {
+    Set s = 0;
+    for (std::size_t j = 0; j < size(); ++j)
+      if (at(i).membership().find(id(j))) s |= 1u << j;
+    return s;
+  }
+  template <class T>
+  static string packed(T const& x) {
+    msgpack::sbuffer b;
+    msgpack::pack(b, x);
+    return string(b.data(), b.size());
+  }
+  static Consensus fresh(Member const& m) {
+    Consensus c(m, Consensus::Times{Ms(750), Ms(100)});
+    c.know("configuration");
+    c.know("members");
+    return c;
+  }
+  static bool spend(int& n) { return n-- > 0; }
+  std::shared_ptr<DiskCopy const> copyOf(std::size_t j) const { return std::make_shared<DiskCopy>(at(j).dump()); }
+  Identity id(std::size_t i) const { return disks_[i].state->self().id; }
+  Consensus const& at(std::size_t i) const { return *disks_[i].state; }
+  Consensus& change(std::size_t i) {
+    std::shared_ptr<Consensus> const c = std::make_shared<Consensus>(*disks_[i].state);
+    disks_[i].state = c;
+    disks_[i].stale = true;
+    return *c;
+  }
+  std::optional<std::size_t> indexOf(Identity who) const {
+    for (std::size_t i = 0; i < size(); ++i)
+      if (id(i) == who) return i;
+    return std::nullopt;
+  }
+
+  /// Syncs what a disk wrote, then sends: to the disks in reach at once, to others later or never.
+  void flush(std::size_t i, Set reach, Set heldReplies = 0) {
+    Batch b = change(i).take();
+    disks_[i].durable = std::make_shared<vector<string>>(at(i).snapshot());
+    for (Outcome const& o : b.outcomes) ended(i, o);
+    for (Message& m : b.messages) {
+      std::optional<std::size_t> const j = indexOf(m.to);
+      if (!j) continue;
+      if (*j == i || (reach & 1u << *j && !(heldReplies & 1u << i))) {
+        change(*j).receive(m, ConsensusProbe::now());
+        flush(*j, reach | 1u << i, heldReplies);
+      } else if (flight_.size() < static_cast<std::size_t>(budget_.late)) {
+        flight_.push_back(m);
+      }
+    }
+  }
+  void ended(std::size_t i, Outcome const& o) {
+    if (!o.ok) return;
+    if (std::map<std::uint64_t, string>::iterator const w = writes_.find(o.op * 16 + i); w != writes_.end())
+      acked_.insert(w->second);
+    if (std::map<std::uint64_t, std::set<string>>::iterator const r = reads_.find(o.op * 16 + i); r != reads_.end())
+      mustKnow(i, r->second, "a confirmed read");
+    std::map<std::uint64_t, Membership>::iterator const g = changes_.find(o.op * 16 + i);
+    if (g != changes_.end() && at(i).membership().no.v + 1 == g->second.no.v) change(i).install(g->second, false);
+  }
+
+  void mustKnow(std::size_t i, std::set<string> const& keys, string const& who) {
+    for (string const& key : keys)
+      if (!at(i).view("configuration").count(key)) broken = who + " lacks an acknowledged change";
+  }
+  /// Of the newest membership no majority of disks that vote, or would once they learn of it, lacks
+  /// an acknowledged change.
+  void check() {
+    Membership newest;
+    for (Disk const& d : disks_)
+      if (d.state->membership().no > newest.no) newest = d.state->membership();
+    for (string const& key : acked_) {
+      std::size_t lacking = 0;
+      for (std::size_t i = 0; i < size(); ++i) {
+        Member const* const m = newest.find(id(i));
+        bool const votes = m && m->stay == at(i).self().stay && at(i).copied();
+        lacking += votes && !ConsensusProbe::holds(at(i), "configuration", key);
+      }
+      if (lacking >= newest.most()) broken = "a majority that votes lacks an acknowledged change";
+    }
+  }
+
+  Budget budget_;
+  Broken broken_;
+  vector<Disk> disks_;
+  vector<Message> flight_;
+  std::set<string> acked_;
+  std::map<std::uint64_t, string> writes_;
+  std::map<std::uint64_t, std::set<string>> reads_;
+  std::map<std::uint64_t, Membership> changes_;
+};
+
+/// Searches all orders of events up to a depth, each state once.
+class Search {
+ public:
+  explicit Search(std::size_t most) : most_(most) {}
+  std::size_t states() const { return seen_.size(); }
+  bool cut() const { return cut_; }
+  /// What is broken on some path, or nothing.
+  string run(World w, int depth) {
+    int& known = seen_[w.hash()];
+    if (known > depth) return "";
+    known = depth + 1;
+    if (!depth) return "";
+    string found;
+    w.each([&](World const& next) {
+      cut_ = cut_ || seen_.size() >= most_;
+      if (!found.empty() || cut_) return;
+      found = next.broken.empty() ? run(next, depth - 1) : next.broken;
+    });
+    return found;
+  }
+
+ private:
+  std::size_t most_;
+  bool cut_ = false;
+  std::unordered_map<std::uint64_t, int> seen_;
+};
+
+}  // namespace sim
+}  // namespace tealshelf
