--- a/apps/run.cpp
+++ b/apps/run.cpp
@@ -61,7 +61,7 @@
     std::_Exit(0);
   } catch (Error const& x) {
     say(Level::error, "run", x.what());
-    return x.kind() == Kind::badSettings ? 2 : 3;
+    return exitStatusOf(x);
   } catch (std::exception const& x) {
     say(Level::error, "run", x.what());
     return 3;
--- a/base/errors.cpp
+++ b/base/errors.cpp
@@ -93,6 +93,11 @@
   return answerOf(k).reason;
 }
 
+int exitStatusOf(Error const& error) {
+  if (error.code() == Code::unknownFormat) return 4;
+  return error.kind() == Kind::badSettings ? 2 : 3;
+}
+
 Error::Error(Code c, std::string const& more)
     : std::runtime_error("E" + std::to_string(static_cast<int>(c)) + " " + string(lineOf(c).text) +
                          (more.empty() ? "" : ": " + more)),
--- a/base/errors.hpp
+++ b/base/errors.hpp
@@ -94,6 +94,11 @@
 /// Reason phrase of an answer for a kind of error.
 std::string_view reasonOf(Kind k);
 
+class Error;
+/// The status a process ends with on an error at its start: 2 for bad settings, 4 for state files
+/// of an unknown format, 3 for a disk.
+int exitStatusOf(Error const& error);
+
 /// Every error of tealshelf.
 class Error : public std::runtime_error {
  public:
--- a/tests/disk_test.cpp
+++ b/tests/disk_test.cpp
@@ -308,6 +308,7 @@
       code = x.code();
     }
     CHECK(code == Code::unknownFormat);
+    LONGS_EQUAL(4, exitStatusOf(Error(code)));
     CHECK(disk.all() == before);
   }
 }
