--- a/consensus/consensus.cpp
+++ b/consensus/consensus.cpp
@@ -12,8 +12,8 @@
   bool full = false;
   Entries entries;
   Membership membership;
-  bool copied = false;
-  MSGPACK_DEFINE(sort, keyspace, epoch, prev, upTo, full, entries, membership, copied)
+  bool copied = false, lostVote = false;
+  MSGPACK_DEFINE(sort, keyspace, epoch, prev, upTo, full, entries, membership, copied, lostVote)
 };
 string packRecord(Record const& r) {
   msgpack::sbuffer b;
@@ -42,6 +42,7 @@
   if (sort == recMembership) {
     r.membership = membership_;
     r.copied = copied_;
+    r.lostVote = lostVote_;
   }
   out_.records.push_back(packRecord(r));
   out_.sync = true;
@@ -57,6 +58,7 @@
   if (r.sort == recMembership) {
     membership_ = r.membership;
     copied_ = r.copied;
+    lostVote_ = r.lostVote;
     return;
   }
   Keyspace& s = keyspaces_[r.keyspace];
@@ -75,6 +77,7 @@
   g.sort = recMembership;
   g.membership = membership_;
   g.copied = copied_;
+  g.lostVote = lostVote_;
   v.push_back(packRecord(g));
   for (std::pair<string const, Keyspace> const& p : keyspaces_) {
     Record r;
@@ -91,13 +94,14 @@
   if (g.no <= membership_.no && membership_.no.v) return;
   membership_ = g;
   Member const* const me = membership_.find(self_.id);
-  copied_ = me && (copied_ || copied || me->founder);
+  copied_ = me && !lostVote_ && (copied_ || copied || me->founder);
   record(recMembership, "", Epoch(), nullptr);
   for (std::pair<string const, Keyspace>& p : keyspaces_) stepDown(p.second);
 }
 
 void Consensus::markCopied() {
   copied_ = true;
+  lostVote_ = false;
   record(recMembership, "", Epoch(), nullptr);
 }
 
@@ -182,6 +186,13 @@
   return p == peers_.end() ? Moment() : p->second.at;
 }
 
+void Consensus::loseVote() {
+  copied_ = false;
+  lostVote_ = true;
+  record(recMembership, "", Epoch(), nullptr);
+  for (std::pair<string const, Keyspace>& p : keyspaces_) stepDown(p.second);
+}
+
 bool Consensus::abstain(bool abstains) {
   if (abstains_ == abstains) return false;
   abstains_ = abstains;
--- a/consensus/consensus.hpp
+++ b/consensus/consensus.hpp
@@ -132,6 +132,9 @@
   Membership const& membership() const { return membership_; }
   Member const& self() const { return self_; }
   bool copied() const { return copied_; }
+  /// Gives the vote up for good, as records that were synced are lost; markCopied() gives it back.
+  void loseVote();
+  bool lostVote() const { return lostVote_; }
   /// Whether this node gives its keyspaces up and takes none, as its disk takes no writes; true if
   /// that is new.
   bool abstain(bool abstains);
@@ -206,6 +209,7 @@
   Times times_;
   Membership membership_;
   bool copied_ = false, abstains_ = false;
+  bool lostVote_ = false;  ///< records of its disk were lost: no membership makes it vote before it copied
   std::map<string, Keyspace> keyspaces_;
   std::map<Identity, Peer> peers_;
   std::uint64_t lastOp_ = 0, lastRound_ = 0;
--- a/consensus/driver.cpp
+++ b/consensus/driver.cpp
@@ -24,7 +24,8 @@
     for (string const& r : log_->found().records) consensus_.replay(r);
     if (log_->found().torn)
       warn("consensus", "a torn tail of " + std::to_string(log_->found().torn) + " bytes was cut");
-    for (string const& c : log_->found().corrupt) warn("consensus", "a corrupt record was passed over: " + c);
+    for (string const& c : log_->found().corrupt) warn("consensus", "synced records are lost: " + c);
+    if (!log_->found().corrupt.empty()) consensus_.loseVote();
     log_->forget();
   }
   consensus_.know("configuration");
--- a/consensus/joining.cpp
+++ b/consensus/joining.cpp
@@ -39,7 +39,11 @@
 
 Task<bool> Driver::copyAll() {
   Membership const g = consensus_.membership();
-  std::size_t const need = g.oldSize / 2 + 1;
+  std::size_t need = g.oldSize / 2 + 1;
+  // One that lost its vote may have voted in this membership: any majority that it was part of must
+  // share a member with those it copies from.
+  std::size_t const others = g.members.size() - 1;
+  if (consensus_.lostVote()) need = std::max(std::min(need, others), g.members.size() - g.most() + 1);
   struct Gather {
     explicit Gather(asio::io_context& io) : timer(io, Moment::max()) {}
     asio::steady_timer timer;
--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -50,8 +50,8 @@
     nodes_[i].consensus->install(first, true);
     pump(nodes_[i]);
   }
-  bool joins = false;         ///< nodes outside the membership ask to join, new members copy
-  bool keepIdentity = false;  ///< the broken variant: a wiped disk comes back under its old identity, and votes
+  bool joins = false;           ///< nodes outside the membership ask to join, new members copy
+  bool keepIdentity = false;    ///< the broken variant: a wiped disk comes back under its old identity, and votes
   bool speaksUnsynced = false;  ///< the broken variant: what a refusing disk should back is said all the same
   std::int64_t survive = 0;
   /// The disk is lost: the node starts again empty, with a new identity.
@@ -124,6 +124,15 @@
     for (string& r : x.unsynced) x.cached.push_back(r);
     stop(x);
   }
+  bool votesOn = false;  ///< the broken variant: a disk with lost records goes on voting
+  /// Starts a node of whose disk the newest synced records are lost.
+  void startDamaged(std::size_t i) {
+    vector<string>& disk = nodes_[i].disk;
+    disk.resize(disk.size() - std::min(disk.size(), 1 + dice(4)));
+    start(i);
+    if (!votesOn) nodes_[i].consensus->loseVote();
+    pump(nodes_[i]);
+  }
   void start(std::size_t i) {
     Node& x = nodes_[i];
     if (!x.lasting) {
--- a/tests/disk_control_test.cpp
+++ b/tests/disk_control_test.cpp
@@ -4,58 +4,58 @@
 
 using namespace tealshelf;
 
-TEST_GROUP(diskcontrol) {
-  /// The node that owns the configuration; the number of nodes if none does.
-  static std::size_t owner(sim::Cluster & c) {
-    for (std::size_t i = 0; i < c.nodes().size(); ++i)
-      if (c.nodes()[i].consensus->owns("configuration")) return i;
-    return c.nodes().size();
-  }
-  /// Changes that are confirmed while the owner's disk refuses, and again after it is well.
-  struct Outcome {
-    std::uint64_t during = 0, after = 0;
-    std::size_t nextOwner = 0, lastOwner = 0, first = 0;
-    string broken;
-  };
-  static Outcome play(std::uint64_t seed, bool abstains, std::size_t nodes) {
-    sim::Cluster c(seed, nodes);
-    c.run(400);
-    Outcome o;
-    o.first = owner(c);
-    sim::Cluster::Node& x = c.nodes()[o.first];
-    auto const load = [&c, &o](std::size_t steps) {
-      std::uint64_t const before = c.writes;
-      for (std::size_t k = 0; k < steps; ++k) {
-        c.step();
-        if (k % 7 == 0) c.write();
-        if (k % 11 == 0) c.read();
-        c.check();
-      }
-      return c.writes - before;
-    };
-    x.refuses = true;
-    x.consensus->abstain(abstains);
-    load(400);
-    o.during = load(400);
-    o.nextOwner = owner(c);
-    // The process may die before its disk is well; then it starts from what was synced.
-    if (c.dice(2)) {
-      c.power(o.first);
-      c.run(200);
-      c.start(o.first);
+namespace {
+
+/// The node that owns the configuration; the number of nodes if none does.
+std::size_t owner(sim::Cluster& c) {
+  for (std::size_t i = 0; i < c.nodes().size(); ++i)
+    if (c.nodes()[i].consensus->owns("configuration")) return i;
+  return c.nodes().size();
+}
+/// Changes that are confirmed while the owner's disk refuses, and again after it is well.
+struct Refusal {
+  std::uint64_t during = 0, after = 0;
+  std::size_t nextOwner = 0, lastOwner = 0, first = 0;
+  string broken;
+};
+Refusal play(std::uint64_t seed, bool abstains, std::size_t nodes) {
+  sim::Cluster c(seed, nodes);
+  c.run(400);
+  Refusal o;
+  o.first = owner(c);
+  sim::Cluster::Node& x = c.nodes()[o.first];
+  auto const load = [&c, &o](std::size_t steps) {
+    std::uint64_t const before = c.writes;
+    for (std::size_t k = 0; k < steps; ++k) {
+      c.step();
+      if (k % 7 == 0) c.write();
+      if (k % 11 == 0) c.read();
+      c.check();
     }
-    x.refuses = false;
-    x.consensus->abstain(false);
-    load(400);
-    o.after = load(400);
-    o.lastOwner = owner(c);
-    o.broken = c.broken;
-    return o;
+    return c.writes - before;
+  };
+  x.refuses = true;
+  x.consensus->abstain(abstains);
+  load(400);
+  o.during = load(400);
+  o.nextOwner = owner(c);
+  // The process may die before its disk is well; then it starts from what was synced.
+  if (c.dice(2)) {
+    c.power(o.first);
+    c.run(200);
+    c.start(o.first);
   }
-};
+  x.refuses = false;
+  x.consensus->abstain(false);
+  load(400);
+  o.after = load(400);
+  o.lastOwner = owner(c);
+  o.broken = c.broken;
+  return o;
+}
 
 /// Disks that refuse and losses of power at random; what broke, if anything.
-static string roughTimes(std::uint64_t seed, bool speaksUnsynced) {
+string roughTimes(std::uint64_t seed, bool speaksUnsynced) {
   sim::Cluster c(seed, 3);
   c.speaksUnsynced = speaksUnsynced;
   c.run(400);
@@ -80,17 +80,52 @@
   return c.broken;
 }
 
+/// A change is acknowledged by the owner and one other; that one restarts with its newest records
+/// lost, and at once the owner is down and the third is back.
+string damagedDisk(std::uint64_t seed, bool votesOn) {
+  sim::Cluster c(seed, 3);
+  c.votesOn = votesOn;
+  c.joins = true;
+  c.run(400);
+  auto const load = [&c](std::size_t steps) {
+    std::uint64_t const before = c.writes;
+    for (std::size_t k = 0; k < steps; ++k) {
+      c.step();
+      if (k % 5 == 0) c.write();
+      if (k % 11 == 0) c.read();
+      c.check();
+    }
+    return c.writes - before;
+  };
+  std::size_t const first = owner(c), away = (first + 1) % 3, damaged = (first + 2) % 3;
+  c.power(away);
+  load(100);
+  c.power(damaged);
+  c.startDamaged(damaged);
+  c.start(away);
+  c.power(first);
+  load(600);
+  c.start(first);
+  load(800);
+  if (c.broken.empty() && load(400) == 0) return "writes stopped";
+  if (c.broken.empty() && !c.nodes()[damaged].consensus->copied()) return "the damaged disk was not healed";
+  return c.broken;
+}
+}  // namespace
+
+TEST_GROUP(diskcontrol){};
+
 TEST(diskcontrol, aRefusingDiskGivesItsKeyspacesUpAndComesBack) {
   std::size_t stuck = 0;
   for (std::size_t const nodes : {3u, 4u, 5u})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      Outcome const o = play(seed, true, nodes);
+      Refusal const o = play(seed, true, nodes);
       STRCMP_EQUAL("", o.broken.c_str());
       CHECK(o.during > 0);
       CHECK(o.nextOwner != o.first);
       CHECK(o.after > 0);
       LONGS_EQUAL(o.first, o.lastOwner);
-      Outcome const kept = play(seed, false, nodes);
+      Refusal const kept = play(seed, false, nodes);
       stuck += kept.nextOwner == kept.first;
     }
   CHECK_TEXT(stuck > 0, "an owner that keeps its keyspaces with a refusing disk was never caught");
@@ -104,3 +139,30 @@
   }
   CHECK_TEXT(caught > 0, "votes and acks without a sync were never caught");
 }
+
+TEST(diskcontrol, aDiskWithLostRecordsVotesOnlyOnceHealed) {
+  std::size_t caught = 0;
+  for (std::uint64_t seed = 1; seed <= 30; ++seed) {
+    STRCMP_EQUAL("", damagedDisk(seed, false).c_str());
+    caught += !damagedDisk(seed, true).empty();
+  }
+  CHECK_TEXT(caught > 0, "a damaged disk that votes on was never caught");
+}
+
+TEST(diskcontrol, noMembershipGivesALostVoteBack) {
+  Membership first, second;
+  first.no = MembershipNumber(1);
+  first.members = {Member{Identity(1), "a", "10.0.0.1", "z", true, true}};
+  second = first;
+  second.no = MembershipNumber(2);
+  Consensus x(first.members[0], Consensus::Times{Ms(750), Ms(100)}), y = x;
+  x.install(first, true);
+  x.loseVote();
+  for (string const& record : x.snapshot()) y.replay(record);
+  for (Consensus* const c : {&x, &y}) {
+    c->install(second, true);
+    CHECK_FALSE(c->copied());
+    c->markCopied();
+    CHECK(c->copied());
+  }
+}
