--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -166,6 +166,15 @@
     for (string& r : x.unsynced) x.cached.push_back(r);
     stop(x);
   }
+  bool votesOn = false;  ///< the broken variant: a disk with lost records goes on voting
+  /// Starts a node of whose disk the newest synced records are lost.
+  void startDamaged(std::size_t i) {
+    vector<string>& disk = nodes_[i].disk;
+    disk.resize(disk.size() - std::min(disk.size(), 1 + dice(4)));
+    start(i);
+    if (!votesOn) nodes_[i].consensus->loseVote(++lastIdentity_);
+    pump(nodes_[i]);
+  }
   void start(std::size_t i) {
     Node& x = nodes_[i];
     if (!x.lasting) {
