--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -437,7 +437,8 @@
   }
   void outcome(std::size_t node, Outcome const& o) {
     Node& m = nodes_[node];
-    if (std::function<void(bool)> const end = std::exchange(begun_[{node, m.life, o.op}], nullptr)) return end(o.result == Result::committed);
+    if (std::function<void(bool)> const end = std::exchange(begun_[{node, m.life, o.op}], nullptr))
+      return end(o.result == Result::committed);
     if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.op); c != m.changes.end()) {
       tealshelf::Membership const g = c->second;
       m.changes.erase(c);
