--- a/consensus/committed_view.cpp
+++ b/consensus/committed_view.cpp
@@ -1,4 +1,4 @@
-// What a node knows as committed, beside what it has merely accepted, and how members that lag get it.
+// What a node knows as committed, beside what it has merely accepted.
 #include "consensus/consensus.hpp"
 
 namespace tealshelf {
@@ -37,14 +37,14 @@
   if (s.accepted.size() > mostAccepted) foldAccepted(s);
 }
 
-/// A whole state takes the place of all before it. A write that comes again must not take the place of a whole state or
-/// of joined writes that contain it.
+/// A whole state or joined writes take the place of what they contain. A write that comes again must not take the place
+/// of a whole state or of joined writes that contain it.
 void Consensus::keepAccepted(Keyspace& s, Accepted a) {
   std::map<std::uint64_t, Accepted>::const_iterator const next = s.accepted.lower_bound(a.last);
-  bool const contained = next != s.accepted.end() && next->second.prev < a.last;
-  if (contained && (!a.full || next->second.full)) return;
+  if (next != s.accepted.end() && next->second.prev <= a.prev) return;
   std::uint64_t const last = a.last;
-  if (a.full) s.accepted.erase(s.accepted.begin(), s.accepted.lower_bound(last));
+  std::uint64_t const from = a.prev;
+  std::erase_if(s.accepted, [&](auto const& p) { return p.second.prev >= from && p.first < last; });
   s.accepted[last] = std::move(a);
 }
 
@@ -127,54 +127,4 @@
   return i->second.view;
 }
 
-/// A member lags if it doesn't reach what was committed when it was last looked at; under steady writes it
-/// is always a little behind.
-void Consensus::checkLag(KeyspaceProgress const& k, Identity member, Keyspace& s, Moment now) {
-  Lag& l = s.lags[member];
-  bool const follows = k.epoch == s.epoch;
-  if (l.since == Moment() || (follows && k.upTo >= l.target)) {
-    l.since = now;
-    l.target = s.committed;
-    return;
-  }
-  if (now - l.since < 2 * times_.again || now - l.sent < 4 * times_.again) return;
-  if (sendCommitted(k.keyspace, s, member)) l.sent = now;
-}
-
-/// The committed state with the epoch and the tombstones; nothing while this node's own disk lags itself.
-std::optional<Entries> Consensus::committedEntries(Keyspace const& s) const {
-  if (s.applied != s.epoch || s.upTo < s.committed) return std::nullopt;
-  Entries es;
-  for (std::pair<string const, Entry> const& p : s.entries) {
-    if (p.second.seq <= s.committed) {
-      es.insert(p);
-      continue;
-    }
-    // A later write of the key is under way. Where the key isn't there, a tombstone says so: left out,
-    // it could come back from a disk that missed its removal.
-    std::map<string, string>::const_iterator const v = s.view.find(p.first);
-    bool const gone = v == s.view.end();
-    es[p.first] = Entry{s.epoch, s.committed, gone ? "" : v->second, gone};
-  }
-  return es;
-}
-
-bool Consensus::sendCommitted(string const& name, Keyspace& s, Identity to) {
-  std::optional<Entries> es = committedEntries(s);
-  if (!es) return false;
-  Message m;
-  m.sort = Message::accept;
-  m.membership = membership_.no;
-  m.from = self_.id;
-  m.to = to;
-  m.keyspace = name;
-  m.epoch = s.epoch;
-  m.full = true;
-  m.upTo = s.committed;
-  m.committed = s.committed;
-  m.entries = std::move(*es);
-  post(std::move(m));
-  return true;
-}
-
 }  // namespace tealshelf
--- a/consensus/consensus.hpp
+++ b/consensus/consensus.hpp
@@ -46,7 +46,7 @@
 
 /// Messages between the registries of the membership.
 struct Message {
-  enum Sort { requestVote, vote, accept, accepted, confirm, confirmed };
+  enum Sort { requestVote, vote, accept, accepted, confirm, confirmed, piece, pieceTaken };
   int sort = requestVote;
   MembershipNumber membership;
   Identity from, to;
@@ -56,8 +56,10 @@
   bool ok = false, full = false;
   Entries entries;
   std::uint64_t committed = 0;  ///< how far the owner's writes are committed
+  std::uint64_t transfer = 0;   ///< number of the catch-up that a piece belongs to
+  bool last = false;            ///< the last piece
   MSGPACK_DEFINE(sort, membership, from, to, keyspace, epoch, votedEpoch, round, prev, upTo, ok, full, entries,
-                 committed)
+                 committed, transfer, last)
 };
 
 /// How far a keyspace has come at a node; goes round with the heartbeats.
@@ -203,6 +205,21 @@
     bool full = false;
     Entries entries;
   };
+  /// Committed state on its way to a member that lags, one piece at a time: whole, or what follows a position.
+  struct Transfer {
+    std::uint64_t id = 0, prev = 0, upTo = 0, piece = 0;
+    bool full = false;
+    Entries state;
+    string from, next;  ///< the keys that the piece under way and the one after it begin with
+    bool last = false;
+    Moment sent;
+  };
+  /// The pieces of a transfer that came so far; in memory only, so that a restart begins anew.
+  struct Incoming {
+    std::uint64_t id = 0, next = 0;
+    Epoch epoch;
+    Entries entries;
+  };
   /// What a member was still to reach when it was seen to lag.
   struct Lag {
     Moment since, sent;
@@ -227,6 +244,10 @@
     Epoch acceptedEpoch;
     std::map<std::uint64_t, Accepted> accepted;  ///< what isn't in the view yet, by the last position
     std::map<Identity, Lag> lags;
+    std::map<Identity, Transfer> transfers;
+    Incoming incoming;
+    std::deque<Write> recent;  ///< committed writes that all who are up have, for those who come back
+    std::size_t recentBytes = 0;
   };
   struct Peer {
     Moment at;       ///< of the last arrival
@@ -262,7 +283,13 @@
   bool isWhole(Keyspace const& s) const;
   void checkLag(KeyspaceProgress const& k, Identity member, Keyspace& s, Moment now);
   std::optional<Entries> committedEntries(Keyspace const& s) const;
-  bool sendCommitted(string const& name, Keyspace& s, Identity to);
+  std::optional<Entries> changesAfter(Keyspace const& s, std::uint64_t upTo) const;
+  void startTransfer(string const& name, Keyspace& s, KeyspaceProgress const& k, Identity to, Moment now);
+  void sendPiece(string const& name, Keyspace& s, Transfer& t, Identity to, Moment now);
+  void remember(Keyspace& s, Write w);
+  void onPiece(Message const& m, Keyspace& s);
+  void onPieceTaken(Message const& m, Keyspace& s, Moment now);
+  void acceptWrites(Message const& m, Keyspace& s);
   bool mayVote() const { return copied_ && membership_.find(self_.id); }
   void finish(vector<std::uint64_t> const& ops, Result r);
 
--- a/consensus/rounds.cpp
+++ b/consensus/rounds.cpp
@@ -18,6 +18,9 @@
   s.writes.clear();
   s.reads.clear();
   s.lags.clear();
+  s.transfers.clear();
+  s.recent.clear();
+  s.recentBytes = 0;
   s.phase = Phase::none;
 }
 
@@ -111,6 +114,7 @@
     bool all = true;
     for (Member const& m : membership_.members) all = all && (s.writes.front().acks.count(m.id) || !alive(m.id, now));
     if (!all && s.writes.size() < 64) return;
+    remember(s, std::move(s.writes.front()));
     s.writes.pop_front();
   }
 }
@@ -182,6 +186,7 @@
   r.epoch = m.epoch;
   r.round = m.round;
   r.upTo = m.upTo;
+  r.transfer = m.transfer;
   return r;
 }
 
@@ -209,6 +214,12 @@
     case Message::confirmed:
       onConfirmed(m, s);
       break;
+    case Message::piece:
+      onPiece(m, s);
+      break;
+    case Message::pieceTaken:
+      onPieceTaken(m, s, now);
+      break;
     default:
       break;
   }
@@ -259,14 +270,19 @@
   sendWrite(m.keyspace, s, s.writes.back(), now);
 }
 
+/// Takes what the owner wrote, under its epoch.
+void Consensus::acceptWrites(Message const& m, Keyspace& s) {
+  if (s.epoch < m.epoch && s.phase != Phase::none) stepDown(s);
+  s.votedEpoch = m.epoch;
+  record(recAccept, m.keyspace, m.epoch, &m);
+  apply(s, m.epoch, m.full, m.prev, m.upTo, m.entries);
+  advanceView(s, Position{m.epoch, m.committed});
+}
+
 void Consensus::onAccept(Message const& m, Keyspace& s) {
   Message r = reply(m, Message::accepted);
   if (m.epoch >= s.votedEpoch) {
-    if (s.epoch < m.epoch && s.phase != Phase::none) stepDown(s);
-    s.votedEpoch = m.epoch;
-    record(recAccept, m.keyspace, m.epoch, &m);
-    apply(s, m.epoch, m.full, m.prev, m.upTo, m.entries);
-    advanceView(s, Position{m.epoch, m.committed});
+    acceptWrites(m, s);
     r.ok = true;
   }
   r.votedEpoch = s.votedEpoch;
--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -171,6 +171,14 @@
     std::map<string, string>::const_iterator const c = v.find("current");
     return c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10);
   }
+  /// Gives the owner of the configuration many keys at once.
+  void fill(std::size_t i, std::size_t keys, std::size_t bytes) {
+    vector<Consensus::Change> cs;
+    for (std::size_t k = 0; k < keys; ++k) cs.push_back({"f" + std::to_string(k), string(bytes, 'x'), false});
+    nodes_[i].consensus->propose("configuration", cs, now_);
+    pump(nodes_[i]);
+  }
+  std::size_t pieces = 0, largestPiece = 0;
   bool writing(std::size_t i) const { return writing_.count(i) != 0; }
   std::uint64_t acked = 0, reads = 0, writes = 0, unknown = 0;
   string broken;
@@ -249,6 +257,13 @@
   }
   void send(Node& x, Batch b) {
     std::size_t const from = static_cast<std::size_t>(&x - nodes_.data());
+    for (Message const& m : b.messages) {
+      if (m.sort != Message::piece) continue;
+      msgpack::sbuffer packed;
+      msgpack::pack(packed, m);
+      ++pieces;
+      largestPiece = std::max(largestPiece, packed.size());
+    }
     for (Message& m : b.messages)
       for (std::size_t j = 0; j < nodes_.size(); ++j)
         if (nodes_[j].self.id == m.to) deliver(from, j, std::move(m));
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -352,3 +352,39 @@
   std::uint64_t writes = 0;
   for (std::uint64_t s = 1; s <= 6; ++s) CHECK(underWrites(s, true, writes).find("no view") != string::npos);
 }
+
+TEST(consensussim, aMemberThatLagsIsCaughtUpInPiecesWhileWritesGoOn) {
+  for (std::uint64_t s = 1; s <= 4; ++s) {
+    sim::Cluster g(s, 4);
+    g.run(600);
+    std::size_t const owner = ownerOf(g), away = (owner + 1) % 4;
+    g.fill(owner, 3000, 200);
+    g.run(100);
+    g.loss = s % 2 ? 0.05 : 0;
+    // The first time away is short, the second long; the third ends in the middle of the pieces.
+    for (int const steps : {60, 3000, 30, 600}) {
+      g.kill(away);
+      if (steps == 3000) g.fill(owner, 3000, 200);
+      for (int k = 0; k < steps; ++k) {
+        g.write();
+        g.step();
+      }
+      g.start(away);
+      std::size_t const before = g.pieces;
+      for (int k = 0; k < (steps == 30 ? 110 : 900); ++k) {
+        g.write();
+        g.step();
+        if (k % 50 == 0) g.check();
+      }
+      if (steps == 60 && !g.loss) CHECK_TEXT(g.pieces - before < 4, "a short time away costs the whole state");
+    }
+    CHECK(g.pieces > 10);
+    CHECK_TEXT(g.largestPiece < 100000, "a piece is over its bound");
+    g.loss = 0;
+    g.run(400);
+    STRCMP_EQUAL("", g.broken.c_str());
+    std::map<string, string> const v = g.nodes()[owner].consensus->view("configuration");
+    CHECK(v.size() > 3000 && g.nodes()[owner].consensus->owns("configuration"));
+    CHECK_TEXT(g.nodes()[away].consensus->settled("configuration") == v, "the member that was away lags");
+  }
+}
