--- a/consensus/driver.hpp
+++ b/consensus/driver.hpp
@@ -54,10 +54,15 @@
   Task<void> heartbeatLoop();
   Task<void> joinLoop();
   bool mayJoin() const;
+  /// A membership never shrinks below this.
+  std::size_t leastMembers() const {
+    return std::max<std::size_t>(3, MembershipPolicy::needed(settings_.surviveMachines));
+  }
   Task<bool> found();
   Task<bool> copyAll();
   Task<CopyReply> copyFor(CopyAll const& q);
-  Task<void> askToJoin();
+  Task<bool> askToJoin();
+  Task<void> askToLeave();
   Task<void> removeSilent();
   Task<bool> joined(JoinRequest q);
   Task<bool> changeMembership(JoinRequest const& q);
--- a/consensus/joining.cpp
+++ b/consensus/joining.cpp
@@ -125,7 +125,8 @@
 }
 
 /// Asks the members, and the seeds, for a place as a member; first copies all keys as a learner.
-Task<void> Driver::askToJoin() {
+/// True if it was promoted.
+Task<bool> Driver::askToJoin() {
   if (consensus_.isRetired()) consensus_.comeBack(randomId());
   if (prefetchedUnder_ != consensus_.membership().no) co_await copyAll();
   JoinRequest ask;
@@ -138,22 +139,42 @@
     if (ip == settings_.ip) continue;
     try {
       Done const r = co_await rpc_.ask(at(ip), ask, Ms(settings_.bounds.inTouch / 2));
-      if (r.ok) co_return;
+      if (r.ok) co_return true;
     } catch (Error const&) {
     }
   }
+  co_return false;
+}
+
+/// A node that leaves asks to be taken out at once if the others bear too few losses while it counts.
+Task<void> Driver::askToLeave() {
+  Moment const now = Clock::now();
+  if (consensus_.membership().members.size() <= leastMembers()) co_return;
+  if (!MembershipPolicy::isTight(consensus_, id_, settings_.surviveMachines, now)) co_return;
+  std::optional<Addr> const owner = ownerOf("members");
+  if (!owner || owner->ip == settings_.ip) co_return;
+  JoinRequest ask;
+  ask.self = consensus_.self();
+  ask.leave = true;
+  try {
+    co_await rpc_.ask(*owner, ask, Ms(settings_.bounds.inTouch / 2));
+  } catch (Error const&) {
+  }
 }
 
 Task<void> Driver::joinLoop() {
   for (;;) {
     bool const in = consensus_.isMember();
+    bool promoted = false;
     if (!consensus_.membership().no.v) {
       co_await found();
       pump();
       sendHeartbeats();
     } else if (!in && !leaving_ && mayJoin()) {
-      co_await askToJoin();
+      promoted = co_await askToJoin();
       pump();
+    } else if (in && leaving_) {
+      co_await askToLeave();
     } else if (in && !consensus_.copied()) {
       co_await copyAll();
       pump();
@@ -166,7 +187,9 @@
                               " is too small to bear the loss of " + std::to_string(settings_.surviveMachines) +
                               " machines");
     }
-    co_await pause(Ms(settings_.bounds.inTouch / (in && consensus_.copied() ? 10 : 30)));
+    // Promoted, it has no vote until it copied what is missing: the membership comes at once.
+    int const share = promoted ? 300 : consensus_.isMember() && consensus_.copied() ? 10 : 30;
+    co_await pause(Ms(settings_.bounds.inTouch / share));
   }
 }
 
@@ -195,8 +218,7 @@
 Task<bool> Driver::changeMembership(JoinRequest const& q) {
   Moment const now = Clock::now();
   MembershipNumber const old = consensus_.membership().no;
-  MembershipPolicy const rule{MembershipPolicy::deadAfterFor(settings_.bounds),
-                              std::max<std::size_t>(3, MembershipPolicy::needed(settings_.surviveMachines))};
+  MembershipPolicy const rule{MembershipPolicy::deadAfterFor(settings_.bounds), leastMembers()};
   MembershipWish const wish{q.self, q.leave, q.copiedUnder};
   std::optional<Membership> const g = rule.next(consensus_, wish, now);
   if (!g) co_return false;
@@ -226,13 +248,15 @@
   }
 }
 
-/// Takes out a member that is gone for good, where the membership is larger than it must be.
+/// Takes out a member that is gone for good, where the membership is larger than it must be; sooner if
+/// those who are left bear too few losses while it counts.
 Task<void> Driver::removeSilent() {
   Moment const now = Clock::now();
-  std::size_t const least = std::max<std::size_t>(3, MembershipPolicy::needed(settings_.surviveMachines));
-  if (consensus_.membership().members.size() <= least || changing_) co_return;
+  if (consensus_.membership().members.size() <= leastMembers() || changing_) co_return;
   for (Member const& m : vector<Member>(consensus_.membership().members)) {
-    if (consensus_.silentFor(m.id, now) <= Ms(2 * settings_.bounds.catchUp)) continue;
+    bool const tight = MembershipPolicy::isTight(consensus_, m.id, settings_.surviveMachines, now);
+    Ms const limit = tight ? MembershipPolicy::deadAfterFor(settings_.bounds) : Ms(2 * settings_.bounds.catchUp);
+    if (consensus_.silentFor(m.id, now) <= limit) continue;
     JoinRequest ask;
     ask.self = m;
     ask.hops = 9;
--- a/consensus/membership.cpp
+++ b/consensus/membership.cpp
@@ -69,6 +69,13 @@
   return disks == g.members.size() && disks >= needed(survive);
 }
 
+bool MembershipPolicy::isTight(Consensus const& consensus, Identity without, std::int64_t survive, Moment now) {
+  Membership const& g = consensus.membership();
+  std::size_t inTouch = 0;
+  for (Member const& m : g.members) inTouch += m.id != without && consensus.alive(m.id, now);
+  return inTouch < g.most() + static_cast<std::size_t>(survive);
+}
+
 std::optional<Membership> MembershipPolicy::next(Consensus const& consensus, MembershipWish const& wish,
                                                  Moment now) const {
   Membership const& old = consensus.membership();
--- a/consensus/membership.hpp
+++ b/consensus/membership.hpp
@@ -28,6 +28,8 @@
   static std::size_t needed(std::int64_t survive) { return static_cast<std::size_t>(2 * survive + 1); }
   /// True if a membership bears so many losses: enough members, all with disks.
   static bool bears(Membership const& g, std::int64_t survive);
+  /// True if the members in touch, without one, don't bear so many losses as long as that one counts.
+  static bool isTight(Consensus const& consensus, Identity without, std::int64_t survive, Moment now);
   /// For how long a member must be silent before another may have its place: as long as the deployment
   /// gives a successor to catch up, less what it takes to promote one.
   static Ms deadAfterFor(Bounds const& b) { return Ms(std::max(b.inTouch / 2, b.catchUp - b.inTouch / 2)); }
--- a/tests/learner_test.cpp
+++ b/tests/learner_test.cpp
@@ -106,6 +106,23 @@
   }
 }
 
+TEST(learner, aMembershipIsTightIfTheRestBearsTooFewLosses) {
+  struct Case {
+    std::size_t disks;
+    std::int64_t survive;
+    bool tight;
+  };
+  for (Case const& c : {Case{3, 1, true}, Case{4, 1, true}, Case{5, 1, false}, Case{7, 2, false}, Case{8, 2, false},
+                        Case{6, 2, true}}) {
+    sim::Cluster g(965, c.disks);
+    g.run(400);
+    g.kill(1);
+    g.run(400);
+    bool const tight = MembershipPolicy::isTight(*g.nodes()[0].consensus, g.nodes()[1].self.id, c.survive, g.now());
+    CHECK_EQUAL_TEXT(c.tight, tight, std::to_string(c.disks).c_str());
+  }
+}
+
 TEST(learner, anOwnerThatSleptHoldsNobodyForDead) {
   sim::Cluster g(960, 4, false, 3);
   foundThree(g);
