--- a/lots/lot_coordinator.cpp
+++ b/lots/lot_coordinator.cpp
@@ -14,12 +14,8 @@
   s.on<StoreFence>([this](StoreFence q) { return fence(std::move(q)); });
   s.on<RelyCount>([this](RelyCount q) -> Task<RelyCountReply> {
     if (std::optional<RelyCountReply> r = co_await elsewhere(q.host, q)) co_return *r;
-    if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
-    RelyCountReply n;
-    for (std::pair<string const, string> const& p : driver_.consensus().view(keyspaceOf(q.host)))
-      for (StoreRef const& h : unpacked<LotRecord>(p.second).holders)
-        if (h.name == q.store) ++n.lots;
-    co_return n;
+    std::uint64_t const lots = co_await relying(q.host, q.store);
+    co_return RelyCountReply{lots};
   });
   spawn(io_, "lot upkeep", maintain());
 }
@@ -96,7 +92,7 @@
   });
   for (int pass = 0; pass < 2; ++pass)
     for (StoreRef const& s : live) {
-      bool used = bar.count(s.id) || leaving.count(s.name), near = false;
+      bool used = bar.count(s.id) || leaving.count(s.name) || barred_.count(s.name), near = false;
       for (StoreRef const& h : have) {
         used = used || h.id == s.id || h.name == s.name;
         near = near || h.zone == s.zone;
@@ -143,8 +139,8 @@
       std::uint64_t const done = s == soft_.end() ? 0 : s->second.doneTokens;
       waiting += o.tokens > done ? o.tokens - done : 0;
     }
-    for (std::pair<Key const, std::pair<string, std::uint64_t>> const& p : opening_)
-      if (p.first != k && p.second.first == r.route) waiting += p.second.second;
+    for (std::pair<Key const, Opening> const& p : opening_)
+      if (p.first != k && p.second.route == r.route) waiting += p.second.tokens;
     if (waiting + r.tokens > q.most) throw Error(Code::lotOverQuota, std::to_string(waiting));
   }
   r.holders = choose(r.id, std::set<Identity>(q.bar.begin(), q.bar.end()), {}, needed() + 1, Clock::now());
@@ -152,7 +148,7 @@
   r.state = static_cast<int>(LotState::taking);
   r.stamp = fresh(r.host);
   soft_[k].opened = Clock::now();
-  opening_[k] = {r.route, r.tokens};
+  opening_[k] = {r.route, r.tokens, Clock::now()};
   bool const saved = co_await save(r);
   opening_.erase(k);
   if (!saved) throw Error(Code::noQuorum);
--- a/lots/lot_coordinator.hpp
+++ b/lots/lot_coordinator.hpp
@@ -28,8 +28,14 @@
     std::uint64_t rev = 0, doneTokens = 0, done = 0;
     std::set<Identity> bad;
     Moment badAt, tried, opened;
+    Moment began;  ///< when the recovery that is at work began
     bool resettle = false, busy = false, locked = false;
   };
+  struct Opening {
+    string route;
+    std::uint64_t tokens = 0;
+    Moment began;
+  };
   using Key = std::pair<string, string>;
 
   Task<LotOpenReply> open(LotOpen q);
@@ -54,6 +60,7 @@
   Task<bool> fenceAt(Identity store);
   Task<void> maintain();
   bool unfit(LotRecord const& r, Soft const& s, Moment now) const;
+  Task<std::uint64_t> relying(string host, string store);
   Task<void> reshape(LotRecord r);
   Task<void> reshapeNow(LotRecord r);
 
@@ -69,7 +76,8 @@
   std::map<string, Epoch> ownedSince_;
   std::map<string, Moment> ownedAt_;
   std::size_t busy_ = 0;
-  std::map<Key, std::pair<string, std::uint64_t>> opening_;  ///< route and tokens of lots whose record is being written
+  std::map<Key, Opening> opening_;   ///< lots whose record is being written
+  std::map<string, Moment> barred_;  ///< stores asked about before they go, since when nothing new is put there
 };
 
 }  // namespace tealshelf
--- a/lots/reshape.cpp
+++ b/lots/reshape.cpp
@@ -1,4 +1,5 @@
 #include "lots/lot_coordinator.hpp"
+#include "lots/replica_rules.hpp"
 
 namespace tealshelf {
 
@@ -64,6 +65,7 @@
         Soft& s = soft_[{l.host, l.id}];
         if (s.busy) continue;
         s.busy = true;
+        s.began = Clock::now();
         ++busy_;
         spawn(io_, "reshape", reshape(std::move(l)));
       }
@@ -119,7 +121,8 @@
     } catch (Error const&) {
     }
   }
-  if (good.empty()) co_return;
+  vector<StoreRef> const possible = choose(r.id, bad, good, needed(), now);
+  if (good.empty() || possible.size() < std::min(needed(), r.holders.size())) co_return;
   // Only a node that still owns the keyspace, under the epoch it began with, may give a stamp.
   if (!driver_.consensus().owns(keyspaceOf(r.host)) || driver_.consensus().epochOf(keyspaceOf(r.host)) != epoch)
     co_return;
@@ -150,7 +153,10 @@
     } catch (Error const&) {
     }
   }
-  n.holders = stay.size() >= needed() ? stay : kept;
+  n.holders = holdersAfter(kept, stay, needed());
+  // The record never names fewer than survive a loss, unless it did: the stores that are away may
+  // come back with the other copies, and nothing could be listed with one copy anyway.
+  if (n.holders.size() < std::min(needed(), r.holders.size())) co_return;
   if (!co_await save(n)) co_return;
   soft.bad.clear();
   soft.resettle = false;
@@ -159,23 +165,4 @@
   tell("stamps", text);
 }
 
-Task<std::uint64_t> LotCoordinator::reliesOn(string store) {
-  std::uint64_t n = 0;
-  for (string const& keyspace : driver_.consensus().keyspaces()) {
-    if (keyspace.rfind("lots/", 0) != 0) continue;
-    RelyCount const q{keyspace.substr(5), store, 0};
-    if (driver_.consensus().owns(keyspace)) {
-      if (!co_await driver_.confirm(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
-      for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace))
-        for (StoreRef const& h : unpacked<LotRecord>(p.second).holders)
-          if (h.name == store) ++n;
-      continue;
-    }
-    std::optional<Addr> const o = driver_.ownerOf(keyspace);
-    if (!o) throw Error(Code::noOwner);
-    n += (co_await rpc_.ask(*o, q, Ms(settings_.bounds.inTouch / 3))).lots;
-  }
-  co_return n;
-}
-
 }  // namespace tealshelf
--- /dev/null
+++ b/lots/retirement.cpp
@@ -0,0 +1,62 @@
+#include "lots/lot_coordinator.hpp"
+#include "lots/replica_rules.hpp"
+
+namespace tealshelf {
+
+/// How many lots of a keyspace that this node owns still need a store. From the question on nothing
+/// new is put there.
+Task<std::uint64_t> LotCoordinator::relying(string host, string store) {
+  string const keyspace = keyspaceOf(host);
+  Moment const barred = barred_.try_emplace(store, Clock::now()).first->second;
+  if (!co_await driver_.confirm(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+  std::uint64_t count = 0;
+  std::map<Identity, SegConfirm> questions;
+  std::map<Identity, Addr> places;
+  for (std::pair<Key const, Opening> const& p : opening_)
+    if (p.first.first == host) count += p.second.began <= barred;
+  for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace)) {
+    LotRecord const lot = unpacked<LotRecord>(p.second);
+    // A recovery that began before may still name the store.
+    Soft const& soft = soft_[{host, lot.id}];
+    count += namesStore(lot, store) || (soft.busy && soft.began <= barred);
+    for (StoreRef const& h : lot.holders) {
+      questions[h.id].replicas.push_back({lot.host, lot.id, lot.stamp});
+      places[h.id] = h.at;
+    }
+  }
+  if (count) co_return count;
+  ConfirmedReplicas confirmed;
+  for (std::pair<Identity const, SegConfirm> const& q : questions) {
+    try {
+      SegConfirmReply const answer = co_await rpc_.ask(places[q.first], q.second, Ms(settings_.bounds.inTouch / 4));
+      confirmed.add(q.first, q.second, answer);
+    } catch (Error const& x) {
+      say(Level::debug, "lots", x.what());
+    }
+  }
+  // Records may have changed while the stores were asked.
+  if (!co_await driver_.confirm(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+  for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace))
+    count += !freeOf(unpacked<LotRecord>(p.second), store, confirmed, needed());
+  co_return count;
+}
+
+Task<std::uint64_t> LotCoordinator::reliesOn(string store) {
+  std::uint64_t count = 0;
+  for (string const& keyspace : driver_.consensus().keyspaces()) {
+    if (keyspace.rfind("lots/", 0) != 0) continue;
+    string const host = keyspace.substr(5);
+    if (driver_.consensus().owns(keyspace)) {
+      count += co_await relying(host, store);
+      continue;
+    }
+    std::optional<Addr> const owner = driver_.ownerOf(keyspace);
+    if (!owner) throw Error(Code::noOwner);
+    RelyCount const question{host, store, 0};
+    RelyCountReply const answer = co_await rpc_.ask(*owner, question, Ms(settings_.bounds.inTouch));
+    count += answer.lots;
+  }
+  co_return count;
+}
+
+}  // namespace tealshelf
--- a/lots/store_node.cpp
+++ b/lots/store_node.cpp
@@ -19,7 +19,8 @@
   meanRun_ = static_cast<double>(8 * settings.bounds.step);
   for (string const& r : log_.found().records) replicas_.replay(r);
   if (log_.found().torn) warn("segments", "a torn tail of " + std::to_string(log_.found().torn) + " bytes was cut");
-  for (string const& c : log_.found().corrupt) warn("segments", "a corrupt record was passed over: " + c);
+  for (string const& c : log_.found().corrupt) warn("segments", "synced records are lost: " + c);
+  if (!log_.found().corrupt.empty()) replicas_.doubtAll();
   log_.forget();
 }
 
@@ -30,6 +31,7 @@
   server_.on<SegSettle>([this](SegSettle q) { return settle(std::move(q)); });
   server_.on<SegCopy>([this](SegCopy q) { return copy(std::move(q)); });
   server_.on<SegFetch>([this](SegFetch q) { return fetch(std::move(q)); });
+  server_.on<SegConfirm>([this](SegConfirm q) { return confirm(std::move(q)); });
   server_.on<SegRead>([this](SegRead q) { return read(std::move(q)); });
   server_.on<SegItem>([this](SegItem q) { return item(std::move(q)); });
   server_.on(Method::lotStart, [this](string b) -> Task<string> {
@@ -148,6 +150,14 @@
   co_return SegCreate{r.lot, r.items, r.results, false};
 }
 
+Task<SegConfirmReply> StoreNode::confirm(SegConfirm q) {
+  needDisk();
+  co_await synced();
+  SegConfirmReply r{id_, life_, {}};
+  for (ReplicaMark const& m : q.replicas) r.held.push_back(replicas_.holds(m.host, m.id, m.stamp));
+  co_return r;
+}
+
 Task<SegReadReply> StoreNode::read(SegRead q) {
   Key const k(q.host, q.id);
   Moment const until = Clock::now() + Ms(std::min<std::int64_t>(q.holdMs, settings_.bounds.inTouch));
@@ -297,7 +307,14 @@
     if (l.state == static_cast<int>(LotState::taking)) continue;
     std::map<Key, RunPtr>::iterator const i = runs_.find(p.first);
     if (l.holders.empty() || l.holders[0].id != id_) {
-      odd_.erase(p.first);
+      bool holder = false;
+      for (StoreRef const& h : l.holders) holder = holder || h.id == id_;
+      // A copy may still be on its way here; then nothing is amiss.
+      std::pair<Stamp, Moment>& o = odd_[p.first];
+      if (!holder || replicas_.holds(l.host, l.id, l.stamp))
+        odd_.erase(p.first);
+      else if (o.first != l.stamp)
+        o = {l.stamp, now + Ms(settings_.bounds.inTouch / 4)};
       if (i != runs_.end()) {
         i->second->over = true;
         for (std::shared_ptr<asio::steady_timer> const& t : i->second->readers) t->cancel();
@@ -306,7 +323,7 @@
       continue;
     }
     Replicas::Replica const* const r = replicas_.find(l.host, l.id);
-    if (!r || r->lot.stamp != l.stamp || !r->since || r->frozen) {
+    if (!r || r->lot.stamp != l.stamp || !r->since || r->frozen || !r->whole) {
       std::pair<Stamp, Moment>& o = odd_[p.first];
       if (o.first != l.stamp) o = {l.stamp, now};
       continue;
--- a/lots/store_node.hpp
+++ b/lots/store_node.hpp
@@ -52,6 +52,7 @@
   Task<Done> settle(SegSettle q);
   Task<Done> copy(SegCopy q);
   Task<SegCreate> fetch(SegFetch q);
+  Task<SegConfirmReply> confirm(SegConfirm q);
   Task<SegReadReply> read(SegRead q);
   Task<SegItemReply> item(SegItem q);
 
@@ -87,6 +88,7 @@
   DiskLog log_;
   std::map<Addr, Control> controls_;
   std::uint64_t lease_ = 0;
+  std::uint64_t const life_ = randomId();
   std::map<Key, LotRecord> wanted_;
   std::map<Key, RunPtr> runs_;
   std::map<Key, std::pair<Stamp, Moment>> odd_;
--- a/segments/replicas.hpp
+++ b/segments/replicas.hpp
@@ -12,6 +12,7 @@
     string items;
     vector<string> results;
     bool since = false;   ///< created or settled in this life of the process
+    bool whole = true;    ///< false once records of it may be lost: it doesn't count as held
     bool frozen = false;  ///< its length was told to a recovery; only a fresh stamp opens it
   };
   using Key = std::pair<string, string>;
@@ -27,6 +28,11 @@
   void settle(string const& host, string const& id, Stamp old, Stamp s, std::uint64_t cut);
   /// Lets a replica go on only under a fresh stamp, as after a restart.
   void doubt(string const& host, string const& id);
+  /// Records that had been synced are lost, and nothing tells which: no replica counts as held
+  /// until it is made anew.
+  void doubtAll();
+  /// True if a replica is held whole under a stamp or a newer one.
+  bool holds(string const& host, string const& id, Stamp least) const;
   /// Deletes a replica whose stamp is not above the given one.
   bool drop(string const& host, string const& id, Stamp upTo);
   /// The replica, if its stamp is the one asked for; throws staleStamp.
--- a/wire/messages.hpp
+++ b/wire/messages.hpp
@@ -305,6 +305,20 @@
   Stamp stamp;
   MSGPACK_DEFINE(host, id, stamp)
 };
+/// What a store answers of the replicas it is asked about, each in the order of the question.
+struct SegConfirmReply {
+  Identity self;           ///< the disk that answers: another may have come to its address
+  std::uint64_t life = 0;  ///< the life of the process that answers
+  vector<bool> held;       ///< whole, synced and under the stamp asked for
+  MSGPACK_DEFINE(self, life, held)
+};
+/// Asks a store which replicas it holds, whole and synced, in its present life.
+struct SegConfirm {
+  using Reply = SegConfirmReply;
+  static constexpr Method method = Method::segConfirm;
+  vector<ReplicaMark> replicas;
+  MSGPACK_DEFINE(replicas)
+};
 struct SegReadReply {
   std::uint64_t total = 0;
   vector<ResultRecord> outputs;
--- a/wire/rpc.hpp
+++ b/wire/rpc.hpp
@@ -30,6 +30,7 @@
   segDrop = 47,
   segFetch = 48,
   lotStart = 49,
+  segConfirm = 50,
   believe = 60,
   crowding = 61
 };
