--- a/base/disk.cpp
+++ b/base/disk.cpp
@@ -57,7 +57,7 @@
   // A snapshot that is to come holds the record's change.
   if (mustRenew_) return;
   next_.bytes += framed(record);
-  if (next_.bytes.size() <= limits_.logMost()) return;
+  if (next_.bytes.size() <= limits_.logMost(stateSize_)) return;
   mustRenew_ = true;
   string().swap(next_.bytes);
 }
@@ -92,11 +92,12 @@
   if (next_.bytes.empty() && next_.calls.empty() && state_ == DiskState::well) return;
   Job job = std::move(next_);
   next_ = Job();
-  job.renew = mustRenew_ || logSize_ + job.bytes.size() > limits_.logMost();
+  job.renew = mustRenew_ || logSize_ + job.bytes.size() > limits_.logMost(stateSize_);
   if (job.renew) {
-    job.bytes.clear();
-    for (string const& record : snapshot_()) job.bytes += framed(record);
-    stateSize_ = job.bytes.size();
+    string().swap(job.bytes);
+    job.records = snapshot_();
+    stateSize_ = 0;
+    for (string const& record : job.records) stateSize_ += framed("").size() + record.size();
     logSize_ = 0;
   } else {
     logSize_ += batchOf("").size() + job.bytes.size();
@@ -129,12 +130,12 @@
   }
 }
 
-DiskLog::Result DiskLog::carryOut(Job const& job) {
+DiskLog::Result DiskLog::carryOut(Job& job) {
   Moment const began = Clock::now();
   Result result;
   if (job.renew) {
     if (files_.makeFolder(folder_) && errno != EEXIST) result.error = errno;
-    if (!result.error) result.error = writer_->renew(job.bytes);
+    if (!result.error) result.error = writer_->renew(std::move(job.records));
     result.removalError = writer_->removalError();
   } else if (!job.bytes.empty()) {
     result.error = writer_->append(job.bytes);
--- a/base/disk.hpp
+++ b/base/disk.hpp
@@ -16,8 +16,15 @@
   /// The pause before a refusing disk is tried again grows up to this.
   Ms retryMost;
 
-  /// Where the log is replaced by a snapshot.
+  /// Where the log is replaced by a snapshot, whatever the state's size.
   std::size_t logMost() const { return budget / 5; }
+  /// Where the log is replaced by a snapshot after a state of a size. The old snapshot, the log and a new snapshot
+  /// that has grown by all that is in the log must fit. Each snapshot holds the state in memory twice for a
+  /// while, so they are as rare as the space allows.
+  std::size_t logMost(std::size_t stateSize) const {
+    std::size_t const fits = budget / 2 > stateSize ? budget / 2 - stateSize : 0;
+    return std::clamp(fits, logMost(), budget / 3);
+  }
   /// While a snapshot is written the old one, the log and the new one stand side by side, and the
   /// new one may have grown by what is in the log: 3 + 2 + 3 + 2 tenths.
   std::size_t stateMost() const { return budget * 3 / 10; }
@@ -63,7 +70,8 @@
 
  private:
   struct Job {
-    string bytes;
+    string bytes;            ///< framed records to append
+    vector<string> records;  ///< or the whole state
     vector<std::function<void()>> calls;
     bool renew = false;
   };
@@ -72,7 +80,7 @@
     Ms took{0};
   };
   void run();
-  Result carryOut(Job const& job);
+  Result carryOut(Job& job);
   void hand();
   void finished(Job& job, Result const& result);
   void refused(Job& job, int error);
--- a/base/log_writer.cpp
+++ b/base/log_writer.cpp
@@ -3,6 +3,8 @@
 namespace tealshelf {
 
 namespace {
+constexpr std::size_t snapshotBatch = 256u << 10;  ///< a snapshot is written in batches of about so many bytes
+
 int reason() {
   return errno ? errno : EIO;
 }
@@ -27,12 +29,31 @@
   return failed;
 }
 
-int LogWriter::renew(string_view framedRecords) {
+int LogWriter::writeSnapshot(string const& path, vector<string>& records) {
+  int const file = files_.open(path, FileLayer::Open::truncate);
+  if (file < 0) return reason();
+  int failed = writeAll(files_, file, fileHead(LogFileKind::snapshot));
+  string batch;
+  for (std::size_t i = 0; i <= records.size() && !failed; ++i) {
+    bool const last = i == records.size();
+    if (last || batch.size() > snapshotBatch) {
+      failed = writeAll(files_, file, batchOf(batch));
+      batch.clear();
+    }
+    if (last) continue;
+    batch += framed(records[i]);
+    string().swap(records[i]);
+  }
+  if (!failed && files_.sync(file)) failed = reason();
+  if (files_.close(file) && !failed) failed = reason();
+  return failed;
+}
+
+int LogWriter::renew(vector<string> records) {
   leave();
   ++number_;
   string const next = folder_ + "/next";
-  string const bytes = fileHead(LogFileKind::snapshot) + batchOf(framedRecords);
-  int failed = writeSynced(files_, next, bytes);
+  int failed = writeSnapshot(next, records);
   if (!failed && files_.rename(next, logPath(folder_, LogFileKind::snapshot, number_))) failed = reason();
   if (failed) {
     files_.remove(next);  // gives the space back; it is overwritten next time if this fails
--- a/base/log_writer.hpp
+++ b/base/log_writer.hpp
@@ -20,13 +20,15 @@
   /// Adds a batch of framed records and syncs it; gives 0 or errno.
   int append(string_view framedRecords);
   /// Puts the whole state in a snapshot, begins a log after it and only then removes what came
-  /// before. Gives 0 or errno; after a failure all files of before still stand.
-  int renew(string_view framedRecords);
+  /// before. Gives 0 or errno; after a failure all files of before still stand. Each record is freed
+  /// once it is written, so that the state isn't held twice for longer than it must.
+  int renew(vector<string> records);
   /// Why an old file couldn't be removed at the last renewal; 0 if all were. Nothing depends on
   /// the removal but space, and the next renewal tries again.
   int removalError() const { return removalError_; }
 
  private:
+  int writeSnapshot(string const& path, vector<string>& records);
   int beginLog();
   void removeOlder();
   void leave();
--- a/configuration/order_decision.cpp
+++ b/configuration/order_decision.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-Decision refuse(Verdict verdict, Code code, string const& detail) {
+Decision refuse(OrderVerdict verdict, Code code, string const& detail) {
   Decision decision;
   decision.verdict = verdict;
   decision.code = code;
@@ -22,29 +22,29 @@
 Decision decide(std::map<string, string> const& rows, Order const& order, HistoryShape shape) {
   Decision decision;
   if (!readNumber(order.ifMatch, decision.identity.base))
-    return refuse(Verdict::invalid, Code::badMatch, order.ifMatch.substr(0, 40));
+    return refuse(OrderVerdict::invalid, Code::badMatch, order.ifMatch.substr(0, 40));
   try {
     decision.identity.digest = sha256(canonicalJson(order.body));
   } catch (Error const& error) {
-    return refuse(Verdict::invalid, error.code(), error.what());
+    return refuse(OrderVerdict::invalid, error.code(), error.what());
   }
   std::uint64_t const current = currentVersion(rows);
   OrderHistory const history(rows, current, shape);
   if (TakenOrder const* const taken = history.find(decision.identity)) {
-    decision.verdict = Verdict::acknowledgeAgain;
+    decision.verdict = OrderVerdict::acknowledgeAgain;
     decision.version = taken->version;
     return decision;
   }
   try {
     decision.version = compileConfiguration(order.body)->version;
   } catch (Error const& error) {
-    return refuse(Verdict::invalid, error.code(), error.what());
+    return refuse(OrderVerdict::invalid, error.code(), error.what());
   }
-  if (history.forgotten(decision.identity.base)) return refuse(Verdict::tooOld, Code::orderTooOld, order.ifMatch);
+  if (history.forgotten(decision.identity.base)) return refuse(OrderVerdict::tooOld, Code::orderTooOld, order.ifMatch);
   if (decision.identity.base != current)
-    return refuse(Verdict::lostRace, Code::lostRace, "version " + std::to_string(current) + " is current");
-  if (decision.version <= current) return refuse(Verdict::invalid, Code::oldVersion, std::to_string(decision.version));
-  decision.verdict = Verdict::apply;
+    return refuse(OrderVerdict::lostRace, Code::lostRace, "version " + std::to_string(current) + " is current");
+  if (decision.version <= current) return refuse(OrderVerdict::invalid, Code::oldVersion, std::to_string(decision.version));
+  decision.verdict = OrderVerdict::apply;
   decision.rows.push_back(OrderHistory::Row{currentKey, order.body});
   decision.rows.push_back(history.append(decision.identity, decision.version));
   return decision;
--- a/configuration/order_decision.hpp
+++ b/configuration/order_decision.hpp
@@ -9,7 +9,7 @@
   string ifMatch, body;
 };
 
-enum class Verdict {
+enum class OrderVerdict {
   acknowledgeAgain,  ///< it was taken before; it is confirmed and changes nothing
   apply,             ///< it shall be written, and be confirmed once a majority has it
   invalid,           ///< it is refused for good with the code
@@ -18,7 +18,7 @@
 };
 
 struct Decision {
-  Verdict verdict = Verdict::invalid;
+  OrderVerdict verdict = OrderVerdict::invalid;
   Code code = Code::unreadable;    ///< why an order is refused or left open
   string detail;                   ///< for the log
   OrderIdentity identity;          ///< of a readable order
--- a/consensus/driver.cpp
+++ b/consensus/driver.cpp
@@ -1,5 +1,7 @@
 #include "consensus/driver.hpp"
 
+#include "consensus/heartbeat_targets.hpp"
+
 namespace tealshelf {
 
 namespace {
@@ -173,11 +175,8 @@
   HeartbeatMessage m = heartbeatFor(consensus_.membership().no, false);
   std::optional<HeartbeatMessage> whole;
   std::map<string, MembershipNumber> to;
-  for (Member const& x : consensus_.membership().members)
-    if (x.id != id_) to[x.ip] = MembershipNumber(0);
-  if (!consensus_.membership().find(id_))
-    for (Addr const& s : settings_.seeds)
-      if (s.ip != settings_.ip) to[s.ip] = MembershipNumber(0);
+  for (string const& ip : heartbeatTargets(consensus_.membership(), settings_.ip, settings_.seeds))
+    to[ip] = MembershipNumber(0);
   for (std::pair<Identity const, std::pair<HeartbeatMessage, Moment>> const& o : others_) {
     string const& ip = o.second.first.heartbeat.self.ip;
     if (now - o.second.second < Ms(settings_.bounds.inTouch) && ip != settings_.ip)
--- a/control/operator_calls.cpp
+++ b/control/operator_calls.cpp
@@ -80,9 +80,9 @@
   if (unsettled_.open(epoch.n, rows)) throw Error(Code::orderOpen, "an order before it is open");
   Order const order{q.ifMatch, std::move(q.body)};
   Decision const decision = decide(rows, order);
-  if (decision.verdict == Verdict::apply)
+  if (decision.verdict == OrderVerdict::apply)
     co_await commit(decision, epoch);
-  else if (decision.verdict != Verdict::acknowledgeAgain) {
+  else if (decision.verdict != OrderVerdict::acknowledgeAgain) {
     tell("configuration", string("an order was refused: ") + Error(decision.code, decision.detail).what());
     throw Error(decision.code, decision.detail);
   }
--- a/lots/lease_grants.hpp
+++ b/lots/lease_grants.hpp
@@ -17,6 +17,11 @@
     r.granted = now;
     return Word::granted;
   }
+  /// The highest lease of a store that is never granted again here.
+  std::uint64_t fencedUpTo(Identity store) const {
+    std::map<Identity, Row>::const_iterator const row = rows_.find(store);
+    return row == rows_.end() ? 0 : row->second.fenced;
+  }
   /// True if no lease granted here can still count; the lease is never granted again then. A store
   /// whose lease may count is left alone.
   bool fence(Identity store, Moment now) {
--- a/lots/lot_coordinator.cpp
+++ b/lots/lot_coordinator.cpp
@@ -198,6 +198,7 @@
   LeaseGrants::Word const w = grants_.beat(q.self.id, q.lease, driver_.healthy() && !replaced, now);
   r.ok = w == LeaseGrants::Word::granted;
   r.fenced = w == LeaseGrants::Word::fenced;
+  r.fencedUpTo = grants_.fencedUpTo(q.self.id);
   r.life = life_;
   r.rev = rev_;
   r.members = driver_.consensus().membership().members;
--- a/lots/lot_coordinator.hpp
+++ b/lots/lot_coordinator.hpp
@@ -2,6 +2,7 @@
 #include "base/async_mutex.hpp"
 #include "consensus/forward_to_owner.hpp"
 #include "lots/lease_grants.hpp"
+#include "lots/lot_ages.hpp"
 
 namespace tealshelf {
 
@@ -78,6 +79,7 @@
   std::map<string, Epoch> ownedSince_;
   std::map<string, Moment> ownedAt_;
   std::size_t busy_ = 0;
+  LotAges ages_;
   std::map<Key, Opening> opening_;   ///< lots whose record is being written
   std::map<string, Moment> barred_;  ///< stores asked about before they go, since when nothing new is put there
 };
--- a/lots/reshape.cpp
+++ b/lots/reshape.cpp
@@ -37,7 +37,6 @@
   for (;;) {
     co_await pause(Ms(settings_.bounds.inTouch / 30));
     Moment const now = Clock::now();
-    std::int64_t const wall = wallMs();
     for (string const& keyspace : driver_.consensus().keyspaces()) {
       if (keyspace.rfind("lots/", 0) != 0 || !driver_.consensus().owns(keyspace)) continue;
       vector<Consensus::Change> old;
@@ -45,7 +44,8 @@
       for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace)) {
         LotRecord l = unpacked<LotRecord>(p.second);
         Soft& s = soft_[{l.host, l.id}];
-        std::int64_t const age = wall - l.sentAt;
+        ages_.learn({l.host, l.id}, now);
+        std::int64_t const age = ages_.atLeast({l.host, l.id}, now).count();
         bool const over = l.state == static_cast<int>(LotState::taking)
                               ? age > 4 * settings_.bounds.confirmWithin
                               : age > 2 * settings_.bounds.statusEvery + l.keepFor &&
--- a/lots/run_items.cpp
+++ b/lots/run_items.cpp
@@ -7,6 +7,11 @@
   return true;
 }
 
+std::int64_t StoreNode::timeLeft(LotRecord const& lot, Moment now) const {
+  Ms const due(lot.dueIn);
+  return (due - ages_.likely({lot.host, lot.id}, now, Ms(wallMs() - lot.sentAt), due)).count();
+}
+
 Task<void> StoreNode::dispatchLoop() {
   for (;;) {
     while (dispatch()) {
@@ -27,7 +32,7 @@
     if (!current(r) || r->stalled || now < r->retryAt) continue;
     while (r->next < r->states.size() && r->states[r->next] != LotRun::queued) ++r->next;
     if (r->next >= r->states.size()) continue;
-    if (!best || r->lot.sentAt + r->lot.dueIn < best->lot.sentAt + best->lot.dueIn) best = r;
+    if (!best || timeLeft(r->lot, now) < timeLeft(best->lot, now)) best = r;
   }
   if (!best) return false;
   std::uint64_t slots = 0;
@@ -36,13 +41,12 @@
     for (Worker const* const w : view_.of(m->serviceFor(0))) slots += w->capacity;
   // So many items run at once that each lot would be done by two fifths of its time.
   double need = 1;
-  std::int64_t const wall = wallMs();
   for (std::pair<Key const, RunPtr> const& p : runs_) {
     LotRun const& r = *p.second;
     if (r.over || r.ended()) continue;
     std::size_t left = 0;
     for (LotRun::State const s : r.states) left += s != LotRun::done;
-    double const spare = static_cast<double>(r.lot.sentAt + r.lot.dueIn * 2 / 5 - wall);
+    double const spare = static_cast<double>(timeLeft(r.lot, now) - r.lot.dueIn * 3 / 5);
     need += static_cast<double>(left) * meanRun_ / std::max(spare, meanRun_ / 2);
   }
   if (static_cast<double>(live_) >= std::min(need, static_cast<double>(slots) / 2)) return false;
@@ -80,14 +84,14 @@
     finish(run, n, false, "");
     co_return true;
   }
-  if (wallMs() > run->lot.sentAt + run->lot.keepFor) {
+  if (ages_.atLeast({run->lot.host, run->lot.id}, Clock::now()) > Ms(run->lot.keepFor)) {
     finish(run, n, false, "");
     co_return true;
   }
   Want want;
   want.service = m->serviceFor(hashOf(it.id));
   want.behind = true;
-  std::int64_t const spare = run->lot.sentAt + run->lot.dueIn - wallMs();
+  std::int64_t const spare = timeLeft(run->lot, Clock::now());
   want.leave = spare > run->lot.dueIn / 2 ? 0.25 : 0.1;
   Worker const* const w = balance_.pick(view_, want, {});
   if (!w) co_return false;
@@ -251,7 +255,8 @@
     }
     r.run->listed = std::max(r.run->listed, r.part.from + r.count);
     if (r.run->listed == r.run->lot.total)
-      tell("lots", r.run->lot.id + " is whole after " + std::to_string(wallMs() - r.run->lot.sentAt) + " ms");
+      tell("lots", r.run->lot.id + " is whole after " +
+                       std::to_string(r.run->lot.dueIn - timeLeft(r.run->lot, Clock::now())) + " ms");
     r.run->pending.erase(r.run->pending.begin(), r.run->pending.begin() + static_cast<std::ptrdiff_t>(r.count));
     for (std::shared_ptr<asio::steady_timer> const& x : r.run->readers) x->cancel();
   }
--- a/lots/store_node.cpp
+++ b/lots/store_node.cpp
@@ -247,7 +247,7 @@
     StoreBeatReply const r = co_await rpc_.ask(at, q, Ms(settings_.bounds.inTouch / 5));
     members_ = r.members;
     if (r.ok && q.lease == lease_) c.held = now;
-    if (r.fenced && q.lease == lease_) renewLease();
+    if (r.fenced && q.lease == lease_) renewLease(r.fencedUpTo);
     if (c.life != r.life) {
       c.life = r.life;
       c.rev = 0;
@@ -273,8 +273,9 @@
 }
 
 /// The lease was fenced: a new one is asked for, and every lot run here must be settled anew first.
-void StoreNode::renewLease() {
-  lease_ = std::max<std::uint64_t>(lease_ + 1, static_cast<std::uint64_t>(wallMs()));
+void StoreNode::renewLease(std::uint64_t fencedUpTo) {
+  // The time of day may have been set back since the former lease.
+  lease_ = std::max(lease_, fencedUpTo) + 1;
   for (std::pair<Addr const, Control>& p : controls_) p.second.held = Moment();
   for (std::pair<Key const, RunPtr>& p : runs_) {
     p.second->stalled = true;
@@ -284,6 +285,7 @@
 }
 
 void StoreNode::want(LotRecord const& l) {
+  ages_.learn({l.host, l.id}, Clock::now());
   LotRecord& w = wanted_[{l.host, l.id}];
   if (w.stamp.v && (l.stamp < w.stamp || (l.stamp == w.stamp && l.state < w.state))) return;
   w = l;
@@ -296,6 +298,7 @@
     runs_.erase(i);
   }
   wanted_.erase(k);
+  ages_.forget(k);
   odd_.erase(k);
 }
 
--- a/lots/store_node.hpp
+++ b/lots/store_node.hpp
@@ -1,5 +1,6 @@
 #pragma once
 #include "base/disk.hpp"
+#include "lots/lot_ages.hpp"
 #include "segments/replicas.hpp"
 #include "traffic/balance.hpp"
 #include "traffic/exchange.hpp"
@@ -59,7 +60,9 @@
   Task<void> beatLoop();
   Task<void> beat(Addr at, bool marks);
   bool hasLease() const;
-  void renewLease();
+  /// Milliseconds until a lot is due, as far as that can be told; for urgency only.
+  std::int64_t timeLeft(LotRecord const& lot, Moment now) const;
+  void renewLease(std::uint64_t fencedUpTo);
   void want(LotRecord const& l);
   void adopt(LotRecord const& l);
   void drop(Key const& k);
@@ -88,6 +91,7 @@
   DiskLog log_;
   std::map<Addr, Control> controls_;
   std::uint64_t lease_ = 0;
+  LotAges ages_;
   std::uint64_t const life_ = randomId();
   std::map<Key, LotRecord> wanted_;
   std::map<Key, RunPtr> runs_;
--- a/tests/disk_test.cpp
+++ b/tests/disk_test.cpp
@@ -38,13 +38,13 @@
     if (failed) file_ = -1;
     return failed;
   }
-  int renew(string const& records) {
+  int renew(vector<string> const& records) {
     if (how_ != Faulty::oldOrder) return renewWell(records);
     // As before: the syncs of the snapshot, the log and the folder go unlooked at.
     ++number_;
     int const next = disk_.open(folder + "/next", FileLayer::Open::truncate);
     if (next < 0) return EIO;
-    int failed = writeAll(disk_, next, fileHead(LogFileKind::snapshot) + batchOf(records));
+    int failed = writeAll(disk_, next, fileHead(LogFileKind::snapshot) + batchOf(allFramed(records)));
     disk_.sync(next);
     if (!failed && disk_.rename(folder + "/next", logPath(folder, LogFileKind::snapshot, number_))) failed = EIO;
     if (failed) return failed;
@@ -61,7 +61,7 @@
     file_ = disk_.open(logPath(folder, LogFileKind::log, number_), FileLayer::Open::append);
     return file_ < 0 || writeAll(disk_, file_, fileHead(LogFileKind::log)) ? -1 : file_;
   }
-  int renewWell(string const& records) {
+  int renewWell(vector<string> const& records) {
     ++number_;
     int const failed = good_.renew(records);
     if (!failed && how_ != Faulty::no)
@@ -102,7 +102,7 @@
     for (std::size_t step = disk.dice(9); step > 0; --step) {
       state.push_back(nameOf(made++));
       bool const renews = !writer.whole() || disk.dice(4) == 0;
-      int const failed = renews ? writer.renew(allFramed(state)) : writer.append(framed(state.back()));
+      int const failed = renews ? writer.renew(state) : writer.append(framed(state.back()));
       if (!failed) acknowledged.insert(state.begin(), state.end());
     }
     if (disk.dice(2)) disk.losePower();
@@ -219,7 +219,7 @@
 /// A folder with a snapshot of two records and a log of three batches.
 static void fill(MemoryDisk& disk) {
   LogWriter writer(disk, folder, 0);
-  writer.renew(allFramed({"one", "two"}));
+  writer.renew({"one", "two"});
   for (char const* const record : {"three", "four", "five"}) writer.append(framed(record));
 }
 
--- a/tests/lots_twice_test.cpp
+++ b/tests/lots_twice_test.cpp
@@ -1,6 +1,6 @@
 #include "control/control_node.hpp"
+#include "edge/edge_node.hpp"
 #include "lots/store_node.hpp"
-#include "traffic/edge_node.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <filesystem>
--- a/tests/membership_search.hpp
+++ b/tests/membership_search.hpp
@@ -35,6 +35,9 @@
         for (Identity const& v : w.acks) msgpack::pack(b, v);
       }
       msgpack::pack(b, k.view);
+      msgpack::pack(b, std::make_tuple(k.viewed.epoch, k.viewed.seq, k.known.epoch, k.known.seq, k.acceptedEpoch));
+      for (std::pair<std::uint64_t const, Consensus::Accepted> const& a : k.accepted)
+        msgpack::pack(b, std::make_tuple(a.first, a.second.prev, a.second.full, a.second.entries));
     }
     return hashOf(string(b.data(), b.size()));
   }
@@ -153,11 +156,12 @@
     Consensus& c = change(i);
     ConsensusProbe::deafen(c);
     if (!leave && at(j).isRetired() && broken_ != Broken::comesBackAsBefore) change(j).comeBack(++disks_[j].stays);
+    OwnMoment const own = c.heartbeat(ConsensusProbe::now()).sent;
     for (std::size_t k = 0; k < size(); ++k) {
       if (k == i || !(reach & 1u << k)) continue;
       Heartbeat h = at(k).heartbeat(ConsensusProbe::now());
       for (std::size_t o = 0; o < size(); ++o)
-        if (o == i || reach & 1u << o) h.hears.push_back(id(o));
+        if (o == i || reach & 1u << o) h.echoes.push_back(Echo{id(o), o == i ? own : OwnMoment()});
       c.heard(h, ConsensusProbe::now());
     }
     MembershipPolicy const policy{Ms(3600), 1};
@@ -290,7 +294,7 @@
     return string(b.data(), b.size());
   }
   static Consensus fresh(Member const& m) {
-    Consensus c(m, Consensus::Times{Ms(750), Ms(100)});
+    Consensus c(m, Consensus::Times{Ms(750), Ms(100), Ms(1500), Ms(600)}, 1);
     c.know("configuration");
     c.know("members");
     return c;
@@ -328,7 +332,7 @@
     }
   }
   void ended(std::size_t i, Outcome const& o) {
-    if (!o.ok) return;
+    if (o.result != Result::committed) return;
     if (std::map<std::uint64_t, string>::iterator const w = writes_.find(o.op * 16 + i); w != writes_.end())
       acked_.insert(w->second);
     if (std::map<std::uint64_t, std::set<string>>::iterator const r = reads_.find(o.op * 16 + i); r != reads_.end())
--- a/tests/orders_simulation_test.cpp
+++ b/tests/orders_simulation_test.cpp
@@ -25,8 +25,8 @@
   std::map<string, string>::const_iterator const row = rows.find(currentKey);
   if (row != rows.end()) current.insert(*row);
   Decision decision = decide(current, order);
-  if (decision.verdict == Verdict::tooOld) decision.verdict = Verdict::lostRace;
-  if (row != rows.end() && row->second == order.body) decision.verdict = Verdict::acknowledgeAgain;
+  if (decision.verdict == OrderVerdict::tooOld) decision.verdict = OrderVerdict::lostRace;
+  if (row != rows.end() && row->second == order.body) decision.verdict = OrderVerdict::acknowledgeAgain;
   return decision;
 }
 
@@ -147,10 +147,10 @@
     if (rules_ != Rules::withoutSettling && owner.unsettled.open(epoch, rows)) return;
     Decision const decision =
         rules_ == Rules::currentTextOnly ? decideByText(rows, order) : decide(rows, order, shape_);
-    if (decision.verdict == Verdict::acknowledgeAgain) return answer(index, sim::Answer::acknowledged);
-    if (decision.verdict == Verdict::lostRace || decision.verdict == Verdict::invalid)
+    if (decision.verdict == OrderVerdict::acknowledgeAgain) return answer(index, sim::Answer::acknowledged);
+    if (decision.verdict == OrderVerdict::lostRace || decision.verdict == OrderVerdict::invalid)
       return answer(index, sim::Answer::refused);
-    if (decision.verdict != Verdict::apply) return;
+    if (decision.verdict != OrderVerdict::apply) return;
     vector<Consensus::Change> changes;
     for (OrderHistory::Row const& row : decision.rows) changes.push_back({row.key, row.value, false});
     owner.busy = true;
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -23,7 +23,7 @@
 }
 void apply(Rows& rows, Order const& o, HistoryShape shape = HistoryShape()) {
   Decision const d = decide(rows, o, shape);
-  LONGS_EQUAL(static_cast<int>(Verdict::apply), static_cast<int>(d.verdict));
+  LONGS_EQUAL(static_cast<int>(OrderVerdict::apply), static_cast<int>(d.verdict));
   for (OrderHistory::Row const& row : d.rows) rows[row.key] = row.value;
 }
 /// Rows after the versions 3, 6, 9 and so on.
@@ -32,7 +32,7 @@
   for (std::uint64_t i = 0; i < changes; ++i) apply(rows, order(3 * i, 3 * i + 3), shape);
   return rows;
 }
-void expect(Rows const& rows, Order const& o, Verdict verdict, int code = 0, HistoryShape shape = HistoryShape()) {
+void expect(Rows const& rows, Order const& o, OrderVerdict verdict, int code = 0, HistoryShape shape = HistoryShape()) {
   Decision const d = decide(rows, o, shape);
   LONGS_EQUAL_TEXT(static_cast<int>(verdict), static_cast<int>(d.verdict), (o.ifMatch + " " + o.body).c_str());
   if (code) LONGS_EQUAL(code, static_cast<int>(d.code));
@@ -46,41 +46,41 @@
   struct {
     Rows const& rows;
     Order order;
-    Verdict verdict;
+    OrderVerdict verdict;
     int code;
   } const table[] = {
-      {none, order(0, 1), Verdict::apply, 0},
-      {none, order(4, 5), Verdict::lostRace, 109},
-      {none, order(0, 0), Verdict::invalid, 105},
-      {rows, order(9, 10), Verdict::apply, 0},
-      {rows, order(6, 9), Verdict::acknowledgeAgain, 0},
-      {rows, order(3, 6), Verdict::acknowledgeAgain, 0},
-      {rows, order(0, 3), Verdict::acknowledgeAgain, 0},
-      {rows, {"0", " " + order(0, 3).body + "\n"}, Verdict::acknowledgeAgain, 0},
-      {rows, order(0, 3, "b"), Verdict::lostRace, 109},  // the same number on the same base with other content
-      {rows, order(6, 9, "b"), Verdict::lostRace, 109},
-      {rows, order(3, 5), Verdict::lostRace, 109},
-      {rows, order(5, 12), Verdict::lostRace, 109},   // a base that never was
-      {rows, order(12, 13), Verdict::lostRace, 109},  // a base that isn't yet
-      {rows, order(9, 9), Verdict::invalid, 105},
-      {rows, order(9, 8), Verdict::invalid, 105},
-      {rows, order(3, 9), Verdict::lostRace, 109},  // the current content on another base
-      {rows, {"", configuration(10)}, Verdict::invalid, 110},
-      {rows, {"x", configuration(10)}, Verdict::invalid, 110},
-      {rows, {"-9", configuration(10)}, Verdict::invalid, 110},
-      {rows, {"9.0", configuration(10)}, Verdict::invalid, 110},
-      {rows, {string(40, '9'), configuration(10)}, Verdict::invalid, 110},
-      {rows, {"9", ""}, Verdict::invalid, 100},
-      {rows, {"9", "[]"}, Verdict::invalid, 100},
-      {rows, {"9", configuration(10).substr(0, 60)}, Verdict::invalid, 100},
-      {rows, {"9", string(1000000, '[')}, Verdict::invalid, 100},
-      {rows, {"9", "{\"version\":-1" + configuration(1).substr(12)}, Verdict::invalid, 107},
-      {rows, {"9", "{\"version\":1e30" + configuration(1).substr(12)}, Verdict::invalid, 107},
-      {rows, {"9", "{\"version\":\"ten\"" + configuration(1).substr(12)}, Verdict::invalid, 106},
-      {rows, {"9", "{\"version\":10,\"routes\":[],\"services\":7}"}, Verdict::invalid, 106},
-      {rows, with("\"timeLimitMs\":1000", "\"timeLimitMs\":100000000000000000"), Verdict::invalid, 107},
+      {none, order(0, 1), OrderVerdict::apply, 0},
+      {none, order(4, 5), OrderVerdict::lostRace, 109},
+      {none, order(0, 0), OrderVerdict::invalid, 105},
+      {rows, order(9, 10), OrderVerdict::apply, 0},
+      {rows, order(6, 9), OrderVerdict::acknowledgeAgain, 0},
+      {rows, order(3, 6), OrderVerdict::acknowledgeAgain, 0},
+      {rows, order(0, 3), OrderVerdict::acknowledgeAgain, 0},
+      {rows, {"0", " " + order(0, 3).body + "\n"}, OrderVerdict::acknowledgeAgain, 0},
+      {rows, order(0, 3, "b"), OrderVerdict::lostRace, 109},  // the same number on the same base with other content
+      {rows, order(6, 9, "b"), OrderVerdict::lostRace, 109},
+      {rows, order(3, 5), OrderVerdict::lostRace, 109},
+      {rows, order(5, 12), OrderVerdict::lostRace, 109},   // a base that never was
+      {rows, order(12, 13), OrderVerdict::lostRace, 109},  // a base that isn't yet
+      {rows, order(9, 9), OrderVerdict::invalid, 105},
+      {rows, order(9, 8), OrderVerdict::invalid, 105},
+      {rows, order(3, 9), OrderVerdict::lostRace, 109},  // the current content on another base
+      {rows, {"", configuration(10)}, OrderVerdict::invalid, 110},
+      {rows, {"x", configuration(10)}, OrderVerdict::invalid, 110},
+      {rows, {"-9", configuration(10)}, OrderVerdict::invalid, 110},
+      {rows, {"9.0", configuration(10)}, OrderVerdict::invalid, 110},
+      {rows, {string(40, '9'), configuration(10)}, OrderVerdict::invalid, 110},
+      {rows, {"9", ""}, OrderVerdict::invalid, 100},
+      {rows, {"9", "[]"}, OrderVerdict::invalid, 100},
+      {rows, {"9", configuration(10).substr(0, 60)}, OrderVerdict::invalid, 100},
+      {rows, {"9", string(1000000, '[')}, OrderVerdict::invalid, 100},
+      {rows, {"9", "{\"version\":-1" + configuration(1).substr(12)}, OrderVerdict::invalid, 107},
+      {rows, {"9", "{\"version\":1e30" + configuration(1).substr(12)}, OrderVerdict::invalid, 107},
+      {rows, {"9", "{\"version\":\"ten\"" + configuration(1).substr(12)}, OrderVerdict::invalid, 106},
+      {rows, {"9", "{\"version\":10,\"routes\":[],\"services\":7}"}, OrderVerdict::invalid, 106},
+      {rows, with("\"timeLimitMs\":1000", "\"timeLimitMs\":100000000000000000"), OrderVerdict::invalid, 107},
       {rows, with("\"service\":\"s\"", "\"split\":[{\"service\":\"s\",\"share\":900000000000000000}]"),
-       Verdict::invalid, 107},
+       OrderVerdict::invalid, 107},
   };
   for (auto const& line : table) expect(line.rows, line.order, line.verdict, line.code);
 }
@@ -97,12 +97,12 @@
   CHECK(bytes < 64 * 1024);
   for (std::uint64_t i = 0; i < changes; ++i) {
     bool const kept = i + 1024 >= changes;
-    if (kept) expect(rows, order(3 * i, 3 * i + 3), Verdict::acknowledgeAgain);
-    if (kept) expect(rows, order(3 * i, 3 * i + 3, "b"), Verdict::lostRace, 109);
+    if (kept) expect(rows, order(3 * i, 3 * i + 3), OrderVerdict::acknowledgeAgain);
+    if (kept) expect(rows, order(3 * i, 3 * i + 3, "b"), OrderVerdict::lostRace, 109);
   }
   // What may have been forgotten is neither refused nor taken again.
-  expect(rows, order(0, 3), Verdict::tooOld, 111);
-  expect(rows, order(0, 3, "b"), Verdict::tooOld, 111);
+  expect(rows, order(0, 3), OrderVerdict::tooOld, 111);
+  expect(rows, order(0, 3, "b"), OrderVerdict::tooOld, 111);
 }
 TEST(orders, aRingOfAnyShapeKeepsTheNewest) {
   for (HistoryShape const shape : {HistoryShape{2, 1}, HistoryShape{2, 3}, HistoryShape{4, 4}})
@@ -110,8 +110,8 @@
       Rows const rows = after(changes, shape);
       std::uint64_t const sure = (shape.pages - 1) * shape.ordersPerPage + 1;
       for (std::uint64_t i = 0; i < changes; ++i) {
-        Verdict const verdict = decide(rows, order(3 * i, 3 * i + 3), shape).verdict;
-        CHECK(verdict == Verdict::acknowledgeAgain || (verdict == Verdict::tooOld && i + sure < changes));
+        OrderVerdict const verdict = decide(rows, order(3 * i, 3 * i + 3), shape).verdict;
+        CHECK(verdict == OrderVerdict::acknowledgeAgain || (verdict == OrderVerdict::tooOld && i + sure < changes));
       }
     }
 }
@@ -121,17 +121,17 @@
   Rows rows = after(3, shape), other = rows;
   apply(other, order(9, 12, "lost"), shape);
   rows["orders/3"] = other.at("orders/3");
-  expect(rows, order(9, 12, "lost"), Verdict::apply, 0, shape);
-  expect(rows, order(6, 9), Verdict::acknowledgeAgain, 0, shape);
+  expect(rows, order(9, 12, "lost"), OrderVerdict::apply, 0, shape);
+  expect(rows, order(6, 9), OrderVerdict::acknowledgeAgain, 0, shape);
   apply(rows, order(9, 11), shape);
-  expect(rows, order(9, 12, "lost"), Verdict::lostRace, 109, shape);
-  expect(rows, order(9, 11), Verdict::acknowledgeAgain, 0, shape);
+  expect(rows, order(9, 12, "lost"), OrderVerdict::lostRace, 109, shape);
+  expect(rows, order(9, 11), OrderVerdict::acknowledgeAgain, 0, shape);
 }
 TEST(orders, aStateWithoutHistoryLeavesOldOrdersOpen) {
   Rows rows;
   rows[currentKey] = configuration(9);
-  expect(rows, order(6, 9), Verdict::tooOld, 111);
-  expect(rows, order(9, 10), Verdict::apply);
+  expect(rows, order(6, 9), OrderVerdict::tooOld, 111);
+  expect(rows, order(9, 10), OrderVerdict::apply);
 }
 TEST(orders, nothingIsJudgedWhileAnOrderIsUnsettled) {
   Rows rows = after(2);
--- /dev/null
+++ b/tests/worst_days_test.cpp
@@ -0,0 +1,75 @@
+// Faults that days of our own brought about: clocks that step, and seeds that know nothing.
+#include "consensus/heartbeat_targets.hpp"
+#include "lots/lease_grants.hpp"
+#include "lots/lot_ages.hpp"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace tealshelf;
+
+namespace {
+LotAges::Key const lot("host", "lot");
+
+/// Three members with disks and three control nodes without; all start at once and have the latter as seeds.
+/// Gives how many know the membership after so many rounds of heartbeats.
+std::size_t informed(std::size_t rounds, bool membersCallSeeds) {
+  vector<string> const ips{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"};
+  vector<Addr> const seeds{{ips[3], 1}, {ips[4], 1}, {ips[5], 1}};
+  Membership membership;
+  membership.no = MembershipNumber(4);
+  for (std::size_t i = 0; i < 3; ++i) membership.members.push_back(Member{Identity(i + 1), "m", ips[i], "z"});
+  std::map<string, Membership> known;
+  for (std::size_t i = 0; i < ips.size(); ++i) known[ips[i]] = i < 3 ? membership : Membership();
+  for (std::size_t round = 0; round < rounds; ++round) {
+    std::map<string, Membership> const before = known;
+    for (string const& ip : ips) {
+      bool const member = before.at(ip).no.v != 0;
+      vector<Addr> const called = member && !membersCallSeeds ? vector<Addr>() : seeds;
+      for (string const& to : heartbeatTargets(before.at(ip), ip, called))
+        if (known[to].no < before.at(ip).no) known[to] = before.at(ip);
+    }
+  }
+  std::size_t count = 0;
+  for (std::pair<string const, Membership> const& node : known) count += node.second.no.v != 0;
+  return count;
+}
+}  // namespace
+
+TEST_GROUP(worstdays){};
+
+TEST(worstdays, seedsWithoutDisksLearnOfTheMembership) {
+  LONGS_EQUAL(6, informed(1, true));
+  LONGS_EQUAL_TEXT(3, informed(50, false), "members that call no seeds leave two islands");
+}
+
+TEST(worstdays, aStepOfTheTimeOfDayAgesNoLot) {
+  LotAges ages;
+  Moment const start = Moment() + std::chrono::hours(1);
+  ages.learn(lot, start);
+  ages.learn(lot, start + Ms(500));
+  Ms const due(8000);
+  for (Ms const age : {Ms(0), Ms(700), Ms(7000), Ms(30000)})
+    for (Ms const step : {Ms(-600000), Ms(-2000), Ms(0), Ms(2000), Ms(600000)}) {
+      Moment const now = start + age;
+      LONGS_EQUAL(age.count(), ages.atLeast(lot, now).count());
+      Ms const likely = ages.likely(lot, now, age + step, due);
+      CHECK(likely >= age);
+      CHECK(likely <= std::max(age, due));
+    }
+  ages.forget(lot);
+  LONGS_EQUAL(0, ages.atLeast(lot, start + due).count());
+}
+
+TEST(worstdays, aStoreWhoseClockWentBackGetsItsLeaseAtOnce) {
+  Moment now = Moment() + std::chrono::hours(1);
+  LeaseGrants grants(Ms(600), now - Ms(10000));
+  Identity const store(7);
+  CHECK(grants.beat(store, 900000, true, now) == LeaseGrants::Word::granted);
+  now += Ms(5000);
+  CHECK(grants.fence(store, now));
+  // Its clock was set back by ten minutes before it started again.
+  std::uint64_t lease = 300000;
+  CHECK(grants.beat(store, lease, true, now) == LeaseGrants::Word::fenced);
+  lease = std::max(lease, grants.fencedUpTo(store)) + 1;
+  CHECK(grants.beat(store, lease, true, now) == LeaseGrants::Word::granted);
+}
--- a/tools/scale/catch_up.cpp
+++ b/tools/scale/catch_up.cpp
@@ -22,7 +22,7 @@
     g.no = MembershipNumber(1);
     for (std::uint64_t i = 0; i < 3; ++i)
       g.members.push_back(Member{Identity(i + 1), "n", "10.0.0.1", "z", true, true});
-    g.oldSize = 3;
+    g.former = g.members;
     for (std::uint64_t i = 0; i < 3; ++i) {
       nodes_.push_back(
           std::make_unique<Consensus>(g.members[i], Consensus::Times{Ms(750), Ms(100), Ms(1500), Ms(600)}, i + 1));
--- a/wire/messages.hpp
+++ b/wire/messages.hpp
@@ -204,7 +204,8 @@
   vector<ReplicaMark> drops;  ///< stale replicas to delete, with the stamp up to which
   vector<string> owned;       ///< keyspaces that this control node owns
   vector<Member> members;
-  MSGPACK_DEFINE(ok, fenced, life, rev, lots, drops, owned, members)
+  std::uint64_t fencedUpTo = 0;  ///< highest lease of the store that is never granted again
+  MSGPACK_DEFINE(ok, fenced, life, rev, lots, drops, owned, members, fencedUpTo)
 };
 struct StoreBeat {
   using Reply = StoreBeatReply;
