--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -194,7 +194,7 @@
     }
     for (Message& m : b.messages)
       for (std::size_t j = 0; j < nodes_.size(); ++j)
-        if (nodes_[j].self.id == m.to) deliver(from, j, std::move(m));
+        if (nodes_[j].self.id == m.to) deliver(from, j, m);
     for (Outcome const& o : b.outcomes) outcome(from, o);
   }
   template <class M>
--- a/tests/disk_control_test.cpp
+++ b/tests/disk_control_test.cpp
@@ -24,7 +24,7 @@
   Refusal o;
   o.first = owner(c);
   sim::Cluster::Node& x = c.nodes()[o.first];
-  auto const load = [&c, &o](std::size_t steps) {
+  auto const load = [&c](std::size_t steps) {
     std::uint64_t const before = c.writes;
     for (std::size_t k = 0; k < steps; ++k) {
       c.step();
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -130,10 +130,10 @@
   a.alive(Identity(2), now);
   CHECK_FALSE(a.sweep(now));
   // Its registrar loses it and says so; the word of another would not count.
-  Worker false_ = w;
-  false_.lost = true;
-  false_.registrar = Identity(3);
-  CHECK_FALSE(a.merge(false_, now));
+  Worker untrue = w;
+  untrue.lost = true;
+  untrue.registrar = Identity(3);
+  CHECK_FALSE(a.merge(untrue, now));
   CHECK(b.sweep(now));
   told = b.fresh();
   LONGS_EQUAL(1, told.size());
--- a/tests/replica_rules_test.cpp
+++ b/tests/replica_rules_test.cpp
@@ -185,7 +185,7 @@
   replicas.settle("h", "lot", Stamp(1), Stamp(2), 4);
   replicas.append("h", "lot", Stamp(2), 4, {"result"});
   note();
-  std::size_t short_ = 0;
+  std::size_t tooFew = 0;
   for (std::size_t lost = 0; lost < records.size(); ++lost)
     for (bool const doubted : {true, false}) {
       Replicas damaged;
@@ -197,7 +197,7 @@
       for (string const& record : damaged.snapshot()) later.replay(record);
       SegInspectReply const found = later.inspect("h", "lot");
       if (!doubted) {
-        short_ += found.known && found.results < 5;
+        tooFew += found.known && found.results < 5;
         continue;
       }
       CHECK_FALSE(found.known);
@@ -205,5 +205,5 @@
       later.create(lotWith(3), "items", {"result"});
       CHECK(later.holds("h", "lot", Stamp(3)));
     }
-  CHECK_TEXT(short_ > 0, "a replica that lacks results was never taken for whole");
+  CHECK_TEXT(tooFew > 0, "a replica that lacks results was never taken for whole");
 }
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -198,7 +198,7 @@
         brokenCaught = brokenCaught || bad;
       else
         CHECK_FALSE_TEXT(bad, ("seed " + std::to_string(seed)).c_str());
-      if (!broken) CHECK(listed.size() > 0);
+      if (!broken) CHECK(!listed.empty());
     }
   CHECK_TEXT(brokenCaught, "listing before every holder synced was never caught");
 }
