--- a/traffic/exchange.cpp
+++ b/traffic/exchange.cpp
@@ -197,7 +197,8 @@
 Task<Piece> Exchange::read(string& out, Moment until) {
   if (!conn_) co_return Piece::broken;
   if (parser_->is_done()) co_return Piece::whole;
-  if (parser_->get().need_eof()) {
+  // The message would call every answer that closes one without an end of its own, chunked ones too.
+  if (parser_->need_eof()) {
     cut();
     co_return Piece::broken;
   }
