--- a/lots/replica_rules.hpp
+++ b/lots/replica_rules.hpp
@@ -53,4 +53,14 @@
   return all;
 }
 
+/// The stores for a recovery: `choose(barred)` gives the holders that would be left or taken. Stores that failed the
+/// writer are barred, unless too few others are there: then they may get a fresh copy once they are back, as the lot
+/// would stay without a writer for good.
+template <class Choose>
+vector<StoreRef> storesForRecovery(Choose choose, std::set<Identity> const& failed, std::size_t needed) {
+  vector<StoreRef> chosen = choose(failed);
+  if (chosen.size() < needed) chosen = choose(std::set<Identity>());
+  return chosen;
+}
+
 }  // namespace tealshelf
--- a/lots/reshape.cpp
+++ b/lots/reshape.cpp
@@ -120,8 +120,14 @@
     } catch (Error const&) {
     }
   }
-  vector<StoreRef> const possible = choose(r.id, bad, good, needed(), now);
-  if (good.empty() || possible.size() < std::min(needed(), r.holders.size())) co_return;
+  std::size_t const least = std::min(needed(), r.holders.size());
+  auto const chosen = [&](vector<StoreRef> const& have, std::size_t count) {
+    auto const without = [&](std::set<Identity> const& barred) {
+      return choose(r.id, barred, have, count, Clock::now());
+    };
+    return storesForRecovery(without, bad, least);
+  };
+  if (good.empty() || chosen(good, needed()).size() < least) co_return;
   // Only a node that still owns the keyspace, under the epoch it began with, may give a stamp.
   if (!driver_.consensus().owns(keyspaceOf(r.host)) || driver_.consensus().epochOf(keyspaceOf(r.host)) != epoch)
     co_return;
@@ -142,7 +148,7 @@
   vector<StoreRef> stay;
   for (StoreRef const& h : kept)
     if (!leaving.count(h.name)) stay.push_back(h);
-  vector<StoreRef> const more = choose(r.id, bad, stay, needed() + 1, Clock::now());
+  vector<StoreRef> const more = chosen(stay, needed() + 1);
   for (std::size_t i = stay.size(); i < more.size(); ++i) {
     n.holders = {more[i]};
     try {
--- a/tests/replica_rules_test.cpp
+++ b/tests/replica_rules_test.cpp
@@ -207,3 +207,22 @@
     }
   CHECK_TEXT(tooFew > 0, "a replica that lacks results was never taken for whole");
 }
+
+TEST(replicarules, aStoreThatFailedTheWriterMayGetAFreshCopy) {
+  StoreRef const writer{Identity(1), "a", "z1", {}}, failed{Identity(2), "b", "z2", {}},
+      spare{Identity(3), "c", "z3", {}};
+  std::set<Identity> const bad{failed.id};
+  auto const among = [&](vector<StoreRef> const& live) {
+    return [live](std::set<Identity> const& barred) {
+      vector<StoreRef> chosen;
+      for (StoreRef const& store : live)
+        if (!barred.count(store.id) && chosen.size() < 2) chosen.push_back(store);
+      return chosen;
+    };
+  };
+  // Alone with the writer it is taken again; the rule that bars it for good would leave the lot with one store.
+  CHECK((storesForRecovery(among({writer, failed}), bad, 2) == vector<StoreRef>{writer, failed}));
+  LONGS_EQUAL(1, among({writer, failed})(bad).size());
+  CHECK((storesForRecovery(among({writer, failed, spare}), bad, 2) == vector<StoreRef>{writer, spare}));
+  LONGS_EQUAL(1, storesForRecovery(among({writer}), bad, 2).size());
+}
