--- /dev/null
+++ b/apps/daemon.cpp
@@ -0,0 +1,89 @@
+#include "apps/daemon.hpp"
+
+#include "wire/tasks.hpp"
+
+#include <csignal>
+#include <iostream>
+
+namespace tealshelf {
+
+namespace {
+constexpr int exitBadArguments = 2, exitFailure = 3;
+
+/// Lets the daemon finish what is under way, for nine tenths of the grace at the most.
+Task<void> shutDown(asio::io_context& io, Settings const& settings, Daemon& daemon) {
+  TimePoint const startedAt = Clock::now();
+  Ms const limit = settings.bounds.grace * 9 / 10;
+  daemon.stop();
+  for (;;) {
+    auto const elapsed = Clock::now() - startedAt;
+    bool const waits = elapsed < daemon.minStopTime || (!daemon.isIdle() && elapsed < limit);
+    if (!waits) break;
+    co_await sleepFor(settings.bounds.step / 4);
+  }
+  io.stop();
+}
+
+/// Checks the settings file again at each SIGHUP; its values count from the next start on.
+void recheckSettingsOnHangUp(asio::signal_set& signals, Settings const& settings) {
+  signals.async_wait([&](error_code error, int) {
+    if (error) return;
+    try {
+      loadSettings(settings.path);
+      logInfo("settings", "the settings file was read again");
+    } catch (Error const& fault) {
+      logWarning("settings", fault.what());
+    }
+    recheckSettingsOnHangUp(signals, settings);
+  });
+}
+
+/// Runs until the context is stopped; what a handler throws ends no process.
+void runUntilStopped(asio::io_context& io) {
+  for (;;) {
+    try {
+      io.run();
+      return;
+    } catch (std::exception const& error) {
+      logError("run", error.what());
+    }
+  }
+}
+}  // namespace
+
+int runDaemon(string const& settingsPath, string const& logLevel,
+              std::function<void(asio::io_context&, Settings const&, Daemon&)> start) {
+  std::signal(SIGPIPE, SIG_IGN);
+  LogLevel level = LogLevel::info;
+  if (!parseLogLevel(logLevel, level)) {
+    std::cerr << Error(ErrorCode::badArguments, "log level " + logLevel).what() << "\n";
+    return exitBadArguments;
+  }
+  initLogging(level);
+  try {
+    Settings const settings = loadSettings(settingsPath);
+    for (string const& field : settings.unknownFields) logInfo("settings", "unknown field " + field + " is ignored");
+    asio::io_context io(1);
+    Daemon daemon;
+    start(io, settings, daemon);
+    asio::signal_set endSignals(io, SIGTERM, SIGINT), hangUpSignals(io, SIGHUP);
+    endSignals.async_wait([&](error_code error, int) {
+      if (error) return;
+      logInfo("run", "told to end");
+      spawnTask(io, "shutdown", shutDown(io, settings, daemon));
+    });
+    recheckSettingsOnHangUp(hangUpSignals, settings);
+    runUntilStopped(io);
+    logInfo("run", "ended");
+    // Tasks that are still under way would outlive what they refer to.
+    std::_Exit(0);
+  } catch (Error const& error) {
+    logError("run", error.what());
+    return exitStatusOf(error);
+  } catch (std::exception const& error) {
+    logError("run", error.what());
+    return exitFailure;
+  }
+}
+
+}  // namespace tealshelf
--- a/base/async_mutex.hpp
+++ b/base/async_mutex.hpp
@@ -6,8 +6,8 @@
 
 /// Lets one coroutine at a time into a section, in the order of their arrival.
 ///
-/// A coroutine that can't wait any more gets an error instead of the lock, so that one section that never ends
-/// doesn't let an endless queue build up behind it.
+/// A coroutine that can't wait any more gets an error instead of the lock, so that one section that never ends doesn't
+/// let an endless queue build up behind it.
 class AsyncMutex {
   struct Waiter {
     explicit Waiter(asio::io_context& io) : timer(io) {}
@@ -34,24 +34,24 @@
     std::shared_ptr<State> state_;
   };
 
-  AsyncMutex(asio::io_context& io, std::size_t mostWaiting) : io_(io), mostWaiting_(mostWaiting) {}
+  AsyncMutex(asio::io_context& io, std::size_t maxWaiting) : io_(io), maxWaiting_(maxWaiting) {}
 
-  /// Waits for the mutex; throws Code::busy if the queue is full or the limit has passed.
+  /// Waits for the mutex; throws ErrorCode::busy if the queue is full or the limit has passed.
   Task<Lock> lock(Ms limit) {
     std::shared_ptr<State> const state = state_;
     if (!state->locked) {
       state->locked = true;
       co_return Lock(state);
     }
-    if (state->waiters.size() >= mostWaiting_) throw Error(Code::busy, "the queue is full");
+    if (state->waiters.size() >= maxWaiting_) throw Error(ErrorCode::busy, "the queue is full");
     std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(io_);
     waiter->timer.expires_after(limit);
     state->waiters.push_back(waiter);
-    error_code ended;
-    co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, ended));
+    error_code ignored;
+    co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     if (waiter->granted) co_return Lock(state);
     std::erase(state->waiters, waiter);
-    throw Error(Code::busy, "the wait was too long");
+    throw Error(ErrorCode::busy, "the wait was too long");
   }
   bool locked() const { return state_->locked; }
   std::size_t waiting() const { return state_->waiters.size(); }
@@ -70,7 +70,7 @@
   }
 
   asio::io_context& io_;
-  std::size_t mostWaiting_;
+  std::size_t maxWaiting_;
   std::shared_ptr<State> state_ = std::make_shared<State>();
 };
 
--- /dev/null
+++ b/base/durable_log.cpp
@@ -0,0 +1,197 @@
+#include "base/durable_log.hpp"
+
+#include "base/disk_retry.hpp"
+
+namespace tealshelf {
+
+DiskLimits diskLimits(Settings const& settings, double share) {
+  constexpr std::int64_t minDiskMb = 8;
+  double const bytes = static_cast<double>(std::max(settings.diskMb, minDiskMb)) * (1 << 20);
+  Ms const inTouch = settings.bounds.inTouch;
+  return {static_cast<std::size_t>(bytes * share), inTouch / 4, inTouch / 3};
+}
+
+DurableLog::DurableLog(asio::io_context& io, string directory, DiskLimits limits, SnapshotSource snapshot,
+                       FileSystem& files)
+    : io_(io),
+      directory_(std::move(directory)),
+      limits_(limits),
+      snapshot_(std::move(snapshot)),
+      files_(files),
+      retryTimer_(io),
+      stallTimer_(io) {
+  recovered_ = retryUntilDiskWorks(directory_, limits_.maxRetryPause, [this] { return readLog(files_, directory_); });
+  writer_ = std::make_unique<LogWriter>(files_, directory_, recovered_.lastNumber);
+  stateSize_ = recovered_.totalBytes;
+  thread_ = std::thread([this] { run(); });
+}
+
+DurableLog::~DurableLog() {
+  *alive_ = false;
+  {
+    std::lock_guard<std::mutex> const guard(mutex_);
+    stopping_ = true;
+  }
+  wake_.notify_one();
+  thread_.join();
+}
+
+void DurableLog::append(string const& record) {
+  // A snapshot that is to come holds the record's change.
+  if (mustRenew_) return;
+  gathered_.encodedRecords += encodeRecord(record);
+  if (gathered_.encodedRecords.size() <= limits_.maxLogSize(stateSize_)) return;
+  mustRenew_ = true;
+  string().swap(gathered_.encodedRecords);
+}
+
+void DurableLog::whenSynced(std::function<void()> callback) {
+  gathered_.callbacks.push_back(std::move(callback));
+  startJob();
+}
+
+Task<void> DurableLog::waitSynced() {
+  struct Waiter {
+    explicit Waiter(asio::io_context& io) : timer(io) {}
+    asio::steady_timer timer;
+    bool synced = false;
+  };
+  std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(io_);
+  whenSynced([waiter] {
+    waiter->synced = true;
+    waiter->timer.cancel();
+  });
+  error_code ignored;
+  while (!waiter->synced) {
+    if (!healthy()) throw Error(ErrorCode::diskUnavailable, directory_);
+    waiter->timer.expires_after(limits_.stallTimeout / 2);
+    co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+  }
+}
+
+void DurableLog::startJob() {
+  bool const pausing = state_ == DiskState::failing && retryPause_ > Ms(0);
+  if (jobRunning_ || pausing) return;
+  bool const nothingToDo = gathered_.encodedRecords.empty() && gathered_.callbacks.empty();
+  if (nothingToDo && healthy()) return;
+  Job job = takeJob();
+  jobRunning_ = true;
+  jobStartedAt_ = Clock::now();
+  watchForStall();
+  {
+    std::lock_guard<std::mutex> const guard(mutex_);
+    nextJob_ = std::move(job);
+  }
+  wake_.notify_one();
+}
+
+DurableLog::Job DurableLog::takeJob() {
+  Job job = std::exchange(gathered_, Job());
+  job.renews = mustRenew_ || logSize_ + job.encodedRecords.size() > limits_.maxLogSize(stateSize_);
+  mustRenew_ = false;
+  if (!job.renews) {
+    logSize_ += encodeBatch("").size() + job.encodedRecords.size();
+    return job;
+  }
+  string().swap(job.encodedRecords);
+  job.snapshotRecords = snapshot_();
+  stateSize_ = 0;
+  for (string const& record : job.snapshotRecords) stateSize_ += encodeRecord("").size() + record.size();
+  logSize_ = 0;
+  return job;
+}
+
+void DurableLog::run() {
+  for (;;) {
+    std::shared_ptr<Job> const job = std::make_shared<Job>();
+    {
+      std::unique_lock<std::mutex> guard(mutex_);
+      wake_.wait(guard, [this] { return stopping_ || nextJob_; });
+      if (!nextJob_) return;
+      *job = std::move(*nextJob_);
+      nextJob_.reset();
+    }
+    JobResult const result = carryOut(*job);
+    asio::post(io_, [this, job, result, alive = alive_] {
+      if (*alive) finishJob(*job, result);
+    });
+  }
+}
+
+DurableLog::JobResult DurableLog::carryOut(Job& job) {
+  TimePoint const startedAt = Clock::now();
+  JobResult result;
+  if (job.renews) {
+    if (files_.makeDirectory(directory_) && errno != EEXIST) result.error = errno;
+    if (!result.error) result.error = writer_->renew(std::move(job.snapshotRecords));
+    result.removalError = writer_->removalError();
+  } else if (!job.encodedRecords.empty()) {
+    result.error = writer_->append(job.encodedRecords);
+  }
+  result.took = std::chrono::duration_cast<Ms>(Clock::now() - startedAt);
+  return result;
+}
+
+void DurableLog::finishJob(Job& job, JobResult const& result) {
+  jobRunning_ = false;
+  lastSyncTook_ = result.took;
+  if (result.error) return failJob(job, result.error);
+  retryPause_ = Ms(0);
+  setState(DiskState::healthy);
+  if (result.removalError)
+    logWarning("disk", directory_ + ": an old file can't be removed: " + std::strerror(result.removalError));
+  for (std::function<void()> const& callback : job.callbacks) callback();
+  startJob();
+}
+
+/// Nothing of the job counts as synced. Its callbacks wait for the snapshot that comes next.
+void DurableLog::failJob(Job& job, int error) {
+  lastError_ = error;
+  mustRenew_ = true;
+  gathered_.encodedRecords.clear();
+  gathered_.callbacks.insert(gathered_.callbacks.begin(), std::make_move_iterator(job.callbacks.begin()),
+                             std::make_move_iterator(job.callbacks.end()));
+  setState(DiskState::failing);
+  retryLater();
+}
+
+void DurableLog::retryLater() {
+  retryPause_ = nextRetryPause(retryPause_, limits_.maxRetryPause);
+  retryTimer_.expires_after(retryPause_);
+  retryTimer_.async_wait([this, alive = alive_](error_code) {
+    if (!*alive) return;
+    // Without a pause the job starts; its length is kept for the next failure.
+    Ms const pause = std::exchange(retryPause_, Ms(0));
+    startJob();
+    retryPause_ = pause;
+  });
+}
+
+/// Finds a disk that doesn't answer.
+void DurableLog::watchForStall() {
+  if (watching_) return;
+  watching_ = true;
+  stallTimer_.expires_at(jobStartedAt_ + limits_.stallTimeout);
+  stallTimer_.async_wait([this, alive = alive_](error_code) {
+    if (!*alive) return;
+    watching_ = false;
+    if (!jobRunning_) return;
+    if (Clock::now() - jobStartedAt_ < limits_.stallTimeout) return watchForStall();
+    setState(DiskState::stalled);
+  });
+}
+
+void DurableLog::setState(DiskState state) {
+  bool const wasHealthy = healthy();
+  state_ = state;
+  if (wasHealthy == healthy()) return;
+  if (healthy()) {
+    logInfo("disk", directory_ + ": the disk takes writes again");
+    return;
+  }
+  Error const problem(ErrorCode::diskUnavailable,
+                      state == DiskState::stalled ? "no answer" : std::strerror(lastError_));
+  logWarning("disk", directory_ + ": " + problem.what());
+}
+
+}  // namespace tealshelf
--- a/base/errors.hpp
+++ b/base/errors.hpp
@@ -5,58 +5,59 @@
 
 namespace tealshelf {
 
-/// What sort of error it is; status and reason of an answer follow from it.
-enum class Kind {
+/// What sort of error it is; status and reason of an answer follow from it. Only `rejected` and `unavailable`,
+/// `overQuota` and `slowSender` promise that nothing ran or will run (503, 429, 408).
+enum class ErrorKind {
   badInput,
   notFound,
-  wrongVerb,
+  methodNotAllowed,
   conflict,
-  stale,
+  preconditionFailed,
   tooLarge,
-  headTooLarge,
+  headersTooLarge,
   slowSender,
   overQuota,
-  refused,
-  notNow,
-  unclear,
-  late,
+  rejected,
+  unavailable,
+  undetermined,
+  timeout,
   badSettings,
   disk
 };
 
 /// Numbered result codes; docs/errors.md holds the table.
-enum class Code : int {
+enum class ErrorCode : int {
   unreadable = 100,
   unknownService = 101,
-  samePlace = 102,
-  noWeight = 103,
-  noTimeLimit = 104,
+  duplicateRoute = 102,
+  zeroWeights = 103,
+  zeroTimeLimit = 104,
   oldVersion = 105,
   wrongType = 106,
   outOfRange = 107,
   badPrefix = 108,
-  lostRace = 109,
-  badMatch = 110,
-  orderTooOld = 111,
-  orderOpen = 112,
+  versionConflict = 109,
+  badIfMatch = 110,
+  changeTooOld = 111,
+  changeUndecided = 112,
   noRoute = 200,
-  headTooLong = 201,
+  headersTooLong = 201,
   bodyTooLong = 202,
-  slowHead = 203,
-  badHead = 204,
+  slowHeaders = 203,
+  badHeaders = 204,
   noWorker = 205,
   workersFull = 206,
-  workerBroke = 207,
+  workerFailed = 207,
   deadlinePassed = 208,
-  deadlineBroken = 209,
-  unhealthy = 210,
+  deadlineExceeded = 209,
+  notReady = 210,
   lotUnreadable = 300,
-  lotTooMany = 301,
-  lotTwice = 302,
-  lotBadBody = 303,
+  lotTooManyItems = 301,
+  duplicateItem = 302,
+  badItemPayload = 303,
   lotOverQuota = 304,
   lotUnknown = 305,
-  lotUnsure = 306,
+  lotStateUnknown = 306,
   itemUnknown = 307,
   noStores = 308,
   staleStamp = 309,
@@ -65,17 +66,17 @@
   noQuorum = 401,
   notMember = 402,
   unknownNode = 403,
-  tooFewLeft = 404,
-  lateBeat = 405,
-  badBeat = 406,
+  tooFewStores = 404,
+  lateHeartbeat = 405,
+  badHeartbeat = 406,
   badId = 407,
   badRetirement = 408,
-  wrongVerb = 409,
-  noResource = 410,
+  methodNotAllowed = 409,
+  unknownPath = 410,
   busy = 411,
-  noPath = 500,
-  connectionBroke = 501,
-  timeUp = 502,
+  notConnected = 500,
+  connectionLost = 501,
+  timedOut = 502,
   badMessage = 503,
   otherProtocol = 504,
   wrongProcess = 505,
@@ -88,41 +89,42 @@
   recordCorrupt = 604,
   badArguments = 605,
   unknownFormat = 606,
-  diskRefuses = 607
+  diskUnavailable = 607
 };
 
 /// One line of the table of codes.
-struct CodeLine {
-  Code code;
-  Kind kind;
+struct ErrorInfo {
+  ErrorCode code;
+  ErrorKind kind;
   std::string_view text;
 };
 
 /// The table, in order of number.
-extern CodeLine const* const codeTable;
-extern std::size_t const codeCount;
-CodeLine const& lineOf(Code c);
+extern ErrorInfo const* const errorTable;
+extern std::size_t const errorTableSize;
+/// The line of a code; the first line for a number that isn't in the table.
+ErrorInfo const& errorInfo(ErrorCode code);
 
 /// Status of an answer for a kind of error.
-int statusOf(Kind k);
+int httpStatusOf(ErrorKind kind);
 /// Reason phrase of an answer for a kind of error.
-std::string_view reasonOf(Kind k);
+std::string_view httpReasonOf(ErrorKind kind);
 
 class Error;
 /// The status a process ends with on an error at its start: 2 for bad settings, 4 for state files
 /// of an unknown format, 3 for a disk.
 int exitStatusOf(Error const& error);
 
-/// Every error of tealshelf.
+/// Every error of tealshelf. Its text holds the number, the line of the table, and a detail if there is one.
 class Error : public std::runtime_error {
  public:
-  explicit Error(Code c, std::string const& more = "");
-  Code code() const { return code_; }
-  Kind kind() const { return lineOf(code_).kind; }
-  int status() const { return statusOf(kind()); }
+  explicit Error(ErrorCode code, std::string const& detail = "");
+  ErrorCode code() const { return code_; }
+  ErrorKind kind() const { return errorInfo(code_).kind; }
+  int status() const { return httpStatusOf(kind()); }
 
  private:
-  Code code_;
+  ErrorCode code_;
 };
 
 }  // namespace tealshelf
--- a/base/log_format.hpp
+++ b/base/log_format.hpp
@@ -1,48 +1,50 @@
 #pragma once
-#include "base/files.hpp"
+#include "base/file_system.hpp"
 
+/// The format of logs on disk (docs/formats.md). A log is a directory with a snapshot and a log file of the same
+/// number; after a crash, older files may still be there.
 namespace tealshelf {
 
-/// The version of the format that this release writes. Version 0 is the format without a header
-/// of earlier releases; it is read and then replaced by a snapshot in the present one.
+/// The version of the format that this release writes. Version 0 is the format without a header of earlier releases; it
+/// is read and then replaced by a snapshot in the present one.
 constexpr std::uint32_t logFormat = 1;
 
-/// What a file in the folder of a log is.
+/// What a file in the directory of a log is.
 enum class LogFileKind : std::uint32_t { snapshot = 1, log = 2 };
 
-/// What reading a folder of logs found.
-struct Found {
-  vector<string> records;    ///< snapshot records, then log records, in order
-  std::uint64_t torn = 0;    ///< bytes cut from a tail that was never synced
-  vector<string> corrupt;    ///< places where records that had been synced are broken or missing
-  std::uint64_t lastNo = 0;  ///< highest number of a file
-  std::uint64_t bytes = 0;
+/// A numbered file of a directory.
+struct LogFile {
+  LogFileKind kind;
+  std::uint64_t number;
 };
 
-/// Reads a folder without changing it. Throws unknownFormat for a format that this release doesn't
-/// know, and diskFailed where the disk refuses to be read.
-///
-/// A log is a row of batches, and a batch is written only once the one before it is synced. So
-/// damage with a batch after it is a loss of synced records (corrupt); damage in the last batch is
-/// taken for a write that a loss of power tore.
-Found readLogs(FileLayer& files, string const& folder);
-Found readLogs(string const& folder);
-
 /// One record with its length and checksum, as a batch holds it.
-string framed(string_view record);
-/// The head of a file.
-string fileHead(LogFileKind kind);
-/// A batch of framed records, written in one go and synced as one.
-string batchOf(string_view framedRecords);
+string encodeRecord(string_view record);
+string encodeFileHeader(LogFileKind kind);
+/// A batch of encoded records, written in one go and synced as one.
+string encodeBatch(string_view encodedRecords);
 /// The path of a numbered file.
-string logPath(string const& folder, LogFileKind kind, std::uint64_t number);
+string logFilePath(string const& directory, LogFileKind kind, std::uint64_t number);
+/// The numbered files of a directory in rising order; throws diskFailed.
+vector<LogFile> listLogFiles(FileSystem& files, string const& directory);
 
-/// A numbered file of a folder.
-struct LogFile {
-  LogFileKind kind;
-  std::uint64_t number;
-};
-/// The numbered files of a folder in rising order; throws diskFailed.
-vector<LogFile> logFiles(FileLayer& files, string const& folder);
+/// The parts of a log file, for its reader.
+namespace log_format {
+
+inline constexpr string_view fileMark = "TSLG", batchMark = "TSBT";
+inline constexpr std::size_t fileHeaderSize = 16, batchHeaderSize = 12, recordHeaderSize = 8;
+
+std::uint32_t checksum(string_view bytes);
+/// The number at a place. REQUIRES: place + 4 <= bytes.size().
+std::uint32_t numberAt(string_view bytes, std::size_t place);
+
+enum class RecordState { good, damaged, cut };
+/// Looks at the record at a place; `next` is where the one after it begins.
+RecordState recordAt(string_view bytes, std::size_t place, std::size_t& next);
+/// True if an undamaged header of a batch stands at a place.
+bool isBatchHeader(string_view bytes, std::size_t place);
+/// Where the next undamaged header of a batch stands; npos if there is none.
+std::size_t findBatch(string_view bytes, std::size_t from);
 
+}  // namespace log_format
 }  // namespace tealshelf
--- a/base/settings.cpp
+++ b/base/settings.cpp
@@ -6,187 +6,234 @@
 namespace tealshelf {
 
 namespace {
-using Put = std::function<bool(Settings&, string const&)>;
-
-bool toReal(string const& s, double& out) {
-  char* e = nullptr;
-  out = std::strtod(s.c_str(), &e);
-  return !s.empty() && e && !*e && out >= 0 && out < 1e15;
-}
-Put whole(std::int64_t Settings::*f, std::int64_t lo, std::int64_t hi) {
-  return [=](Settings& b, string const& s) {
-    std::uint64_t v = 0;
-    if (!readNumber(s, v) || static_cast<std::int64_t>(v) < lo || static_cast<std::int64_t>(v) > hi) return false;
-    b.*f = static_cast<std::int64_t>(v);
+constexpr char const* pathVariable = "TEALSHELF_BOOT";
+constexpr char const* usualPath = "/etc/tealshelf/boot.conf";
+constexpr std::uint64_t maxPort = 65535;
+/// The control, store and relay servers each use one of the internal ports.
+constexpr std::uint64_t internalServers = 3;
+constexpr double maxReal = 1e15;
+constexpr double maxDurationMs = 1e12;
+constexpr std::int64_t maxCount = 1 << 24;
+constexpr std::int64_t maxLosses = 1000;
+
+/// Reads the value of one field; false if the value is bad.
+using FieldParser = std::function<bool(Settings&, string const& value)>;
+
+std::optional<double> parseReal(string const& text) {
+  char* end = nullptr;
+  double const value = std::strtod(text.c_str(), &end);
+  bool const whole = !text.empty() && end && !*end;
+  if (!whole || !(value >= 0 && value < maxReal)) return std::nullopt;
+  return value;
+}
+
+FieldParser textField(string Settings::*field) {
+  return [field](Settings& settings, string const& value) {
+    settings.*field = value;
     return true;
   };
 }
-Put span(std::int64_t Bounds::*f, double unit) {
-  return [=](Settings& b, string const& s) {
-    double v = 0;
-    if (!toReal(s, v) || v * unit > 1e12) return false;
-    b.bounds.*f = static_cast<std::int64_t>(v * unit);
+
+FieldParser listField(vector<string> Settings::*field) {
+  return [field](Settings& settings, string const& value) {
+    settings.*field = split(value, ',');
     return true;
   };
 }
-Put text(string Settings::*f) {
-  return [=](Settings& b, string const& s) {
-    b.*f = s;
+
+FieldParser numberField(std::int64_t Settings::*field, std::int64_t least, std::int64_t most) {
+  return [field, least, most](Settings& settings, string const& value) {
+    std::optional<std::uint64_t> const parsed = parseNumber(value);
+    if (!parsed) return false;
+    std::int64_t const number = static_cast<std::int64_t>(*parsed);
+    if (number < least || number > most) return false;
+    settings.*field = number;
     return true;
   };
 }
-Put list(vector<string> Settings::*f) {
-  return [=](Settings& b, string const& s) {
-    b.*f = split(s, ',');
-    return true;
+
+FieldParser flagField(bool Settings::*field) {
+  return [field](Settings& settings, string const& value) {
+    settings.*field = value == "true";
+    return value == "true" || value == "false";
   };
 }
-Put addr(Addr Settings::*f) {
-  return [=](Settings& b, string const& s) { return readAddr(s, b.*f); };
+
+FieldParser addressField(Address Settings::*field) {
+  return [field](Settings& settings, string const& value) {
+    std::optional<Address> const address = parseAddress(value);
+    if (address) settings.*field = *address;
+    return address.has_value();
+  };
 }
-Put flag(bool Settings::*f) {
-  return [=](Settings& b, string const& s) {
-    b.*f = s == "true";
-    return s == "true" || s == "false";
+
+FieldParser boundField(Ms Bounds::*field, Ms unit) {
+  return [field, unit](Settings& settings, string const& value) {
+    std::optional<double> const count = parseReal(value);
+    double const unitMs = static_cast<double>(unit.count());
+    if (!count || *count * unitMs > maxDurationMs) return false;
+    settings.bounds.*field = Ms(static_cast<std::int64_t>(*count * unitMs));
+    return true;
   };
 }
 
-std::map<string, Put> const& fields() {
-  static std::map<string, Put> const m = {
-      {"nodeName", text(&Settings::nodeName)},
-      {"role", text(&Settings::role)},
-      {"machineClass", text(&Settings::machineClass)},
-      {"serves", list(&Settings::serves)},
-      {"ipAddress", text(&Settings::ip)},
-      {"zone", text(&Settings::zone)},
-      {"region", text(&Settings::region)},
-      {"listenOn.outside", addr(&Settings::outside)},
-      {"listenOn.readiness", addr(&Settings::readiness)},
-      {"listenOn.control", addr(&Settings::control)},
-      {"internalPorts",
-       [](Settings& b, string const& s) {
-         vector<string> const p = split(s, ',');
-         std::uint64_t x = 0, y = 0;
-         if (p.size() != 2 || !readNumber(p[0], x) || !readNumber(p[1], y) || !x || x + 2 > y || y > 65535)
-           return false;
-         b.firstPort = static_cast<int>(x);
-         b.lastPort = static_cast<int>(y);
-         return true;
-       }},
-      {"seedNodes",
-       [](Settings& b, string const& s) {
-         b.seeds.clear();
-         for (string const& t : split(s, ',')) {
-           Addr a;
-           if (!readAddr(t, a)) return false;
-           b.seeds.push_back(a);
-         }
-         return true;
-       }},
-      {"firstBoot", flag(&Settings::firstStart)},
-      {"countsAsLoss", flag(&Settings::countsAsLoss)},
+bool parseInternalPorts(Settings& settings, string const& value) {
+  vector<string> const parts = split(value, ',');
+  if (parts.size() != 2) return false;
+  std::optional<std::uint64_t> const first = parseNumber(parts[0]);
+  std::optional<std::uint64_t> const last = parseNumber(parts[1]);
+  if (!first || !last || !*first || *first + internalServers - 1 > *last || *last > maxPort) return false;
+  settings.firstInternalPort = static_cast<int>(*first);
+  settings.lastInternalPort = static_cast<int>(*last);
+  return true;
+}
+
+bool parseSeeds(Settings& settings, string const& value) {
+  settings.seeds.clear();
+  for (string const& part : split(value, ',')) {
+    std::optional<Address> const address = parseAddress(part);
+    if (!address) return false;
+    settings.seeds.push_back(*address);
+  }
+  return true;
+}
+
+bool parseReportEvery(Settings& settings, string const& value) {
+  std::optional<std::uint64_t> const milliseconds = parseNumber(value);
+  if (!milliseconds || *milliseconds < 1 || *milliseconds > static_cast<std::uint64_t>(maxCount)) return false;
+  settings.reportEvery = Ms(static_cast<std::int64_t>(*milliseconds));
+  return true;
+}
+
+std::map<string, FieldParser> const& fieldParsers() {
+  constexpr Ms second{1000}, millisecond{1};
+  static std::map<string, FieldParser> const parsers = {
+      {"nodeName", textField(&Settings::nodeName)},
+      {"role", textField(&Settings::role)},
+      {"machineClass", textField(&Settings::machineClass)},
+      {"serves", listField(&Settings::serves)},
+      {"ipAddress", textField(&Settings::ip)},
+      {"zone", textField(&Settings::zone)},
+      {"region", textField(&Settings::region)},
+      {"listenOn.outside", addressField(&Settings::outside)},
+      {"listenOn.readiness", addressField(&Settings::readiness)},
+      {"listenOn.control", addressField(&Settings::control)},
+      {"internalPorts", parseInternalPorts},
+      {"seedNodes", parseSeeds},
+      {"firstBoot", flagField(&Settings::firstBoot)},
+      {"countsAsLoss", flagField(&Settings::countsAsLoss)},
       {"limits.cpuFraction",
-       [](Settings& b, string const& s) { return toReal(s, b.cpuFraction) && b.cpuFraction > 0; }},
-      {"limits.cpuCores", whole(&Settings::cpuCores, 1, 4096)},
-      {"limits.memoryMb", whole(&Settings::memoryMb, 1, 1 << 24)},
-      {"limits.openFiles", whole(&Settings::openFiles, 64, 1 << 24)},
-      {"limits.networkMbps",
-       [](Settings&, string const& s) {
-         double v = 0;
-         return toReal(s, v);
+       [](Settings& settings, string const& value) {
+         std::optional<double> const fraction = parseReal(value);
+         if (fraction) settings.cpuFraction = *fraction;
+         return fraction && *fraction > 0;
+       }},
+      {"limits.cpuCores", numberField(&Settings::cpuCores, 1, 4096)},
+      {"limits.memoryMb", numberField(&Settings::memoryMb, 1, maxCount)},
+      {"limits.openFiles", numberField(&Settings::openFiles, 64, maxCount)},
+      {"limits.networkMbps", [](Settings&, string const& value) { return parseReal(value).has_value(); }},
+      {"limits.diskMb", numberField(&Settings::diskMb, 0, 1 << 30)},
+      {"dataFolder", textField(&Settings::dataFolder)},
+      {"discovery", textField(&Settings::discovery)},
+      {"entry", textField(&Settings::entry)},
+      {"reportEveryMs", parseReportEvery},
+      {"rulesInForce", listField(&Settings::rulesInForce)},
+      {"survive.machines", numberField(&Settings::surviveMachines, 0, maxLosses)},
+      {"survive.zones", numberField(&Settings::surviveZones, 0, maxLosses)},
+      {"survive.regions", numberField(&Settings::surviveRegions, 0, maxLosses)},
+      {"bounds.seedDelayS", boundField(&Bounds::seedDelay, second)},
+      {"bounds.reuseAfterS", boundField(&Bounds::reuseAfter, second)},
+      {"bounds.inTouchMs", boundField(&Bounds::inTouch, millisecond)},
+      {"bounds.confirmWithinMs", boundField(&Bounds::confirmWithin, millisecond)},
+      {"bounds.catchUpS", boundField(&Bounds::catchUp, second)},
+      {"bounds.drainMs", boundField(&Bounds::drain, millisecond)},
+      {"bounds.graceS", boundField(&Bounds::grace, second)},
+      {"bounds.slackMs", boundField(&Bounds::slack, millisecond)},
+      {"bounds.applyWithinMs", boundField(&Bounds::applyWithin, millisecond)},
+      {"bounds.revertSlackMs", boundField(&Bounds::revertSlack, millisecond)},
+      {"bounds.stretchLimitMs", boundField(&Bounds::stretchLimit, millisecond)},
+      {"bounds.recoverS", boundField(&Bounds::recover, second)},
+      {"bounds.stepMs", boundField(&Bounds::step, millisecond)},
+      {"bounds.finishWithinS", boundField(&Bounds::finishWithin, second)},
+      {"bounds.statusEveryS", boundField(&Bounds::statusEvery, second)},
+      {"bounds.cancelWithinMs", boundField(&Bounds::cancelWithin, millisecond)},
+      {"bounds.settleWithinMs", boundField(&Bounds::settleWithin, millisecond)},
+      {"bounds.quotaOverrun",
+       [](Settings& settings, string const& value) {
+         std::optional<double> const overrun = parseReal(value);
+         if (overrun) settings.bounds.quotaOverrun = *overrun;
+         return overrun.has_value();
        }},
-      {"limits.diskMb", whole(&Settings::diskMb, 0, 1 << 30)},
-      {"dataFolder", text(&Settings::dataFolder)},
-      {"discovery", text(&Settings::discovery)},
-      {"entry", text(&Settings::entry)},
-      {"reportEveryMs", whole(&Settings::reportEvery, 1, 1 << 24)},
-      {"rulesInForce", list(&Settings::rulesInForce)},
-      {"survive.machines", whole(&Settings::surviveMachines, 0, 1000)},
-      {"survive.zones", whole(&Settings::surviveZones, 0, 1000)},
-      {"survive.regions", whole(&Settings::surviveRegions, 0, 1000)},
-      {"bounds.seedDelayS", span(&Bounds::seedDelay, 1000)},
-      {"bounds.reuseAfterS", span(&Bounds::reuseAfter, 1000)},
-      {"bounds.inTouchMs", span(&Bounds::inTouch, 1)},
-      {"bounds.confirmWithinMs", span(&Bounds::confirmWithin, 1)},
-      {"bounds.catchUpS", span(&Bounds::catchUp, 1000)},
-      {"bounds.drainMs", span(&Bounds::drain, 1)},
-      {"bounds.graceS", span(&Bounds::grace, 1000)},
-      {"bounds.slackMs", span(&Bounds::slack, 1)},
-      {"bounds.applyWithinMs", span(&Bounds::applyWithin, 1)},
-      {"bounds.revertSlackMs", span(&Bounds::revertSlack, 1)},
-      {"bounds.stretchLimitMs", span(&Bounds::stretchLimit, 1)},
-      {"bounds.recoverS", span(&Bounds::recover, 1000)},
-      {"bounds.stepMs", span(&Bounds::step, 1)},
-      {"bounds.finishWithinS", span(&Bounds::finishWithin, 1000)},
-      {"bounds.statusEveryS", span(&Bounds::statusEvery, 1000)},
-      {"bounds.cancelWithinMs", span(&Bounds::cancelWithin, 1)},
-      {"bounds.settleWithinMs", span(&Bounds::settleWithin, 1)},
-      {"bounds.quotaOverrun", [](Settings& b, string const& s) { return toReal(s, b.bounds.quotaOverrun); }},
   };
-  return m;
+  return parsers;
+}
+
+/// Reads one line; gives what is wrong with it, or nothing.
+std::optional<string> readLine(Settings& settings, string const& line) {
+  static string const zonePrefix = "zones.";
+  std::size_t const equals = line.find('=');
+  if (equals == string::npos) return "no '=' in the line";
+  string const field = line.substr(0, equals), value = line.substr(equals + 1);
+  if (field.rfind(zonePrefix, 0) == 0) {
+    settings.zones[field.substr(zonePrefix.size())] = value;
+    return std::nullopt;
+  }
+  auto const parser = fieldParsers().find(field);
+  if (parser == fieldParsers().end()) {
+    settings.unknownFields.push_back(field);
+    return std::nullopt;
+  }
+  if (parser->second(settings, value)) return std::nullopt;
+  return field + " can't be " + value;
 }
 }  // namespace
 
-bool readAddr(std::string_view s, Addr& out) {
-  std::size_t const c = s.rfind(':');
-  if (c == string_view::npos) return false;
-  std::uint64_t p = 0;
-  error_code e;
-  asio::ip::make_address(string(s.substr(0, c)), e);
-  if (e || !readNumber(s.substr(c + 1), p) || !p || p > 65535) return false;
-  out = {string(s.substr(0, c)), static_cast<int>(p)};
-  return true;
+std::optional<Address> parseAddress(std::string_view text) {
+  std::size_t const colon = text.rfind(':');
+  if (colon == string_view::npos) return std::nullopt;
+  string const ip(text.substr(0, colon));
+  error_code error;
+  asio::ip::make_address(ip, error);
+  std::optional<std::uint64_t> const port = parseNumber(text.substr(colon + 1));
+  if (error || !port || !*port || *port > maxPort) return std::nullopt;
+  return Address{ip, static_cast<int>(*port)};
 }
 
-bool Settings::servesKind(std::string_view s) const {
-  return std::find(serves.begin(), serves.end(), s) != serves.end();
+bool Settings::isServing(std::string_view kind) const {
+  return std::find(serves.begin(), serves.end(), kind) != serves.end();
 }
 
 Settings readSettings(string const& text, vector<SettingsFault>& faults) {
-  Settings b;
-  std::istringstream in(text);
-  string l;
-  for (int n = 1; std::getline(in, l); ++n) {
-    while (!l.empty() && (l.back() == '\r' || l.back() == ' ')) l.pop_back();
-    if (l.empty() || l[0] == '#') continue;
-    std::size_t const q = l.find('=');
-    if (q == string::npos) {
-      faults.push_back({n, "no '=' in the line"});
-      continue;
-    }
-    string const k = l.substr(0, q), v = l.substr(q + 1);
-    if (k.rfind("zones.", 0) == 0) {
-      b.zones[k.substr(6)] = v;
-      continue;
-    }
-    std::map<string, Put>::const_iterator const f = fields().find(k);
-    if (f == fields().end())
-      b.unknown.push_back(k);
-    else if (!f->second(b, v))
-      faults.push_back({n, string(k).append(" can't be ").append(v)});
+  Settings settings;
+  std::istringstream input(text);
+  string line;
+  for (int number = 1; std::getline(input, line); ++number) {
+    while (!line.empty() && (line.back() == '\r' || line.back() == ' ')) line.pop_back();
+    if (line.empty() || line[0] == '#') continue;
+    if (std::optional<string> const fault = readLine(settings, line)) faults.push_back({number, *fault});
   }
-  if (b.nodeName.empty()) faults.push_back({0, "nodeName is missing"});
-  if (b.ip.empty()) faults.push_back({0, "ipAddress is missing"});
-  if (!b.firstPort) faults.push_back({0, "internalPorts is missing"});
-  if (b.seeds.empty()) faults.push_back({0, "seedNodes is missing"});
-  return b;
+  if (settings.nodeName.empty()) faults.push_back({0, "nodeName is missing"});
+  if (settings.ip.empty()) faults.push_back({0, "ipAddress is missing"});
+  if (!settings.firstInternalPort) faults.push_back({0, "internalPorts is missing"});
+  if (settings.seeds.empty()) faults.push_back({0, "seedNodes is missing"});
+  return settings;
 }
 
 Settings loadSettings(string path) {
   if (path.empty()) {
-    char const* p = std::getenv("TEALSHELF_BOOT");
-    path = p ? p : "/etc/tealshelf/boot.conf";
+    char const* const named = std::getenv(pathVariable);
+    path = named ? named : usualPath;
   }
-  std::ifstream f(path);
-  if (!f) throw Error(Code::settingsMissing, path);
-  std::stringstream s;
-  s << f.rdbuf();
+  std::ifstream file(path);
+  if (!file) throw Error(ErrorCode::settingsMissing, path);
+  std::stringstream text;
+  text << file.rdbuf();
   vector<SettingsFault> faults;
-  Settings b = readSettings(s.str(), faults);
+  Settings settings = readSettings(text.str(), faults);
   if (!faults.empty())
-    throw Error(Code::settingsInvalid, "line " + std::to_string(faults[0].line) + ": " + faults[0].text);
-  b.path = path;
-  return b;
+    throw Error(ErrorCode::settingsInvalid, "line " + std::to_string(faults[0].line) + ": " + faults[0].text);
+  settings.path = path;
+  return settings;
 }
 
 }  // namespace tealshelf
--- a/base/settings.hpp
+++ b/base/settings.hpp
@@ -1,59 +1,68 @@
 #pragma once
+#include <chrono>
+#include <cstdint>
 #include <map>
 #include <string>
+#include <string_view>
 #include <vector>
 
+/// The settings file of a process (docs/settings.md).
 namespace tealshelf {
 
-/// An address of the wire: IP and port.
-struct Addr {
+/// IP and port.
+struct Address {
   std::string ip;
   int port = 0;
-  auto operator<=>(Addr const&) const = default;
+  auto operator<=>(Address const&) const = default;
   std::string text() const { return ip + ":" + std::to_string(port); }
   MSGPACK_DEFINE(ip, port)
 };
-/// Reads IP:PORT; false if it is anything else.
-bool readAddr(std::string_view s, Addr& out);
+/// Reads IP:PORT; nothing if the text is anything else.
+std::optional<Address> parseAddress(std::string_view text);
 
-/// The bounds of the deployment, in milliseconds unless the name says otherwise.
+/// The bounds of the deployment, under the names of the settings file without their units.
 struct Bounds {
-  std::int64_t seedDelay = 3000, reuseAfter = 2000, inTouch = 3000, confirmWithin = 4000, catchUp = 5000, drain = 2000,
-               grace = 8000, slack = 200, applyWithin = 2000, revertSlack = 250, stretchLimit = 5000, recover = 12000,
-               step = 120, finishWithin = 10000, statusEvery = 120000, cancelWithin = 3000, settleWithin = 1000;
+  using Ms = std::chrono::milliseconds;
+  Ms seedDelay{3000}, reuseAfter{2000}, inTouch{3000}, confirmWithin{4000}, catchUp{5000}, drain{2000}, grace{8000},
+      slack{200}, applyWithin{2000}, revertSlack{250}, stretchLimit{5000}, recover{12000}, step{120},
+      finishWithin{10000}, statusEvery{120000}, cancelWithin{3000}, settleWithin{1000};
   double quotaOverrun = 0.1;
 };
 
 /// What a process is told at its start.
 struct Settings {
+  using Ms = std::chrono::milliseconds;
   std::string path, nodeName, role, machineClass, ip, zone, region, dataFolder, discovery, entry;
   std::vector<std::string> serves, rulesInForce;
   std::map<std::string, std::string> zones;  ///< zone to region
-  Addr outside, readiness, control;
-  int firstPort = 0, lastPort = 0;
-  std::vector<Addr> seeds;
-  bool firstStart = false, countsAsLoss = false;
+  Address outside, readiness, control;
+  int firstInternalPort = 0, lastInternalPort = 0;
+  std::vector<Address> seeds;
+  bool firstBoot = false;     ///< the whole system starts for the first time
+  bool countsAsLoss = false;  ///< of this machine, towards what must be survived
   double cpuFraction = 1;
-  std::int64_t cpuCores = 1, memoryMb = 256, openFiles = 1024, diskMb = 0, reportEvery = 1000;
+  std::int64_t cpuCores = 1, memoryMb = 256, openFiles = 1024, diskMb = 0;
+  Ms reportEvery{1000};  ///< the period of workers' heartbeats
   std::int64_t surviveMachines = 0, surviveZones = 0, surviveRegions = 0;
   Bounds bounds;
-  std::vector<std::string> unknown;  ///< fields that no part knows
+  std::vector<std::string> unknownFields;
 
-  bool servesKind(std::string_view s) const;
+  bool isServing(std::string_view kind) const;
   /// Internal address of a role on a machine; ports are alike on all machines.
-  Addr controlAt(std::string const& h) const { return {h, firstPort}; }
-  Addr storeAt(std::string const& h) const { return {h, firstPort + 1}; }
-  Addr relayAt(std::string const& h) const { return {h, firstPort + 2}; }
+  Address controlAddress(std::string const& machineIp) const { return {machineIp, firstInternalPort}; }
+  Address storeAddress(std::string const& machineIp) const { return {machineIp, firstInternalPort + 1}; }
+  Address relayAddress(std::string const& machineIp) const { return {machineIp, firstInternalPort + 2}; }
 };
 
 /// One fault found in a settings file.
 struct SettingsFault {
-  int line;
+  int line;  ///< 0 for a field that is missing
   std::string text;
 };
 /// Reads the text of a settings file; all faults are listed in one pass.
 Settings readSettings(std::string const& text, std::vector<SettingsFault>& faults);
-/// Reads the settings file that TEALSHELF_BOOT names (or the usual path); throws on a bad value.
+/// Reads a settings file: the path, else what TEALSHELF_BOOT names, else the usual path. Throws settingsMissing or
+/// settingsInvalid.
 Settings loadSettings(std::string path = "");
 
 }  // namespace tealshelf
--- a/base/tealshelf.hpp
+++ b/base/tealshelf.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The one common header of tealshelf: libraries, words and types used by every part.
+// The one common header of tealshelf: libraries, aliases and types that every part uses.
 #include <utility>
 
 #include <algorithm>
@@ -35,64 +35,52 @@
 using boost::system::error_code;
 
 using Clock = std::chrono::steady_clock;
-using Moment = Clock::time_point;
+using TimePoint = Clock::time_point;
 using Ms = std::chrono::milliseconds;
+/// A coroutine of the io thread.
 template <class T>
 using Task = asio::awaitable<T>;
 using std::string;
 using std::string_view;
 using std::vector;
 
-/// A value of its own type: two strong types with different tags never mix.
+/// A value of a type of its own: two with different tags never mix. It is packed as the bare value.
 template <class T, class Tag>
-struct Strong {
-  T v{};
-  Strong() = default;
-  explicit Strong(T x) : v(std::move(x)) {}
-  auto operator<=>(Strong const&) const = default;
-  template <class P>
-  void msgpack_pack(P& p) const {
-    p.pack(v);
+struct StrongType {
+  T value{};
+  StrongType() = default;
+  explicit StrongType(T plain) : value(std::move(plain)) {}
+  auto operator<=>(StrongType const&) const = default;
+  template <class Packer>
+  void msgpack_pack(Packer& packer) const {
+    packer.pack(value);
   }
-  void msgpack_unpack(msgpack::object const& o) { o.convert(v); }
+  void msgpack_unpack(msgpack::object const& object) { object.convert(value); }
 };
 
-using Identity = Strong<std::uint64_t, struct IdentityTag>;            ///< of a disk, made when its folder is empty
-using Stamp = Strong<std::uint64_t, struct StampTag>;                  ///< generation stamp of a segment
-using MembershipNumber = Strong<std::uint64_t, struct MembershipTag>;  ///< number of a membership
+/// Of a node's disk, made when its folder is empty; a node without a disk draws one at each start.
+using NodeId = StrongType<std::uint64_t, struct NodeIdTag>;
+/// Version of a segment's replicas; see segments/replica_table.hpp.
+using GenerationStamp = StrongType<std::uint64_t, struct GenerationStampTag>;
+using MembershipNumber = StrongType<std::uint64_t, struct MembershipNumberTag>;
 
 /// Milliseconds since the epoch by the time of day.
-std::int64_t wallMs();
-/// Milliseconds from now until a moment, never below 0.
-std::int64_t leftMs(Moment until);
-/// A random number for identities and call ids.
+std::int64_t wallClockMs();
+/// Milliseconds from now until a time, never below 0.
+std::int64_t remainingMs(TimePoint until);
+/// A random number for identities and call ids; never 0.
 std::uint64_t randomId();
-/// Mixes a text into a 64-bit hash, the same on every machine.
-std::uint64_t hashOf(string_view s, std::uint64_t seed = 0);
-/// Reads a whole non-negative number; false if it is anything else.
-bool readNumber(string_view s, std::uint64_t& out);
-/// Splits at a character and trims blanks.
-vector<string> split(string_view s, char c);
+/// A 64-bit hash of a text, the same on every machine and in every release.
+std::uint64_t hash64(string_view text, std::uint64_t seed = 0);
+/// Reads a whole non-negative number of up to 18 digits; nothing if the text is anything else.
+std::optional<std::uint64_t> parseNumber(string_view text);
+/// The parts between separators, without blanks around them; empty parts are left out.
+vector<string> split(string_view text, char separator);
 /// 16 hex digits.
-string hex(std::uint64_t v);
-
-/// Picks the best of several by rendezvous hashing.
-template <class It, class Name>
-It rendezvous(It b, It e, string_view key, Name name) {
-  It best = e;
-  std::uint64_t top = 0;
-  for (It i = b; i != e; ++i) {
-    std::uint64_t const h = hashOf(name(*i), hashOf(key));
-    if (best == e || h > top) {
-      best = i;
-      top = h;
-    }
-  }
-  return best;
-}
+string hex(std::uint64_t value);
 
 }  // namespace tealshelf
 
 #include "base/errors.hpp"
-#include "base/log.hpp"
+#include "base/logging.hpp"
 #include "base/settings.hpp"
--- a/base/util.cpp
+++ b/base/util.cpp
@@ -4,63 +4,75 @@
 
 namespace tealshelf {
 
-std::int64_t wallMs() {
+namespace {
+/// Every number of so many digits fits into 64 bits.
+constexpr std::size_t maxDigits = 18;
+
+string_view trimmed(string_view text) {
+  while (!text.empty() && text.front() == ' ') text.remove_prefix(1);
+  while (!text.empty() && text.back() == ' ') text.remove_suffix(1);
+  return text;
+}
+
+std::mt19937_64 seededGenerator() {
+  std::random_device device;
+  std::seed_seq seed{device(), device(), device(), device()};
+  return std::mt19937_64(seed);
+}
+}  // namespace
+
+std::int64_t wallClockMs() {
   return std::chrono::duration_cast<Ms>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
-std::int64_t leftMs(Moment until) {
+
+std::int64_t remainingMs(TimePoint until) {
   return std::max<std::int64_t>(0, std::chrono::duration_cast<Ms>(until - Clock::now()).count());
 }
 
 std::uint64_t randomId() {
-  static std::mt19937_64 g = [] {
-    std::random_device d;
-    std::seed_seq s{d(), d(), d(), d()};
-    return std::mt19937_64(s);
-  }();
-  std::uint64_t v = 0;
-  while (!v) v = g();
-  return v;
+  static std::mt19937_64 generator = seededGenerator();
+  std::uint64_t id = 0;
+  while (!id) id = generator();
+  return id;
 }
 
-std::uint64_t hashOf(string_view s, std::uint64_t seed) {
-  std::uint64_t h = 1469598103934665603ull ^ (seed * 0x9e3779b97f4a7c15ull);
-  for (char const c : s) h = (h ^ static_cast<unsigned char>(c)) * 1099511628211ull;
-  h ^= h >> 33;
-  h *= 0xff51afd7ed558ccdull;
-  h ^= h >> 33;
-  h *= 0xc4ceb9fe1a85ec53ull;
-  return h ^ (h >> 33);
+// FNV-1a, then the finalizer of MurmurHash3, so that near texts give far hashes.
+std::uint64_t hash64(string_view text, std::uint64_t seed) {
+  std::uint64_t hash = 1469598103934665603ull ^ (seed * 0x9e3779b97f4a7c15ull);
+  for (char const c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ull;
+  hash ^= hash >> 33;
+  hash *= 0xff51afd7ed558ccdull;
+  hash ^= hash >> 33;
+  hash *= 0xc4ceb9fe1a85ec53ull;
+  return hash ^ (hash >> 33);
 }
 
-bool readNumber(string_view s, std::uint64_t& out) {
-  if (s.empty() || s.size() > 18) return false;
-  std::uint64_t v = 0;
-  for (char const c : s) {
-    if (c < '0' || c > '9') return false;
-    v = v * 10 + static_cast<std::uint64_t>(c - '0');
+std::optional<std::uint64_t> parseNumber(string_view text) {
+  if (text.empty() || text.size() > maxDigits) return std::nullopt;
+  std::uint64_t number = 0;
+  for (char const c : text) {
+    if (c < '0' || c > '9') return std::nullopt;
+    number = number * 10 + static_cast<std::uint64_t>(c - '0');
   }
-  out = v;
-  return true;
+  return number;
 }
 
-vector<string> split(string_view s, char c) {
-  vector<string> r;
-  while (!s.empty()) {
-    std::size_t const p = s.find(c);
-    string_view t = s.substr(0, p);
-    while (!t.empty() && t.front() == ' ') t.remove_prefix(1);
-    while (!t.empty() && t.back() == ' ') t.remove_suffix(1);
-    if (!t.empty()) r.emplace_back(t);
-    if (p == string_view::npos) break;
-    s.remove_prefix(p + 1);
+vector<string> split(string_view text, char separator) {
+  vector<string> parts;
+  while (!text.empty()) {
+    std::size_t const end = text.find(separator);
+    string_view const part = trimmed(text.substr(0, end));
+    if (!part.empty()) parts.emplace_back(part);
+    if (end == string_view::npos) break;
+    text.remove_prefix(end + 1);
   }
-  return r;
+  return parts;
 }
 
-string hex(std::uint64_t v) {
-  char b[17];
-  std::snprintf(b, sizeof b, "%016llx", static_cast<unsigned long long>(v));
-  return b;
+string hex(std::uint64_t value) {
+  char text[17];
+  std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(value));
+  return text;
 }
 
 }  // namespace tealshelf
--- a/configuration/canonical_json.cpp
+++ b/configuration/canonical_json.cpp
@@ -36,7 +36,7 @@
     digits += c;
     if (fraction) --exponent;
   }
-  if (std::abs(exponent) >= largestExponent) throw Error(Code::unreadable, "a number's exponent");
+  if (std::abs(exponent) >= largestExponent) throw Error(ErrorCode::unreadable, "a number's exponent");
   digits.erase(0, std::min(digits.find_first_not_of('0'), digits.size()));
   if (digits.empty()) return "0";
   while (digits.back() == '0') {
@@ -118,7 +118,7 @@
   rapidjson::EncodedInputStream<rapidjson::UTF8<>, rapidjson::MemoryStream> input(bytes);
   CanonicalHandler handler;
   rapidjson::Reader reader;
-  if (reader.Parse<flags>(input, handler).IsError()) throw Error(Code::unreadable, "not JSON");
+  if (reader.Parse<flags>(input, handler).IsError()) throw Error(ErrorCode::unreadable, "not JSON");
   return handler.result;
 }
 
--- a/configuration/canonical_json.hpp
+++ b/configuration/canonical_json.hpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 /// SHA-256 of a text, as 32 bytes.
-using Digest = Strong<string, struct DigestTag>;
+using Digest = StrongType<string, struct DigestTag>;
 
 /// Rewrites a JSON text so that equal contents give equal bytes: members of objects are sorted by name, white
 /// space is dropped, strings have one form of escapes, and numbers are exact decimals without redundant digits.
--- a/configuration/configuration.cpp
+++ b/configuration/configuration.cpp
@@ -16,31 +16,31 @@
 class Reader {
  public:
   explicit Reader(vector<ConfigurationFault>& f) : faults_(f) {}
-  void fault(Code c, string const& t) { faults_.push_back({c, t}); }
+  void fault(ErrorCode c, string const& t) { faults_.push_back({c, t}); }
 
   string text(Tree const& t, char const* k, string const& where, bool must) {
     boost::optional<Tree const&> const v = t.get_child_optional(k);
     if (!v) {
-      if (must) fault(Code::unreadable, where + " has no " + k);
+      if (must) fault(ErrorCode::unreadable, where + " has no " + k);
       return "";
     }
-    if (!v->empty()) fault(Code::wrongType, where + "." + k);
+    if (!v->empty()) fault(ErrorCode::wrongType, where + "." + k);
     return v->data();
   }
   std::uint64_t number(Tree const& t, char const* k, string const& where, std::uint64_t usual, bool must = false) {
     boost::optional<Tree const&> const v = t.get_child_optional(k);
     if (!v) {
-      if (must) fault(Code::unreadable, where + " has no " + k);
+      if (must) fault(ErrorCode::unreadable, where + " has no " + k);
       return usual;
     }
-    std::uint64_t n = 0;
     string const& s = v->data();
-    if (v->empty() && readNumber(s, n)) return n;
+    std::optional<std::uint64_t> const n = parseNumber(s);
+    if (v->empty() && n) return *n;
     char* e = nullptr;
     double const d = std::strtod(s.c_str(), &e);
     bool const real = v->empty() && !s.empty() && e && !*e;
     if (real && d >= 0 && d < 1e15) return static_cast<std::uint64_t>(d);
-    fault(real ? Code::outOfRange : Code::wrongType, where + "." + k + " can't be " + s.substr(0, 40));
+    fault(real ? ErrorCode::outOfRange : ErrorCode::wrongType, where + "." + k + " can't be " + s.substr(0, 40));
     return usual;
   }
   /// A time in milliseconds, small enough to be added to a moment; the text holds it in units of so many.
@@ -48,13 +48,13 @@
                         std::uint64_t unit = 1) {
     std::uint64_t const n = number(t, k, where, static_cast<std::uint64_t>(usual), must);
     if (n <= longestDuration / unit) return static_cast<std::int64_t>(n * unit);
-    fault(Code::outOfRange, where + "." + k + " is too long");
+    fault(ErrorCode::outOfRange, where + "." + k + " is too long");
     return usual;
   }
   bool flag(Tree const& t, char const* k, string const& where) {
     boost::optional<Tree const&> const v = t.get_child_optional(k);
     if (!v) return false;
-    if (v->data() != "true" && v->data() != "false") fault(Code::wrongType, where + "." + k);
+    if (v->data() != "true" && v->data() != "false") fault(ErrorCode::wrongType, where + "." + k);
     return v->data() == "true";
   }
 
@@ -73,7 +73,7 @@
   string const w = "route " + m.name;
   m.host = r.text(t, "host", w, true);
   m.prefix = r.text(t, "pathStart", w, true);
-  if (m.prefix.empty() || m.prefix.front() != '/' || m.prefix.back() != '/') r.fault(Code::badPrefix, w);
+  if (m.prefix.empty() || m.prefix.front() != '/' || m.prefix.back() != '/') r.fault(ErrorCode::badPrefix, w);
   string const k = r.text(t, "kind", w, true);
   bool known = false;
   for (std::pair<string_view, RouteKind> const& p : kinds)
@@ -81,9 +81,9 @@
       m.kind = p.second;
       known = true;
     }
-  if (!known) r.fault(Code::wrongType, w + ".kind");
+  if (!known) r.fault(ErrorCode::wrongType, w + ".kind");
   m.timeLimit = r.duration(t, "timeLimitMs", w, 0, true);
-  if (!m.timeLimit) r.fault(Code::noTimeLimit, w);
+  if (!m.timeLimit) r.fault(ErrorCode::zeroTimeLimit, w);
   m.aim = r.duration(t, "targetMs", w, 0);
   m.gapAim = r.duration(t, "gapTargetMs", w, 0);
   m.dueIn = r.duration(t, "dueInMs", w, 0);
@@ -103,10 +103,10 @@
   }
   for (Share const& s : m.shares) {
     m.weights += s.weight;
-    if (s.weight > largestWeight) r.fault(Code::outOfRange, w + " has a weight that is too large");
-    if (!c.services.count(s.service)) r.fault(Code::unknownService, w + " names " + s.service);
+    if (s.weight > largestWeight) r.fault(ErrorCode::outOfRange, w + " has a weight that is too large");
+    if (!c.services.count(s.service)) r.fault(ErrorCode::unknownService, w + " names " + s.service);
   }
-  if (!m.weights) r.fault(Code::noWeight, w);
+  if (!m.weights) r.fault(ErrorCode::zeroWeights, w);
   return m;
 }
 }  // namespace
@@ -144,18 +144,18 @@
     std::istringstream in(text);
     boost::property_tree::read_json(in, read);
     in >> std::ws;
-    if (!in.eof()) throw Error(Code::unreadable);
+    if (!in.eof()) throw Error(ErrorCode::unreadable);
   } catch (std::exception const&) {
-    r.fault(Code::unreadable, "not JSON");
+    r.fault(ErrorCode::unreadable, "not JSON");
     return c;
   }
   Tree const& t = read;
   c->version = r.number(t, "version", "configuration", 0, true);
   boost::optional<Tree const&> const ss = t.get_child_optional("services"), rs = t.get_child_optional("routes"),
                                      ls = t.get_child_optional("limits");
-  if (!ss || !rs) r.fault(Code::unreadable, "routes or services are missing");
+  if (!ss || !rs) r.fault(ErrorCode::unreadable, "routes or services are missing");
   if ((ss && !ss->data().empty()) || (rs && !rs->data().empty()))
-    r.fault(Code::wrongType, "routes or services are no lists");
+    r.fault(ErrorCode::wrongType, "routes or services are no lists");
   if (ss)
     for (Tree::value_type const& p : *ss) {
       ServiceLine s;
@@ -173,7 +173,7 @@
     for (Tree::value_type const& p : *rs) {
       c->routes.push_back(readRoute(r, p.second, *c));
       Route const& m = c->routes.back();
-      if (!places.insert({m.host, m.prefix}).second) r.fault(Code::samePlace, m.host + m.prefix);
+      if (!places.insert({m.host, m.prefix}).second) r.fault(ErrorCode::duplicateRoute, m.host + m.prefix);
       c->table[m.host].push_back(static_cast<std::uint32_t>(c->routes.size() - 1));
     }
   if (ls) {
--- a/configuration/configuration.hpp
+++ b/configuration/configuration.hpp
@@ -46,7 +46,7 @@
 };
 /// A fault found in a configuration.
 struct ConfigurationFault {
-  Code code;
+  ErrorCode code;
   string text;
 };
 /// Reads and compiles a configuration; lists all faults in one pass.
--- a/configuration/order_decision.cpp
+++ b/configuration/order_decision.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-Decision refuse(OrderVerdict verdict, Code code, string const& detail) {
+Decision refuse(OrderVerdict verdict, ErrorCode code, string const& detail) {
   Decision decision;
   decision.verdict = verdict;
   decision.code = code;
@@ -21,8 +21,9 @@
 
 Decision decide(std::map<string, string> const& rows, Order const& order, HistoryShape shape) {
   Decision decision;
-  if (!readNumber(order.ifMatch, decision.identity.base))
-    return refuse(OrderVerdict::invalid, Code::badMatch, order.ifMatch.substr(0, 40));
+  std::optional<std::uint64_t> const base = parseNumber(order.ifMatch);
+  if (!base) return refuse(OrderVerdict::invalid, ErrorCode::badIfMatch, order.ifMatch.substr(0, 40));
+  decision.identity.base = *base;
   try {
     decision.identity.digest = sha256(canonicalJson(order.body));
   } catch (Error const& error) {
@@ -40,11 +41,13 @@
   } catch (Error const& error) {
     return refuse(OrderVerdict::invalid, error.code(), error.what());
   }
-  if (history.forgotten(decision.identity.base)) return refuse(OrderVerdict::tooOld, Code::orderTooOld, order.ifMatch);
+  if (history.forgotten(decision.identity.base))
+    return refuse(OrderVerdict::tooOld, ErrorCode::changeTooOld, order.ifMatch);
   if (decision.identity.base != current)
-    return refuse(OrderVerdict::lostRace, Code::lostRace, "version " + std::to_string(current) + " is current");
+    return refuse(OrderVerdict::lostRace, ErrorCode::versionConflict,
+                  "version " + std::to_string(current) + " is current");
   if (decision.version <= current)
-    return refuse(OrderVerdict::invalid, Code::oldVersion, std::to_string(decision.version));
+    return refuse(OrderVerdict::invalid, ErrorCode::oldVersion, std::to_string(decision.version));
   decision.verdict = OrderVerdict::apply;
   decision.rows.push_back(OrderHistory::Row{currentKey, order.body});
   decision.rows.push_back(history.append(decision.identity, decision.version));
--- a/configuration/order_decision.hpp
+++ b/configuration/order_decision.hpp
@@ -19,11 +19,11 @@
 
 struct Decision {
   OrderVerdict verdict = OrderVerdict::invalid;
-  Code code = Code::unreadable;    ///< why an order is refused or left open
-  string detail;                   ///< for the log
-  OrderIdentity identity;          ///< of a readable order
-  std::uint64_t version = 0;       ///< that a valid order brings
-  vector<OrderHistory::Row> rows;  ///< to write, in one change, for an order that shall be applied
+  ErrorCode code = ErrorCode::unreadable;  ///< why an order is refused or left open
+  string detail;                           ///< for the log
+  OrderIdentity identity;                  ///< of a readable order
+  std::uint64_t version = 0;               ///< that a valid order brings
+  vector<OrderHistory::Row> rows;          ///< to write, in one change, for an order that shall be applied
 };
 
 /// Key of the current configuration in its keyspace.
--- a/configuration/order_history.cpp
+++ b/configuration/order_history.cpp
@@ -13,7 +13,7 @@
   std::map<std::uint64_t, TakenOrder> read;
   for (std::map<string, string>::const_iterator row = rows.lower_bound(pagePrefix);
        row != rows.end() && row->first.rfind(pagePrefix, 0) == 0; ++row)
-    for (TakenOrder& order : unpacked<vector<TakenOrder>>(row->second))
+    for (TakenOrder& order : deserialize<vector<TakenOrder>>(row->second))
       read.emplace_hint(read.end(), order.number, std::move(order));
   std::uint64_t expected = currentVersion;
   while (!read.empty()) {
@@ -50,7 +50,7 @@
     page.push_back(kept->second);
   page.push_back(TakenOrder{number, order.base, version, order.digest});
   std::uint64_t const slot = number / shape_.ordersPerPage % shape_.pages;
-  return Row{pagePrefix + std::to_string(slot), packed(page)};
+  return Row{pagePrefix + std::to_string(slot), serialize(page)};
 }
 
 }  // namespace tealshelf
--- a/consensus/catch_up.cpp
+++ b/consensus/catch_up.cpp
@@ -19,17 +19,17 @@
 
 /// A member lags if it doesn't reach what was committed when it was last looked at; under steady writes it
 /// is always a little behind.
-void Consensus::checkLag(KeyspaceProgress const& k, Identity member, Keyspace& s, Moment now) {
+void Consensus::checkLag(KeyspaceProgress const& k, NodeId member, Keyspace& s, TimePoint now) {
   Lag& l = s.lags[member];
   bool const follows = k.epoch == s.epoch;
-  if (l.since == Moment() || (follows && k.upTo >= l.target)) {
+  if (l.since == TimePoint() || (follows && k.upTo >= l.target)) {
     l.since = now;
     l.target = s.committed;
     s.transfers.erase(member);
     return;
   }
   if (now - l.since < 2 * times_.again) return;
-  std::map<Identity, Transfer>::iterator const t = s.transfers.find(member);
+  std::map<NodeId, Transfer>::iterator const t = s.transfers.find(member);
   if (t == s.transfers.end())
     startTransfer(k.keyspace, s, k, member, now);
   else if (now - t->second.sent > 4 * times_.again)
@@ -80,7 +80,7 @@
   return es;
 }
 
-void Consensus::startTransfer(string const& name, Keyspace& s, KeyspaceProgress const& k, Identity to, Moment now) {
+void Consensus::startTransfer(string const& name, Keyspace& s, KeyspaceProgress const& k, NodeId to, TimePoint now) {
   std::optional<Entries> es;
   if (k.epoch == s.epoch && k.upTo) es = changesAfter(s, k.upTo);
   bool const full = !es;
@@ -95,7 +95,7 @@
   sendPiece(name, s, t, to, now);
 }
 
-void Consensus::sendPiece(string const& name, Keyspace& s, Transfer& t, Identity to, Moment now) {
+void Consensus::sendPiece(string const& name, Keyspace& s, Transfer& t, NodeId to, TimePoint now) {
   Message m;
   m.sort = Message::piece;
   m.membership = membership_.no;
@@ -146,10 +146,10 @@
 }
 
 /// The next piece goes out once the one before was taken; a member that has lost its pieces gets a new transfer.
-void Consensus::onPieceTaken(Message const& m, Keyspace& s, Moment now) {
+void Consensus::onPieceTaken(Message const& m, Keyspace& s, TimePoint now) {
   if (m.epoch != s.epoch || s.phase != Phase::owning) return;
   if (!m.ok) refused(m, s);
-  std::map<Identity, Transfer>::iterator const t = s.transfers.find(m.from);
+  std::map<NodeId, Transfer>::iterator const t = s.transfers.find(m.from);
   if (t == s.transfers.end() || t->second.id != m.transfer || t->second.piece != m.round) return;
   if (!m.ok || t->second.last) {
     s.transfers.erase(t);
--- a/consensus/consensus.cpp
+++ b/consensus/consensus.cpp
@@ -22,13 +22,13 @@
 }
 }  // namespace
 
-Member const* Membership::find(Identity id) const {
+Member const* Membership::find(NodeId id) const {
   for (Member const& m : members)
     if (m.id == id) return &m;
   return nullptr;
 }
 
-bool Heartbeat::hears(Identity id) const {
+bool Heartbeat::hears(NodeId id) const {
   for (Echo const& e : echoes)
     if (e.of == id) return true;
   return false;
@@ -55,7 +55,7 @@
   try {
     r = msgpack::unpack(bytes.data(), bytes.size()).get().as<Record>();
   } catch (std::exception const&) {
-    throw Error(Code::badMessage, "consensus record");
+    throw Error(ErrorCode::badMessage, "consensus record");
   }
   if (r.sort == recMembership) {
     membership_ = r.standing.membership;
@@ -118,36 +118,36 @@
   return v;
 }
 
-bool Consensus::alive(Identity id, Moment now) const {
+bool Consensus::alive(NodeId id, TimePoint now) const {
   if (id == self_.id) return true;
-  std::map<Identity, Peer>::const_iterator const p = peers_.find(id);
-  if (p == peers_.end() || p->second.contact == Moment()) return false;
+  std::map<NodeId, Peer>::const_iterator const p = peers_.find(id);
+  if (p == peers_.end() || p->second.contact == TimePoint()) return false;
   if (now - p->second.contact > times_.alive || now - p->second.at > times_.alive) return false;
   std::size_t n = 1;
   for (Echo const& e : p->second.heartbeat.echoes)
     if (e.of != id && membership_.find(e.of)) ++n;
   return n >= membership_.most();
 }
-bool Consensus::inMajority(Moment now) const {
-  Moment const at = provenAt(now);
-  return at != Moment() && now - at <= times_.alive;
+bool Consensus::inMajority(TimePoint now) const {
+  TimePoint const at = provenAt(now);
+  return at != TimePoint() && now - at <= times_.alive;
 }
-Moment Consensus::provenAt(Moment now) const {
-  vector<Moment> contacts;
+TimePoint Consensus::provenAt(TimePoint now) const {
+  vector<TimePoint> contacts;
   for (Member const& m : membership_.members) {
-    std::map<Identity, Peer>::const_iterator const p = peers_.find(m.id);
+    std::map<NodeId, Peer>::const_iterator const p = peers_.find(m.id);
     if (m.id == self_.id)
       contacts.push_back(now);
     else if (p != peers_.end())
       contacts.push_back(p->second.contact);
   }
-  if (membership_.members.empty() || contacts.size() < membership_.most()) return Moment();
-  std::sort(contacts.begin(), contacts.end(), std::greater<Moment>());
+  if (membership_.members.empty() || contacts.size() < membership_.most()) return TimePoint();
+  std::sort(contacts.begin(), contacts.end(), std::greater<TimePoint>());
   return contacts[membership_.most() - 1];
 }
-bool Consensus::ready(Identity id, Moment now) const {
+bool Consensus::ready(NodeId id, TimePoint now) const {
   if (id == self_.id) return copied_;
-  std::map<Identity, Peer>::const_iterator const p = peers_.find(id);
+  std::map<NodeId, Peer>::const_iterator const p = peers_.find(id);
   return p != peers_.end() && alive(id, now) && p->second.heartbeat.copied &&
          p->second.heartbeat.membership == membership_.no;
 }
@@ -160,15 +160,15 @@
   return true;
 }
 
-Member const* Consensus::wanted(string const& keyspace, Moment now) const {
+Member const* Consensus::wanted(string const& keyspace, TimePoint now) const {
   Member const* best = nullptr;
   std::pair<bool, std::uint64_t> top;
   for (Member const& m : membership_.members) {
     if (!alive(m.id, now)) continue;
-    std::map<Identity, Peer>::const_iterator const p = peers_.find(m.id);
+    std::map<NodeId, Peer>::const_iterator const p = peers_.find(m.id);
     if (m.id == self_.id ? !copied_ || abstains_ : (p == peers_.end() || !p->second.heartbeat.copied)) continue;
     // One without a disk owns nothing while one with a disk can.
-    std::pair<bool, std::uint64_t> const rank(m.disk, hashOf(hex(m.id.v), hashOf(keyspace)));
+    std::pair<bool, std::uint64_t> const rank(m.disk, hash64(hex(m.id.value), hash64(keyspace)));
     if (!best || rank > top) {
       best = &m;
       top = rank;
@@ -177,13 +177,13 @@
   return best;
 }
 
-Heartbeat Consensus::heartbeat(Moment now) const {
+Heartbeat Consensus::heartbeat(TimePoint now) const {
   Heartbeat p;
   p.self = self_;
   p.membership = membership_.no;
   p.copied = copied_ && !abstains_;
   p.sent = OwnMoment{life_, now.time_since_epoch().count()};
-  for (std::pair<Identity const, Peer> const& q : peers_)
+  for (std::pair<NodeId const, Peer> const& q : peers_)
     if (now - q.second.at <= times_.alive) p.echoes.push_back(Echo{q.first, q.second.heartbeat.sent});
   for (std::pair<string const, Keyspace> const& q : keyspaces_) {
     Keyspace const& s = q.second;
@@ -198,14 +198,14 @@
   return p;
 }
 
-void Consensus::echoed(Identity from, OwnMoment const& sent, Moment now) {
-  Moment const at = Moment(Moment::duration(sent.ticks));
+void Consensus::echoed(NodeId from, OwnMoment const& sent, TimePoint now) {
+  TimePoint const at = TimePoint(TimePoint::duration(sent.ticks));
   if (sent.life != life_ || at > now) return;
   Peer& p = peers_[from];
   p.contact = std::max(p.contact, at);
 }
 
-void Consensus::heard(Heartbeat const& p, Moment now) {
+void Consensus::heard(Heartbeat const& p, TimePoint now) {
   if (p.self.id == self_.id) return;
   for (Echo const& e : p.echoes)
     if (e.of == self_.id) echoed(p.self.id, e.sent, now);
--- a/consensus/consensus.hpp
+++ b/consensus/consensus.hpp
@@ -27,7 +27,7 @@
 
 /// A disk of the membership.
 struct Member {
-  Identity id;
+  NodeId id;
   string name, ip, zone;
   bool founder = false;  ///< of the first membership: its disk never missed anything
   bool disk = true;      ///< keeps its state on a disk
@@ -42,7 +42,7 @@
   MembershipNumber no;
   vector<Member> members;
   vector<Member> former;  ///< members of the membership before; a newcomer copies from a majority of them
-  Member const* find(Identity id) const;
+  Member const* find(NodeId id) const;
   std::size_t most() const { return members.size() / 2 + 1; }
   std::size_t mostFormer() const { return former.size() / 2 + 1; }
   MSGPACK_DEFINE(no, members, former)
@@ -53,7 +53,7 @@
   enum Sort { requestVote, vote, accept, accepted, confirm, confirmed, piece, pieceTaken };
   int sort = requestVote;
   MembershipNumber membership;
-  Identity from, to;
+  NodeId from, to;
   string keyspace;
   Epoch epoch, votedEpoch;
   std::uint64_t round = 0, prev = 0, upTo = 0;
@@ -83,7 +83,7 @@
 };
 /// The latest moment that was received from a member, on its way back to it.
 struct Echo {
-  Identity of;
+  NodeId of;
   OwnMoment sent;
   MSGPACK_DEFINE(of, sent)
 };
@@ -95,7 +95,7 @@
   OwnMoment sent;       ///< when this heartbeat was sent, by the sender's clock
   vector<Echo> echoes;  ///< one for each node that the sender heard lately
   vector<KeyspaceProgress> marks;
-  bool hears(Identity id) const;
+  bool hears(NodeId id) const;
   MSGPACK_DEFINE(self, membership, copied, sent, echoes, marks)
 };
 
@@ -161,12 +161,12 @@
   void replay(string const& record);
   vector<string> snapshot() const;
 
-  void tick(Moment now);
-  void receive(Message const& m, Moment now);
-  void heard(Heartbeat const& p, Moment now);
+  void tick(TimePoint now);
+  void receive(Message const& m, TimePoint now);
+  void heard(Heartbeat const& p, TimePoint now);
   /// Takes a moment of this node that a peer sent back, with a heartbeat or as the answer to one.
-  void echoed(Identity from, OwnMoment const& sent, Moment now);
-  Heartbeat heartbeat(Moment now) const;
+  void echoed(NodeId from, OwnMoment const& sent, TimePoint now);
+  Heartbeat heartbeat(TimePoint now) const;
   /// Installs a newer membership; copied says that this disk holds all keys.
   void install(Membership const& g, bool copied);
   /// Replaces the state by what a majority of the former members hold; this disk votes from then on.
@@ -183,10 +183,10 @@
 
   /// Has a change made; its end comes with a batch, at the latest when the bound for open writes is over.
   /// An owner whose write ends as unknown has given the keyspace up: only its takeover tells what is in force.
-  std::uint64_t propose(string const& keyspace, vector<Change> changes, Moment now);
+  std::uint64_t propose(string const& keyspace, vector<Change> changes, TimePoint now);
   /// Gives a keyspace up; what is open ends as unknown.
   void giveUp(string const& keyspace);
-  std::uint64_t confirm(string const& keyspace, Moment now);
+  std::uint64_t confirm(string const& keyspace, TimePoint now);
   Batch take() {
     Batch b = std::move(out_);
     out_ = Batch();
@@ -200,7 +200,7 @@
   /// The newest committed values that this node knows of, whatever is under way; nothing if it knows none.
   std::optional<std::map<string, string>> settled(string const& keyspace) const;
   /// Who should own a keyspace by what this node knows.
-  Member const* wanted(string const& keyspace, Moment now) const;
+  Member const* wanted(string const& keyspace, TimePoint now) const;
   Membership const& membership() const { return membership_; }
   Member const& self() const { return self_; }
   bool copied() const { return copied_; }
@@ -214,17 +214,17 @@
   /// The member that this disk may answer copies for: itself while it votes, or as it voted in the
   /// membership before; nothing if it may not.
   std::optional<Member> copySource() const;
-  bool alive(Identity id, Moment now) const;
+  bool alive(NodeId id, TimePoint now) const;
   /// True if a member runs, holds all keys and knows this membership.
-  bool ready(Identity id, Moment now) const;
+  bool ready(NodeId id, TimePoint now) const;
   /// How long no member in touch with this node has heard a member, as far as this node was awake to tell.
-  Ms silentFor(Identity id, Moment now) const;
+  Ms silentFor(NodeId id, TimePoint now) const;
   /// True if all keyspaces that a majority knows were written anew by their owners in this membership.
-  bool writtenAnew(Moment now) const;
+  bool writtenAnew(TimePoint now) const;
   /// The latest moment at which this node sent what a majority, itself included, is known to have received.
-  Moment provenAt(Moment now) const;
+  TimePoint provenAt(TimePoint now) const;
   /// True if that moment lies within the bound. Arrivals prove nothing: they may have been held back.
-  bool inMajority(Moment now) const;
+  bool inMajority(TimePoint now) const;
   vector<string> keyspaces() const;
 
  private:
@@ -232,15 +232,15 @@
   struct Write {
     std::uint64_t op = 0, first = 0, last = 0;
     Entries entries;
-    std::set<Identity> acks;
-    Moment begun, sent;
+    std::set<NodeId> acks;
+    TimePoint begun, sent;
     bool full = false, done = false;
   };
   struct Read {
     std::uint64_t round = 0;
     vector<std::uint64_t> ops;
-    std::set<Identity> acks;
-    Moment begun, sent;
+    std::set<NodeId> acks;
+    TimePoint begun, sent;
   };
   /// An accepted write, or a whole state if it is full.
   struct Accepted {
@@ -255,7 +255,7 @@
     Entries state;
     string from, next;  ///< the keys that the piece under way and the one after it begin with
     bool last = false;
-    Moment sent;
+    TimePoint sent;
   };
   /// The pieces of a transfer that came so far; in memory only, so that a restart begins anew.
   struct Incoming {
@@ -265,7 +265,7 @@
   };
   /// What a member was still to reach when it was seen to lag.
   struct Lag {
-    Moment since, sent;
+    TimePoint since, sent;
     std::uint64_t target = 0;
   };
   enum class Phase { none, taking, writing, owning };
@@ -276,9 +276,9 @@
     Phase phase = Phase::none;
     Epoch epoch, seen;
     std::uint64_t next = 1, committed = 0;
-    std::set<Identity> votes;
+    std::set<NodeId> votes;
     Entries gathered;
-    Moment sent, since;
+    TimePoint sent, since;
     std::deque<Write> writes;
     std::deque<Read> reads;
     std::map<string, string> view;  ///< all that is committed, at the position viewed
@@ -286,28 +286,28 @@
     Position known;  ///< how far the newest owner heard of has committed
     Epoch acceptedEpoch;
     std::map<std::uint64_t, Accepted> accepted;  ///< what isn't in the view yet, by the last position
-    std::map<Identity, Lag> lags;
-    std::map<Identity, Transfer> transfers;
+    std::map<NodeId, Lag> lags;
+    std::map<NodeId, Transfer> transfers;
     Incoming incoming;
     std::deque<Write> recent;  ///< committed writes that all who are up have, for those who come back
     std::size_t recentBytes = 0;
   };
   struct Peer {
-    Moment at;       ///< of the last arrival
-    Moment contact;  ///< the latest own moment that the peer sent back
+    TimePoint at;       ///< of the last arrival
+    TimePoint contact;  ///< the latest own moment that the peer sent back
     Heartbeat heartbeat;
   };
-  void startTakeover(string const& name, Keyspace& s, Moment now);
+  void startTakeover(string const& name, Keyspace& s, TimePoint now);
   void stepDown(Keyspace& s);
-  void expire(Keyspace& s, Moment now);
-  void resend(string const& name, Keyspace& s, Moment now);
-  void forgetWrites(Keyspace& s, Moment now);
-  void sendVoteRequests(string const& name, Keyspace& s, Moment now);
-  void sendWrite(string const& name, Keyspace& s, Write& w, Moment now);
-  void sendRead(string const& name, Keyspace& s, Read& r, Moment now);
+  void expire(Keyspace& s, TimePoint now);
+  void resend(string const& name, Keyspace& s, TimePoint now);
+  void forgetWrites(Keyspace& s, TimePoint now);
+  void sendVoteRequests(string const& name, Keyspace& s, TimePoint now);
+  void sendWrite(string const& name, Keyspace& s, Write& w, TimePoint now);
+  void sendRead(string const& name, Keyspace& s, Read& r, TimePoint now);
   void commit(Keyspace& s);
   void onRequestVote(Message const& m, Keyspace& s);
-  void onVote(Message const& m, Keyspace& s, Moment now);
+  void onVote(Message const& m, Keyspace& s, TimePoint now);
   void onAccept(Message const& m, Keyspace& s);
   void onAccepted(Message const& m, Keyspace& s);
   void onConfirm(Message const& m, Keyspace& s);
@@ -321,8 +321,8 @@
   Standing standing() const;
   void recordStanding();
   void recordDump(string const& name, Keyspace const& s);
-  void noteAwake(Moment now);
-  void noteHeard(Heartbeat const& p, Moment now);
+  void noteAwake(TimePoint now);
+  void noteHeard(Heartbeat const& p, TimePoint now);
   void keepAccepted(Keyspace& s, Accepted a);
   void extend(Keyspace& s);
   void show(Keyspace& s, Position at, bool full, Entries const& es);
@@ -330,14 +330,14 @@
   void foldAccepted(Keyspace& s);
   void startFrom(Keyspace& s, Position at, Entries const& es);
   bool isWhole(Keyspace const& s) const;
-  void checkLag(KeyspaceProgress const& k, Identity member, Keyspace& s, Moment now);
+  void checkLag(KeyspaceProgress const& k, NodeId member, Keyspace& s, TimePoint now);
   std::optional<Entries> committedEntries(Keyspace const& s) const;
   std::optional<Entries> changesAfter(Keyspace const& s, std::uint64_t upTo) const;
-  void startTransfer(string const& name, Keyspace& s, KeyspaceProgress const& k, Identity to, Moment now);
-  void sendPiece(string const& name, Keyspace& s, Transfer& t, Identity to, Moment now);
+  void startTransfer(string const& name, Keyspace& s, KeyspaceProgress const& k, NodeId to, TimePoint now);
+  void sendPiece(string const& name, Keyspace& s, Transfer& t, NodeId to, TimePoint now);
   void remember(Keyspace& s, Write w);
   void onPiece(Message const& m, Keyspace& s);
-  void onPieceTaken(Message const& m, Keyspace& s, Moment now);
+  void onPieceTaken(Message const& m, Keyspace& s, TimePoint now);
   void acceptWrites(Message const& m, Keyspace& s);
   void finish(vector<std::uint64_t> const& ops, Result r);
 
@@ -346,11 +346,11 @@
   std::uint64_t life_;
   Membership membership_;
   bool copied_ = false, abstains_ = false, retired_ = false;
-  vector<Member> votedBefore_;          ///< this disk as it voted in the membership before: one or none
-  std::map<Identity, Moment> heardOf_;  ///< when a member was last heard, here or by a peer
-  Moment awakeSince_, lastTick_;
+  vector<Member> votedBefore_;           ///< this disk as it voted in the membership before: one or none
+  std::map<NodeId, TimePoint> heardOf_;  ///< when a member was last heard, here or by a peer
+  TimePoint awakeSince_, lastTick_;
   std::map<string, Keyspace> keyspaces_;
-  std::map<Identity, Peer> peers_;
+  std::map<NodeId, Peer> peers_;
   std::uint64_t lastOp_ = 0, lastRound_ = 0;
   Batch out_;
 };
--- a/consensus/driver.cpp
+++ b/consensus/driver.cpp
@@ -1,18 +1,20 @@
 #include "consensus/driver.hpp"
 
+#include "base/node_id.hpp"
+
 #include "consensus/heartbeat_targets.hpp"
 
 namespace tealshelf {
 
 namespace {
-Identity ownIdentity(Settings const& b, bool& fresh) {
-  if (!b.dataFolder.empty()) return awaitIdentity(b.dataFolder, fresh, Ms(b.bounds.inTouch / 3));
+NodeId ownIdentity(Settings const& b, bool& fresh) {
+  if (!b.dataFolder.empty()) return waitForNodeId(b.dataFolder, Ms(b.bounds.inTouch / 3));
   fresh = true;
-  return Identity(randomId());
+  return NodeId(randomId());
 }
 }  // namespace
 
-Driver::Driver(asio::io_context& io, Settings const& settings, Rpc& rpc)
+Driver::Driver(asio::io_context& io, Settings const& settings, RpcClient& rpc)
     : io_(io),
       settings_(settings),
       rpc_(rpc),
@@ -23,28 +25,28 @@
                                   Ms(settings.bounds.inTouch / 2), Ms(settings.bounds.confirmWithin / 6)},
                  randomId()) {
   if (!settings.dataFolder.empty()) {
-    log_ = std::make_unique<DiskLog>(io, settings.dataFolder + "/registry", diskLimits(settings, 0.6),
-                                     [this] { return consensus_.snapshot(); });
-    for (string const& r : log_->found().records) consensus_.replay(r);
-    if (log_->found().torn)
-      warn("consensus", "a torn tail of " + std::to_string(log_->found().torn) + " bytes was cut");
-    for (string const& c : log_->found().corrupt) warn("consensus", "synced records are lost: " + c);
-    if (!log_->found().corrupt.empty()) consensus_.loseVote(randomId());
-    log_->forget();
+    log_ = std::make_unique<DurableLog>(io, settings.dataFolder + "/registry", diskLimits(settings, 0.6),
+                                        [this] { return consensus_.snapshot(); });
+    for (string const& r : log_->recovered().records) consensus_.replay(r);
+    if (log_->recovered().tornBytes)
+      logWarning("consensus", "a torn tail of " + std::to_string(log_->recovered().tornBytes) + " bytes was cut");
+    for (string const& c : log_->recovered().corruptions) logWarning("consensus", "synced records are lost: " + c);
+    if (!log_->recovered().corruptions.empty()) consensus_.loseVote(randomId());
+    log_->releaseRecovered();
   }
   consensus_.know("configuration");
   consensus_.know("members");
 }
 
 void Driver::start(RpcServer& server) {
-  server.on<ConsensusMessages>([this](ConsensusMessages m) -> Task<Done> {
+  server.on<ConsensusMessages>([this](ConsensusMessages m) -> Task<Acknowledgement> {
     for (Message const& x : m.messages) consensus_.receive(x, Clock::now());
     pump();
-    co_return Done{};
+    co_return Acknowledgement{};
   });
   server.on<HeartbeatMessage>([this](HeartbeatMessage m) -> Task<HeartbeatReply> {
-    Moment const now = Clock::now();
-    if (m.membership.no > consensus_.membership().no && m.membership.no.v) consensus_.install(m.membership, false);
+    TimePoint const now = Clock::now();
+    if (m.membership.no > consensus_.membership().no && m.membership.no.value) consensus_.install(m.membership, false);
     consensus_.heard(m.heartbeat, now);
     HeartbeatMessage& kept = others_[m.heartbeat.self.id].first;
     kept = HeartbeatMessage();
@@ -59,24 +61,25 @@
     pump();
     // One that doesn't hear this node yet gets a heartbeat at once, so that a start takes no whole period.
     bool const known = m.heartbeat.hears(id_);
-    Moment& back = backAt_[m.heartbeat.self.ip];
+    TimePoint& back = backAt_[m.heartbeat.self.ip];
     if (!known && now - back > period_ / 5) {
       back = now;
-      rpc_.tellTo(at(m.heartbeat.self.ip), heartbeatFor(m.heartbeat.membership, true));
+      rpc_.send(at(m.heartbeat.self.ip), heartbeatFor(m.heartbeat.membership, true));
     }
     if (onChange) onChange();
     co_return HeartbeatReply{id_, m.heartbeat.sent};
   });
   server.on<Hello>([this](Hello) -> Task<HelloReply> {
-    co_return HelloReply{consensus_.self(), consensus_.membership(), settings_.firstStart,
-                         !settings_.dataFolder.empty(), consensus_.copied()};
+    co_return HelloReply{consensus_.self(), consensus_.membership(), settings_.firstBoot, !settings_.dataFolder.empty(),
+                         consensus_.copied()};
   });
   server.on<CopyAll>([this](CopyAll q) -> Task<CopyReply> { co_return co_await copyFor(q); });
-  server.on<JoinRequest>([this](JoinRequest q) -> Task<Done> { co_return Done{co_await joined(q)}; });
-  spawn(io_, "consensus tick", tickLoop());
-  spawn(io_, "consensus heartbeat", heartbeatLoop());
-  spawn(io_, "consensus join", joinLoop());
-  spawn(io_, "consensus prune", pruneLoop());
+  server.on<JoinRequest>(
+      [this](JoinRequest q) -> Task<Acknowledgement> { co_return Acknowledgement{co_await joined(q)}; });
+  spawnTask(io_, "consensus tick", tickLoop());
+  spawnTask(io_, "consensus heartbeat", heartbeatLoop());
+  spawnTask(io_, "consensus join", joinLoop());
+  spawnTask(io_, "consensus prune", pruneLoop());
 }
 
 void Driver::pump() {
@@ -92,17 +95,17 @@
   if (b->records.empty() && b->messages.empty() && b->outcomes.empty()) return;
   if (log_)
     for (string const& r : b->records) log_->append(r);
-  bool const refusing = log_ && !log_->well();
+  bool const refusing = log_ && !log_->healthy();
   // What a refusing disk can't back isn't said; those who wait for it ask again.
   if (b->sync && refusing) b->messages.clear();
   if (b->sync && log_ && !refusing)
-    log_->synced([this, b] { send(b); });
+    log_->whenSynced([this, b] { send(b); });
   else
     send(b);
 }
 
 void Driver::send(std::shared_ptr<Batch> b) {
-  std::map<Identity, ConsensusMessages> by;
+  std::map<NodeId, ConsensusMessages> by;
   vector<Message> own;
   for (Message& m : b->messages) {
     if (m.to == id_)
@@ -110,9 +113,9 @@
     else
       by[m.to].messages.push_back(std::move(m));
   }
-  for (std::pair<Identity const, ConsensusMessages>& p : by) {
+  for (std::pair<NodeId const, ConsensusMessages>& p : by) {
     Member const* const m = consensus_.membership().find(p.first);
-    if (m) rpc_.tellTo(at(m->ip), p.second);
+    if (m) rpc_.send(at(m->ip), p.second);
   }
   for (Outcome const& o : b->outcomes) {
     std::map<std::uint64_t, std::shared_ptr<Wait>>::iterator const w = waits_.find(o.op);
@@ -154,7 +157,7 @@
   co_return r == Result::committed;
 }
 
-std::optional<Addr> Driver::ownerOf(string const& keyspace) const {
+std::optional<Address> Driver::ownerOf(string const& keyspace) const {
   Member const* const m = consensus_.wanted(keyspace, Clock::now());
   if (!m) return std::nullopt;
   return at(m->ip);
@@ -170,14 +173,14 @@
 }
 
 void Driver::sendHeartbeats() {
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   ++heartbeats_;
   HeartbeatMessage m = heartbeatFor(consensus_.membership().no, false);
   std::optional<HeartbeatMessage> whole;
   std::map<string, MembershipNumber> to;
   for (string const& ip : heartbeatTargets(consensus_.membership(), settings_.ip, settings_.seeds))
     to[ip] = MembershipNumber(0);
-  for (std::pair<Identity const, std::pair<HeartbeatMessage, Moment>> const& o : others_) {
+  for (std::pair<NodeId const, std::pair<HeartbeatMessage, TimePoint>> const& o : others_) {
     string const& ip = o.second.first.heartbeat.self.ip;
     if (now - o.second.second < Ms(settings_.bounds.inTouch) && ip != settings_.ip)
       to[ip] = o.second.first.heartbeat.membership;
@@ -197,10 +200,10 @@
 /// anew, even where all else that goes over it is told without waiting.
 void Driver::sendHeartbeat(string const& ip, HeartbeatMessage const& m) {
   if (!awaitingHeartbeat_.insert(ip).second) {
-    rpc_.tellTo(at(ip), m);
+    rpc_.send(at(ip), m);
     return;
   }
-  asio::co_spawn(io_, rpc_.ask(at(ip), m, Ms(settings_.bounds.inTouch / 8)),
+  asio::co_spawn(io_, rpc_.call(at(ip), m, Ms(settings_.bounds.inTouch / 8)),
                  [this, ip](std::exception_ptr x, HeartbeatReply r) {
                    awaitingHeartbeat_.erase(ip);
                    if (!x) consensus_.echoed(r.from, r.sent, Clock::now());
@@ -209,8 +212,8 @@
 
 Task<void> Driver::tickLoop() {
   for (;;) {
-    co_await pause(Ms(settings_.bounds.inTouch / 60));
-    if (consensus_.abstain(log_ && !log_->well())) sendHeartbeats();
+    co_await sleepFor(Ms(settings_.bounds.inTouch / 60));
+    if (consensus_.abstain(log_ && !log_->healthy())) sendHeartbeats();
     consensus_.tick(Clock::now());
     pump();
   }
@@ -219,7 +222,7 @@
   for (;;) {
     sendHeartbeats();
     if (onChange) onChange();
-    co_await pause(period_);
+    co_await sleepFor(period_);
   }
 }
 
--- a/consensus/driver.hpp
+++ b/consensus/driver.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "base/disk.hpp"
+#include "base/durable_log.hpp"
 #include "consensus/membership.hpp"
 #include "consensus/messages.hpp"
 
@@ -8,7 +8,7 @@
 /// Runs a Consensus against the disk, the connections and the clock.
 class Driver {
  public:
-  Driver(asio::io_context& io, Settings const& settings, Rpc& rpc);
+  Driver(asio::io_context& io, Settings const& settings, RpcClient& rpc);
   /// Starts heartbeats, founding or joining, and the listeners of the consensus's messages.
   void start(RpcServer& server);
   /// Has a change on a majority of the disks, within a bound. After an unknown end this node has given the
@@ -22,7 +22,7 @@
   /// True if the membership bears the losses that it should.
   bool wide() const { return MembershipPolicy::bears(consensus_.membership(), settings_.surviveMachines); }
   /// Where the wanted owner of a keyspace is; nothing if unknown.
-  std::optional<Addr> ownerOf(string const& keyspace) const;
+  std::optional<Address> ownerOf(string const& keyspace) const;
   /// Hands everything over: this node is wanted no more.
   void leave() {
     leaving_ = true;
@@ -67,28 +67,28 @@
   Task<bool> joined(JoinRequest q);
   Task<bool> changeMembership(JoinRequest const& q);
   Task<void> pruneLoop();
-  Addr at(string const& ip) const { return settings_.controlAt(ip); }
+  Address at(string const& ip) const { return settings_.controlAddress(ip); }
 
   asio::io_context& io_;
   Settings const& settings_;
-  Rpc& rpc_;
+  RpcClient& rpc_;
   Ms period_;
   /// What a learner copied before its promotion, by the disk that it came from, and under which membership.
-  std::map<Identity, DiskCopy> prefetched_;
+  std::map<NodeId, DiskCopy> prefetched_;
   MembershipNumber prefetchedUnder_;
   bool fresh_ = false, leaving_ = false, changing_ = false, warned_ = false;
-  Identity id_;
+  NodeId id_;
   Consensus consensus_;
-  std::unique_ptr<DiskLog> log_;
+  std::unique_ptr<DurableLog> log_;
   std::map<std::uint64_t, std::shared_ptr<Wait>> waits_;
-  std::map<Identity, std::pair<HeartbeatMessage, Moment>> others_;
+  std::map<NodeId, std::pair<HeartbeatMessage, TimePoint>> others_;
   void sendHeartbeat(string const& ip, HeartbeatMessage const& m);
   std::set<string> awaitingHeartbeat_;  ///< addresses whose answer to a heartbeat is awaited
   std::map<string, int> differ_;        ///< how many heartbeats in a row came with another register, by address
-  std::map<string, Moment> backAt_;     ///< when a heartbeat was last sent back at once
+  std::map<string, TimePoint> backAt_;  ///< when a heartbeat was last sent back at once
   std::set<string> owned_;
   std::uint64_t heartbeats_ = 0;
-  Moment started_ = Clock::now();
+  TimePoint started_ = Clock::now();
 };
 
 }  // namespace tealshelf
--- a/consensus/forward_to_owner.hpp
+++ b/consensus/forward_to_owner.hpp
@@ -18,18 +18,18 @@
 template <class Owners, class Calls, class Message>
 Task<std::optional<typename Message::Reply>> forwardToOwner(Owners& driver, Calls& rpc, string ownIp, string keyspace,
                                                             Message message, ForwardLimits limits) {
-  Moment const begin = Clock::now(), end = begin + limits.total;
-  Moment const searchEnd = std::min(begin + limits.search, end);
+  TimePoint const begin = Clock::now(), end = begin + limits.total;
+  TimePoint const searchEnd = std::min(begin + limits.search, end);
   while (!driver.consensus().owns(keyspace)) {
-    std::optional<Addr> const owner = driver.ownerOf(keyspace);
+    std::optional<Address> const owner = driver.ownerOf(keyspace);
     if (owner && owner->ip != ownIp && message.hops < limits.mostHops) {
       ++message.hops;
-      Ms const left(leftMs(end));
+      Ms const left(remainingMs(end));
       if constexpr (requires { message.budgetMs; }) message.budgetMs = left.count();
-      co_return co_await rpc.ask(*owner, message, std::min(limits.answer, left));
+      co_return co_await rpc.call(*owner, message, std::min(limits.answer, left));
     }
-    if (Clock::now() > searchEnd) throw Error(Code::noOwner);
-    co_await pause(driver.period() / 5);
+    if (Clock::now() > searchEnd) throw Error(ErrorCode::noOwner);
+    co_await sleepFor(driver.period() / 5);
   }
   co_return std::nullopt;
 }
--- a/consensus/learning.cpp
+++ b/consensus/learning.cpp
@@ -8,7 +8,7 @@
   msgpack::sbuffer b;
   msgpack::pack(b, votedEpoch);
   msgpack::pack(b, entries);
-  return hashOf(string(b.data(), b.size()));
+  return hash64(string(b.data(), b.size()));
 }
 
 bool Consensus::isMember() const {
@@ -27,7 +27,7 @@
 }
 
 void Consensus::install(Membership const& g, bool copied) {
-  if (g.no <= membership_.no && membership_.no.v) return;
+  if (g.no <= membership_.no && membership_.no.value) return;
   bool const was = isMember();
   bool const voted = mayVote();
   membership_ = g;
@@ -99,25 +99,25 @@
   return std::nullopt;
 }
 
-void Consensus::noteAwake(Moment now) {
+void Consensus::noteAwake(TimePoint now) {
   // A process that slept can't tell who was silent meanwhile.
-  if (awakeSince_ == Moment() || now - lastTick_ > times_.alive) awakeSince_ = now;
+  if (awakeSince_ == TimePoint() || now - lastTick_ > times_.alive) awakeSince_ = now;
   lastTick_ = now;
 }
 
-void Consensus::noteHeard(Heartbeat const& p, Moment now) {
+void Consensus::noteHeard(Heartbeat const& p, TimePoint now) {
   heardOf_[p.self.id] = now;
   for (Echo const& e : p.echoes) heardOf_[e.of] = now;
 }
 
-Ms Consensus::silentFor(Identity id, Moment now) const {
-  if (id == self_.id || awakeSince_ == Moment() || now - lastTick_ > times_.alive) return Ms(0);
-  std::map<Identity, Moment>::const_iterator const h = heardOf_.find(id);
-  Moment const last = h == heardOf_.end() ? awakeSince_ : std::max(awakeSince_, h->second);
+Ms Consensus::silentFor(NodeId id, TimePoint now) const {
+  if (id == self_.id || awakeSince_ == TimePoint() || now - lastTick_ > times_.alive) return Ms(0);
+  std::map<NodeId, TimePoint>::const_iterator const h = heardOf_.find(id);
+  TimePoint const last = h == heardOf_.end() ? awakeSince_ : std::max(awakeSince_, h->second);
   return std::chrono::duration_cast<Ms>(now - last);
 }
 
-bool Consensus::writtenAnew(Moment now) const {
+bool Consensus::writtenAnew(TimePoint now) const {
   std::size_t voters = 0;
   std::set<string> known;
   std::set<string> owned;
--- a/consensus/membership.cpp
+++ b/consensus/membership.cpp
@@ -19,7 +19,7 @@
 }
 
 /// The last change is open while its newcomer is in touch and has no vote yet.
-bool changeIsOpen(Consensus const& consensus, Moment now) {
+bool changeIsOpen(Consensus const& consensus, TimePoint now) {
   Membership const& g = consensus.membership();
   for (Member const& m : g.members)
     if (isNewcomer(g, m) && consensus.alive(m.id, now) && !consensus.ready(m.id, now)) return true;
@@ -33,10 +33,10 @@
 /// What becomes of the members when a learner is promoted.
 struct Seat {
   enum class Kind { replace, add, wait } kind = Kind::wait;
-  Identity of;  ///< whose place it takes, with replace
+  NodeId of;  ///< whose place it takes, with replace
 };
 
-Seat seatFor(Consensus const& consensus, Member const& who, Ms deadAfter, Moment now) {
+Seat seatFor(Consensus const& consensus, Member const& who, Ms deadAfter, TimePoint now) {
   vector<Member> const& l = consensus.membership().members;
   for (Member const& m : l)
     if (m.ip == who.ip) return {Seat::Kind::replace, m.id};
@@ -49,11 +49,11 @@
     if (!longest || consensus.silentFor(m.id, now) > consensus.silentFor(longest->id, now)) longest = &m;
   }
   if (longest && consensus.silentFor(longest->id, now) > deadAfter) return {Seat::Kind::replace, longest->id};
-  return {silent ? Seat::Kind::wait : Seat::Kind::add, Identity()};
+  return {silent ? Seat::Kind::wait : Seat::Kind::add, NodeId()};
 }
 
 /// True if those who stay and vote are a majority of the next membership.
-bool stayersSuffice(Consensus const& consensus, Membership const& next, Moment now) {
+bool stayersSuffice(Consensus const& consensus, Membership const& next, TimePoint now) {
   std::size_t n = 0;
   for (Member const& m : next.members) {
     Member const* const old = consensus.membership().find(m.id);
@@ -69,7 +69,7 @@
   return disks == g.members.size() && disks >= needed(survive);
 }
 
-bool MembershipPolicy::isTight(Consensus const& consensus, Identity without, std::int64_t survive, Moment now) {
+bool MembershipPolicy::isTight(Consensus const& consensus, NodeId without, std::int64_t survive, TimePoint now) {
   Membership const& g = consensus.membership();
   std::size_t inTouch = 0;
   for (Member const& m : g.members) inTouch += m.id != without && consensus.alive(m.id, now);
@@ -77,12 +77,12 @@
 }
 
 std::optional<Membership> MembershipPolicy::next(Consensus const& consensus, MembershipWish const& wish,
-                                                 Moment now) const {
+                                                 TimePoint now) const {
   Membership const& old = consensus.membership();
-  if (!old.no.v || !consensus.owns("members") || newerIsCommitted(consensus)) return std::nullopt;
+  if (!old.no.value || !consensus.owns("members") || newerIsCommitted(consensus)) return std::nullopt;
   if (changeIsOpen(consensus, now)) return std::nullopt;
   Membership g;
-  g.no = MembershipNumber(old.no.v + 1);
+  g.no = MembershipNumber(old.no.value + 1);
   g.members = old.members;
   g.former = old.members;
   if (wish.leave) {
--- a/consensus/membership.hpp
+++ b/consensus/membership.hpp
@@ -23,13 +23,13 @@
 struct MembershipPolicy {
   Ms deadAfter;
   std::size_t least = 3;  ///< a membership never shrinks below this
-  std::optional<Membership> next(Consensus const& consensus, MembershipWish const& wish, Moment now) const;
+  std::optional<Membership> next(Consensus const& consensus, MembershipWish const& wish, TimePoint now) const;
   /// How many members a membership needs that bears so many losses at once.
   static std::size_t needed(std::int64_t survive) { return static_cast<std::size_t>(2 * survive + 1); }
   /// True if a membership bears so many losses: enough members, all with disks.
   static bool bears(Membership const& g, std::int64_t survive);
   /// True if the members in touch, without one, don't bear so many losses as long as that one counts.
-  static bool isTight(Consensus const& consensus, Identity without, std::int64_t survive, Moment now);
+  static bool isTight(Consensus const& consensus, NodeId without, std::int64_t survive, TimePoint now);
   /// For how long a member must be silent before another may have its place: as long as the deployment
   /// gives a successor to catch up, less what it takes to promote one.
   static Ms deadAfterFor(Bounds const& b) { return Ms(std::max(b.inTouch / 2, b.catchUp - b.inTouch / 2)); }
--- a/consensus/messages.hpp
+++ b/consensus/messages.hpp
@@ -6,15 +6,15 @@
 namespace tealshelf {
 
 struct ConsensusMessages {
-  using Reply = Done;
-  static constexpr Method method = Method::consensusMessages;
+  using Reply = Acknowledgement;
+  static constexpr RpcMethod method = RpcMethod::consensusMessages;
   vector<Message> messages;
   MSGPACK_DEFINE(messages)
 };
 
 /// Brings the sender of a heartbeat its own moment back.
 struct HeartbeatReply {
-  Identity from;
+  NodeId from;
   OwnMoment sent;
   MSGPACK_DEFINE(from, sent)
 };
@@ -22,7 +22,7 @@
 /// Tells others of oneself; carries the membership when the other's is older, and beats taken since.
 struct HeartbeatMessage {
   using Reply = HeartbeatReply;
-  static constexpr Method method = Method::heartbeat;
+  static constexpr RpcMethod method = RpcMethod::heartbeat;
   Heartbeat heartbeat;
   Membership membership;
   vector<Worker> workers;
@@ -44,7 +44,7 @@
 
 struct Hello {
   using Reply = HelloReply;
-  static constexpr Method method = Method::hello;
+  static constexpr RpcMethod method = RpcMethod::hello;
   Member self;
   MSGPACK_DEFINE(self)
 };
@@ -58,15 +58,15 @@
 /// Asks for all keys; what the asker holds of them already (by digest) is left out.
 struct CopyAll {
   using Reply = CopyReply;
-  static constexpr Method method = Method::copyAll;
+  static constexpr RpcMethod method = RpcMethod::copyAll;
   MembershipNumber membership;
   std::map<string, std::uint64_t> digests;
   MSGPACK_DEFINE(membership, digests)
 };
 
 struct JoinRequest {
-  using Reply = Done;
-  static constexpr Method method = Method::join;
+  using Reply = Acknowledgement;
+  static constexpr RpcMethod method = RpcMethod::join;
   Member self;
   int hops = 0;
   bool leave = false;
--- a/consensus/rounds.cpp
+++ b/consensus/rounds.cpp
@@ -24,18 +24,18 @@
   s.phase = Phase::none;
 }
 
-void Consensus::startTakeover(string const& name, Keyspace& s, Moment now) {
+void Consensus::startTakeover(string const& name, Keyspace& s, TimePoint now) {
   stepDown(s);
   s.phase = Phase::taking;
   s.since = now;
-  s.epoch = {std::max(s.seen.n, s.votedEpoch.n) + 1, self_.id.v};
+  s.epoch = {std::max(s.seen.n, s.votedEpoch.n) + 1, self_.id.value};
   s.seen = s.epoch;
   s.votes.clear();
   s.gathered.clear();
   sendVoteRequests(name, s, now);
 }
 
-void Consensus::sendVoteRequests(string const& name, Keyspace& s, Moment now) {
+void Consensus::sendVoteRequests(string const& name, Keyspace& s, TimePoint now) {
   s.sent = now;
   for (Member const& m : membership_.members) {
     if (s.votes.count(m.id)) continue;
@@ -50,7 +50,7 @@
   }
 }
 
-void Consensus::sendWrite(string const& name, Keyspace& s, Write& w, Moment now) {
+void Consensus::sendWrite(string const& name, Keyspace& s, Write& w, TimePoint now) {
   w.sent = now;
   for (Member const& m : membership_.members) {
     if (w.acks.count(m.id)) continue;
@@ -70,7 +70,7 @@
   }
 }
 
-void Consensus::sendRead(string const& name, Keyspace& s, Read& r, Moment now) {
+void Consensus::sendRead(string const& name, Keyspace& s, Read& r, TimePoint now) {
   r.sent = now;
   for (Member const& m : membership_.members) {
     if (r.acks.count(m.id)) continue;
@@ -88,7 +88,7 @@
 
 /// What has waited too long for a majority ends, also where the answers come after all: a process that was
 /// frozen doesn't go on where it stood. A write that ends so costs the ownership.
-void Consensus::expire(Keyspace& s, Moment now) {
+void Consensus::expire(Keyspace& s, TimePoint now) {
   for (Write const& w : s.writes)
     if (!w.done && s.phase == Phase::owning && now - w.begun > times_.open) return stepDown(s);
   while (!s.reads.empty() && now - s.reads.front().begun > times_.open) {
@@ -101,7 +101,7 @@
   stepDown(keyspaces_[keyspace]);
 }
 
-void Consensus::resend(string const& name, Keyspace& s, Moment now) {
+void Consensus::resend(string const& name, Keyspace& s, TimePoint now) {
   for (Write& w : s.writes)
     if (now - w.sent > times_.again) sendWrite(name, s, w, now);
   for (Read& r : s.reads)
@@ -109,7 +109,7 @@
 }
 
 /// A committed write is kept until all who are up have it, but only so many of them.
-void Consensus::forgetWrites(Keyspace& s, Moment now) {
+void Consensus::forgetWrites(Keyspace& s, TimePoint now) {
   while (!s.writes.empty() && s.writes.front().done) {
     bool all = true;
     for (Member const& m : membership_.members) all = all && (s.writes.front().acks.count(m.id) || !alive(m.id, now));
@@ -119,11 +119,11 @@
   }
 }
 
-void Consensus::tick(Moment now) {
+void Consensus::tick(TimePoint now) {
   noteAwake(now);
   if (!mayVote()) return;
-  Moment const proven = provenAt(now);
-  bool const lost = proven == Moment() || now - proven > times_.lost;
+  TimePoint const proven = provenAt(now);
+  bool const lost = proven == TimePoint() || now - proven > times_.lost;
   for (std::pair<string const, Keyspace>& p : keyspaces_) {
     Keyspace& s = p.second;
     if (lost && s.phase != Phase::none) stepDown(s);
@@ -143,7 +143,7 @@
   }
 }
 
-std::uint64_t Consensus::propose(string const& keyspace, vector<Change> cs, Moment now) {
+std::uint64_t Consensus::propose(string const& keyspace, vector<Change> cs, TimePoint now) {
   Keyspace& s = keyspaces_[keyspace];
   std::uint64_t const op = ++lastOp_;
   if (s.phase != Phase::owning || !mayVote()) {
@@ -161,7 +161,7 @@
   return op;
 }
 
-std::uint64_t Consensus::confirm(string const& keyspace, Moment now) {
+std::uint64_t Consensus::confirm(string const& keyspace, TimePoint now) {
   Keyspace& s = keyspaces_[keyspace];
   std::uint64_t const op = ++lastOp_;
   if (s.phase != Phase::owning || !mayVote()) {
@@ -191,7 +191,7 @@
   return r;
 }
 
-void Consensus::receive(Message const& m, Moment now) {
+void Consensus::receive(Message const& m, TimePoint now) {
   if (m.membership != membership_.no || m.to != self_.id || !membership_.find(m.from) || !mayVote()) return;
   Keyspace& s = keyspaces_[m.keyspace];
   s.seen = std::max({s.seen, m.epoch, m.votedEpoch});
@@ -247,7 +247,7 @@
   if (m.votedEpoch != s.epoch && m.votedEpoch.n >= s.epoch.n && s.phase != Phase::none) stepDown(s);
 }
 
-void Consensus::onVote(Message const& m, Keyspace& s, Moment now) {
+void Consensus::onVote(Message const& m, Keyspace& s, TimePoint now) {
   if (s.phase != Phase::taking || m.epoch != s.epoch) return;
   if (!m.ok) return refused(m, s);
   s.votes.insert(m.from);
--- a/control/call_input.cpp
+++ b/control/call_input.cpp
@@ -11,25 +11,25 @@
 
 string idInPath(string_view path, string_view prefix) {
   string_view const id = path.substr(std::min(prefix.size(), path.size()));
-  if (id.empty() || id.size() > longestId || path.substr(0, prefix.size()) != prefix) throw Error(Code::badId);
+  if (id.empty() || id.size() > longestId || path.substr(0, prefix.size()) != prefix) throw Error(ErrorCode::badId);
   for (char const c : id)
-    if (c <= ' ' || c > '~' || string_view("/?#%\"\\").find(c) != string_view::npos) throw Error(Code::badId);
+    if (c <= ' ' || c > '~' || string_view("/?#%\"\\").find(c) != string_view::npos) throw Error(ErrorCode::badId);
   return string(id);
 }
 
 void checkRetirement(string const& body) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
-  if (document.HasParseError() || !document.IsObject()) throw Error(Code::badRetirement, "not an object");
+  if (document.HasParseError() || !document.IsObject()) throw Error(ErrorCode::badRetirement, "not an object");
   rapidjson::Value::ConstMemberIterator const over = document.FindMember("overS");
-  if (over == document.MemberEnd() || !over->value.IsNumber()) throw Error(Code::badRetirement, "no overS");
+  if (over == document.MemberEnd() || !over->value.IsNumber()) throw Error(ErrorCode::badRetirement, "no overS");
   double const seconds = over->value.GetDouble();
-  if (!(seconds >= 0 && seconds <= mostOverS)) throw Error(Code::badRetirement, "overS out of its range");
+  if (!(seconds >= 0 && seconds <= mostOverS)) throw Error(ErrorCode::badRetirement, "overS out of its range");
 }
 
 Error shownToCaller(Error const& error, CallKind kind) {
-  if (error.kind() != Kind::unclear) return error;
-  return Error(kind == CallKind::read ? Code::unhealthy : Code::orderOpen, error.what());
+  if (error.kind() != ErrorKind::undetermined) return error;
+  return Error(kind == CallKind::read ? ErrorCode::notReady : ErrorCode::changeUndecided, error.what());
 }
 
 }  // namespace tealshelf
--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -16,23 +16,23 @@
       driver_(io, settings, rpc_),
       coordinator_(io, settings, rpc_, driver_),
       table_(Ms(3 * settings.reportEvery), driver_.consensus().self().id),
-      server_(io, settings.controlAt(settings.ip), Ms(settings.bounds.inTouch / 2)),
+      server_(io, settings.controlAddress(settings.ip), Ms(settings.bounds.inTouch / 2)),
       http_(
-          io, settings.control, [this](Call c) { return handle(std::move(c)); }, 16u << 20,
+          io, settings.control, [this](HttpCall c) { return handle(std::move(c)); }, 16u << 20,
           Ms(5 * settings.bounds.inTouch)),
       orders_(io, mostOrdersWaiting),
       publisher_(io, settings, 0),
       health_(Ms(settings.bounds.inTouch / 4), WorkerHealth::Rule()) {
   if (!settings.dataFolder.empty()) {
-    log_ = std::make_unique<DiskLog>(io, settings.dataFolder + "/workers", diskLimits(settings, 0.15), [this] {
+    log_ = std::make_unique<DurableLog>(io, settings.dataFolder + "/workers", diskLimits(settings, 0.15), [this] {
       vector<string> v;
-      for (Worker const& w : table_.all()) v.push_back(packed(w));
+      for (Worker const& w : table_.all()) v.push_back(serialize(w));
       return v;
     });
-    for (string const& r : log_->found().records) table_.merge(unpacked<Worker>(r), Clock::now());
+    for (string const& r : log_->recovered().records) table_.merge(deserialize<Worker>(r), Clock::now());
     table_.fresh();
     noted_ = table_.revision();
-    log_->forget();
+    log_->releaseRecovered();
   }
   publisher_.proof = [this] {
     return UpdatePublisher::Proof{driver_.healthy() && tableWhole() && !stopping_, 0,
@@ -50,7 +50,7 @@
           publisher_.setConfiguration(c->version, i->second);
           for (Route const& m : c->routes)
             if (m.kind == RouteKind::bulk) driver_.consensus().know(LotCoordinator::keyspaceOf(m.host));
-          tell("configuration", "version " + std::to_string(c->version) + " is in force");
+          logInfo("configuration", "version " + std::to_string(c->version) + " is in force");
           updated = true;
         }
       }
@@ -79,8 +79,8 @@
   });
   server_.start();
   http_.start();
-  spawn(io_, "sweep", sweepLoop());
-  tell("control", settings_.nodeName + " serves control at " + settings_.control.text());
+  spawnTask(io_, "sweep", sweepLoop());
+  logInfo("control", settings_.nodeName + " serves control at " + settings_.control.text());
 }
 
 void ControlNode::stop() {
@@ -91,9 +91,9 @@
 
 void ControlNode::note() {
   if (!log_) return;
-  for (Worker const& w : table_.all(noted_)) log_->append(packed(w));
+  for (Worker const& w : table_.all(noted_)) log_->append(serialize(w));
   noted_ = table_.revision();
-  log_->write();
+  log_->flush();
 }
 
 void ControlNode::changed() {
@@ -106,17 +106,17 @@
     Worker x = w;
     x.callCount = 0;
     x.warmupLeft = 0;
-    x.registrar = Identity();
+    x.registrar = NodeId();
     x.turn = 0;
-    publisher_.common.put("w/" + w.id, packed(x));
+    publisher_.common.put("w/" + w.id, serialize(x));
   }
   publishedRevision_ = table_.revision();
   Membership const& g = driver_.consensus().membership();
   membershipNumber_ = g.no;
   std::set<string> named;
   for (Member const& m : g.members) {
-    publisher_.common.put("m/" + hex(m.id.v), packed(m));
-    named.insert("m/" + hex(m.id.v));
+    publisher_.common.put("m/" + hex(m.id.value), serialize(m));
+    named.insert("m/" + hex(m.id.value));
   }
   vector<string> out;
   for (std::map<string, string>::const_iterator i = publisher_.common.rows().lower_bound("m/");
@@ -134,7 +134,7 @@
 
 Task<void> ControlNode::sweepLoop() {
   for (;;) {
-    co_await pause(Ms(settings_.reportEvery / 4));
+    co_await sleepFor(Ms(settings_.reportEvery / 4));
     if (driver_.healthy() && table_.sweep(Clock::now())) changed();
     listNodes();
     if (driver_.healthy()) judge();
@@ -143,8 +143,8 @@
 
 Task<CallReply> ControlNode::servers(ForwardCall q) {
   string const id = idInPath(q.path, "/servers/");
-  if (q.verb != "PUT" && q.verb != "DELETE") throw Error(Code::wrongVerb);
-  if (!driver_.healthy()) throw Error(Code::unhealthy);
+  if (q.verb != "PUT" && q.verb != "DELETE") throw Error(ErrorCode::methodNotAllowed);
+  if (!driver_.healthy()) throw Error(ErrorCode::notReady);
   Worker w;
   if (q.verb == "PUT")
     w = readBeat(id, q.body);
@@ -167,7 +167,7 @@
     for (Member const& x : driver_.consensus().membership().members) {
       if (x.id == driver_.consensus().self().id || !driver_.consensus().alive(x.id, Clock::now())) continue;
       ++*left;
-      asio::co_spawn(io_, rpc_.ask(settings_.controlAt(x.ip), m, Ms(settings_.bounds.drain / 5)),
+      asio::co_spawn(io_, rpc_.call(settings_.controlAddress(x.ip), m, Ms(settings_.bounds.drain / 5)),
                      [left, t](std::exception_ptr, HeartbeatReply) {
                        if (!--*left) t->cancel();
                      });
@@ -176,8 +176,8 @@
     if (*left && (w.draining || w.gone)) co_await t->async_wait(asio::redirect_error(asio::use_awaitable, e));
   }
   // Also where it was known: a beat that another node told of may not be synced here yet.
-  if (log_ && (w.draining || w.gone)) co_await log_->settled();
-  std::optional<Addr> const to = w.gone || stopping_ ? std::nullopt : registrarOf(w);
+  if (log_ && (w.draining || w.gone)) co_await log_->waitSynced();
+  std::optional<Address> const to = w.gone || stopping_ ? std::nullopt : registrarOf(w);
   co_return CallReply{200, to ? "{\"reportTo\":\"" + to->text() + "\"}" : "{}"};
 }
 
--- a/control/control_node.hpp
+++ b/control/control_node.hpp
@@ -20,18 +20,18 @@
   void stop();
 
  private:
-  Task<CallAnswer> handle(Call c);
+  Task<HttpReply> handle(HttpCall c);
   Task<CallReply> route(ForwardCall q);
   string retryAfter() const;
   /// Time in which a call is answered; its caller turns to another node soon after.
-  std::int64_t callBudgetMs() const { return settings_.bounds.confirmWithin / 5; }
+  std::int64_t callBudgetMs() const { return (settings_.bounds.confirmWithin / 5).count(); }
   Task<CallReply> servers(ForwardCall q);
   Task<CallReply> configurationCall(ForwardCall q);
   Task<CallReply> putConfiguration(ForwardCall q);
   /// The first configuration waits a while for a membership that bears the losses it should.
-  Task<void> awaitFirstMembership(Moment end);
+  Task<void> awaitFirstMembership(TimePoint end);
   /// Makes sure that this node owns a keyspace; throws Code::noQuorum otherwise.
-  Task<Epoch> confirmOwner(string keyspace, Moment end);
+  Task<Epoch> confirmOwner(string keyspace, TimePoint end);
   /// Has the configuration that an order brings on a majority; throws Code::orderOpen if that isn't known.
   Task<void> commit(Decision decision, Epoch epoch);
   Task<CallReply> retire(ForwardCall q);
@@ -46,33 +46,33 @@
   /// Has workers rest that fail more than their like.
   void judge();
   /// Where the next beats of a worker should go: a control node of its zone if there is one.
-  std::optional<Addr> registrarOf(Worker const& w) const;
+  std::optional<Address> registrarOf(Worker const& w) const;
   /// Notes changed rows of the register on the disk, without waiting.
   void note();
   bool tableWhole() const;
 
   asio::io_context& io_;
   Settings const& settings_;
-  Rpc rpc_;
+  RpcClient rpc_;
   Driver driver_;
   LotCoordinator coordinator_;
   WorkerRegistry table_;
   RpcServer server_;
   HttpServer http_;
-  Moment started_ = Clock::now();
-  std::unique_ptr<DiskLog> log_;
-  std::set<Identity> tables_;  ///< nodes whose whole register was taken in
+  TimePoint started_ = Clock::now();
+  std::unique_ptr<DurableLog> log_;
+  std::set<NodeId> tables_;  ///< nodes whose whole register was taken in
   bool stopping_ = false;
   AsyncMutex orders_;  ///< one order is judged and written at a time
   UnsettledOrder unsettled_;
   struct Part {
     std::uint64_t digest = 0;
     vector<NodeRow> nodes;
-    Moment at;
+    TimePoint at;
   };
   UpdatePublisher publisher_;
   WorkerHealth health_;
-  std::map<Identity, Part> parts_;  ///< which nodes ask at which other control node
+  std::map<NodeId, Part> parts_;  ///< which nodes ask at which other control node
   std::uint64_t publishedRevision_ = 0, noted_ = 0, nodesDigest_ = 0;
   MembershipNumber membershipNumber_;
   int nodesTurns_ = 0;
--- a/control/messages.hpp
+++ b/control/messages.hpp
@@ -14,7 +14,7 @@
 /// A call of a worker or an operator, handed on to the owner of its keyspace.
 struct ForwardCall {
   using Reply = CallReply;
-  static constexpr Method method = Method::forwardCall;
+  static constexpr RpcMethod method = RpcMethod::forwardCall;
   string verb, path, ifMatch, body;
   int hops = 0;
   std::int64_t budgetMs = 0;  ///< time that is left for its answer
--- a/control/operator_calls.cpp
+++ b/control/operator_calls.cpp
@@ -6,17 +6,17 @@
 /// The calls of the control interface: routing to their handlers, configurations and retirements.
 namespace tealshelf {
 
-Task<CallAnswer> ControlNode::handle(Call c) {
-  ForwardCall q{c.verb, c.path, c.head("If-Match"), std::move(c.body), 0, callBudgetMs()};
+Task<HttpReply> ControlNode::handle(HttpCall c) {
+  ForwardCall q{c.verb, c.path, c.header("If-Match"), std::move(c.body), 0, callBudgetMs()};
   CallKind const kind = c.verb == "GET" ? CallKind::read : CallKind::change;
-  CallAnswer answer;
+  HttpReply answer;
   try {
     CallReply const reply = co_await route(std::move(q));
-    answer = CallAnswer{reply.status, reply.body, "application/json", {}};
+    answer = HttpReply{reply.status, reply.body, "application/json", {}};
   } catch (Error const& error) {
-    answer = answerOf(shownToCaller(error, kind));
+    answer = errorReply(shownToCaller(error, kind));
   }
-  if (answer.status == statusOf(Kind::notNow)) answer.heads.emplace_back("Retry-After", retryAfter());
+  if (answer.status == httpStatusOf(ErrorKind::unavailable)) answer.headers.emplace_back("Retry-After", retryAfter());
   co_return answer;
 }
 
@@ -24,13 +24,13 @@
   if (q.path.rfind("/servers/", 0) == 0) co_return co_await servers(std::move(q));
   if (q.path == "/settings") co_return co_await configurationCall(std::move(q));
   if (q.path.rfind("/retire/", 0) == 0) co_return co_await retire(std::move(q));
-  throw Error(Code::noResource, q.path.substr(0, 40));
+  throw Error(ErrorCode::unknownPath, q.path.substr(0, 40));
 }
 
 /// Seconds after which a caller that was told "not now" may come again.
 string ControlNode::retryAfter() const {
   std::ostringstream text;
-  text << static_cast<double>(settings_.bounds.confirmWithin) / 16000;
+  text << static_cast<double>(settings_.bounds.confirmWithin.count()) / 16000;
   return text.str();
 }
 
@@ -41,20 +41,20 @@
   return forwardToOwner(driver_, rpc_, settings_.ip, keyspace, std::move(q), limits);
 }
 
-Task<Epoch> ControlNode::confirmOwner(string keyspace, Moment end) {
+Task<Epoch> ControlNode::confirmOwner(string keyspace, TimePoint end) {
   Consensus const& consensus = driver_.consensus();
   Epoch const epoch = consensus.epochOf(keyspace);
-  Ms const limit = std::min(Ms(settings_.bounds.inTouch / 3), Ms(leftMs(end)));
+  Ms const limit = std::min(Ms(settings_.bounds.inTouch / 3), Ms(remainingMs(end)));
   bool const sure = co_await driver_.confirm(keyspace, limit);
-  if (!sure || !consensus.owns(keyspace) || consensus.epochOf(keyspace) != epoch) throw Error(Code::noQuorum);
+  if (!sure || !consensus.owns(keyspace) || consensus.epochOf(keyspace) != epoch) throw Error(ErrorCode::noQuorum);
   co_return epoch;
 }
 
 Task<CallReply> ControlNode::configurationCall(ForwardCall q) {
-  if (q.verb != "PUT" && q.verb != "GET") throw Error(Code::wrongVerb);
-  Moment const end = Clock::now() + Ms(q.budgetMs);
+  if (q.verb != "PUT" && q.verb != "GET") throw Error(ErrorCode::methodNotAllowed);
+  TimePoint const end = Clock::now() + Ms(q.budgetMs);
   if (std::optional<CallReply> r = co_await elsewhere("configuration", q)) co_return *r;
-  q.budgetMs = leftMs(end);
+  q.budgetMs = remainingMs(end);
   if (q.verb == "PUT") co_return co_await putConfiguration(std::move(q));
   co_await confirmOwner("configuration", end);
   std::map<string, string> const& rows = driver_.consensus().view("configuration");
@@ -63,27 +63,27 @@
   co_return CallReply{200, current->second};
 }
 
-Task<void> ControlNode::awaitFirstMembership(Moment end) {
-  Moment const until = started_ + Ms(settings_.bounds.inTouch);
+Task<void> ControlNode::awaitFirstMembership(TimePoint end) {
+  TimePoint const until = started_ + Ms(settings_.bounds.inTouch);
   while (!driver_.wide() && Clock::now() < until && !driver_.consensus().view("configuration").count(currentKey)) {
-    if (Clock::now() >= end) throw Error(Code::unhealthy, "the membership is still too small");
-    co_await pause(Ms(settings_.bounds.inTouch / 60));
+    if (Clock::now() >= end) throw Error(ErrorCode::notReady, "the membership is still too small");
+    co_await sleepFor(Ms(settings_.bounds.inTouch / 60));
   }
 }
 
 Task<CallReply> ControlNode::putConfiguration(ForwardCall q) {
-  Moment const end = Clock::now() + Ms(q.budgetMs);
+  TimePoint const end = Clock::now() + Ms(q.budgetMs);
   AsyncMutex::Lock const turn = co_await orders_.lock(Ms(q.budgetMs / 2));
   co_await awaitFirstMembership(end);
   Epoch const epoch = co_await confirmOwner("configuration", end);
   std::map<string, string> const& rows = driver_.consensus().view("configuration");
-  if (unsettled_.open(epoch.n, rows)) throw Error(Code::orderOpen, "an order before it is open");
+  if (unsettled_.open(epoch.n, rows)) throw Error(ErrorCode::changeUndecided, "an order before it is open");
   Order const order{q.ifMatch, std::move(q.body)};
   Decision const decision = decide(rows, order);
   if (decision.verdict == OrderVerdict::apply)
     co_await commit(decision, epoch);
   else if (decision.verdict != OrderVerdict::acknowledgeAgain) {
-    tell("configuration", string("an order was refused: ") + Error(decision.code, decision.detail).what());
+    logInfo("configuration", string("an order was refused: ") + Error(decision.code, decision.detail).what());
     throw Error(decision.code, decision.detail);
   }
   co_return CallReply{200, "{}"};
@@ -94,30 +94,30 @@
   for (OrderHistory::Row const& row : decision.rows) changes.push_back(Consensus::Change{row.key, row.value, false});
   unsettled_.begin(decision.identity, epoch.n);
   Result const result = co_await driver_.propose("configuration", std::move(changes));
-  if (result != Result::committed) throw Error(Code::orderOpen);
+  if (result != Result::committed) throw Error(ErrorCode::changeUndecided);
   unsettled_.settle();
   driver_.onChange();
 }
 
 Task<CallReply> ControlNode::retire(ForwardCall q) {
   string const node = idInPath(q.path, "/retire/");
-  if (q.verb != "POST" && q.verb != "GET") throw Error(Code::wrongVerb);
+  if (q.verb != "POST" && q.verb != "GET") throw Error(ErrorCode::methodNotAllowed);
   if (q.verb == "POST") checkRetirement(q.body);
-  Moment const end = Clock::now() + Ms(q.budgetMs);
+  TimePoint const end = Clock::now() + Ms(q.budgetMs);
   if (std::optional<CallReply> r = co_await elsewhere("members", q)) co_return *r;
   co_await confirmOwner("members", end);
   bool const asked = driver_.consensus().view("members").count("retire/" + node) != 0;
-  if (!asked && !coordinator_.knownStore(node)) throw Error(Code::unknownNode, node);
+  if (!asked && !coordinator_.knownStore(node)) throw Error(ErrorCode::unknownNode, node);
   if (q.verb == "POST" && !asked) {
     std::size_t left = 0;
     std::set<string> const going = coordinator_.retiring();
     for (StoreRef const& s : coordinator_.liveStores(Clock::now()))
       if (s.name != node && !going.count(s.name)) ++left;
-    if (left < static_cast<std::size_t>(settings_.surviveMachines) + 1) throw Error(Code::tooFewLeft);
+    if (left < static_cast<std::size_t>(settings_.surviveMachines) + 1) throw Error(ErrorCode::tooFewStores);
     vector<Consensus::Change> changes(1, Consensus::Change{"retire/" + node, "1", false});
     Result const result = co_await driver_.propose("members", std::move(changes));
-    if (result != Result::committed) throw Error(Code::orderOpen);
-    tell("control", node + " is to be emptied");
+    if (result != Result::committed) throw Error(ErrorCode::changeUndecided);
+    logInfo("control", node + " is to be emptied");
   }
   if (q.verb == "POST") co_return CallReply{200, "{}"};
   bool finished = false;
--- a/control/worker_exchange.cpp
+++ b/control/worker_exchange.cpp
@@ -4,8 +4,8 @@
 
 /// What the control nodes tell each other of workers and data-plane nodes.
 bool ControlNode::onHeartbeat(HeartbeatMessage const& m) {
-  Moment const now = Clock::now();
-  Identity const from = m.heartbeat.self.id;
+  TimePoint const now = Clock::now();
+  NodeId const from = m.heartbeat.self.id;
   bool updated = false;
   table_.alive(from, now);
   if (m.full)
@@ -52,22 +52,22 @@
       health_.judge(table_.all(), driver_.consensus().self().id, Clock::now());
   for (WorkerHealth::RestChange const& change : changes) {
     table_.rest(change.worker, change.resting);
-    tell("workers", change.worker + (change.resting ? " fails more than its like and rests" : " is tried again"));
+    logInfo("workers", change.worker + (change.resting ? " fails more than its like and rests" : " is tried again"));
   }
   if (!changes.empty()) changed();
 }
 
 void ControlNode::listNodes() {
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   std::map<string, NodeRow> all;
   for (NodeRow const& n : publisher_.heard(now)) all[n.name] = n;
-  for (std::pair<Identity const, Part> const& p : parts_)
+  for (std::pair<NodeId const, Part> const& p : parts_)
     if (now - p.second.at <= Ms(settings_.bounds.inTouch / 2))
       for (NodeRow const& n : p.second.nodes) all.emplace(n.name, n);
   bool updated = false;
   std::set<string> zones;
   for (std::pair<string const, NodeRow> const& p : all) {
-    updated = publisher_.zones[p.second.zone].put(p.first, packed(p.second)) || updated;
+    updated = publisher_.zones[p.second.zone].put(p.first, serialize(p.second)) || updated;
     zones.insert(p.second.zone);
   }
   for (std::pair<string const, VersionedTable>& z : publisher_.zones) {
@@ -79,15 +79,15 @@
   if (updated) publisher_.changed(Ms(settings_.bounds.inTouch / 80));
 }
 
-std::optional<Addr> ControlNode::registrarOf(Worker const& w) const {
-  Moment const now = Clock::now();
-  std::optional<Addr> best;
+std::optional<Address> ControlNode::registrarOf(Worker const& w) const {
+  TimePoint const now = Clock::now();
+  std::optional<Address> best;
   std::pair<bool, std::uint64_t> top;
   for (Member const& m : driver_.consensus().membership().members) {
     if (m.id != driver_.consensus().self().id && !driver_.consensus().ready(m.id, now)) continue;
-    std::pair<bool, std::uint64_t> const rank(m.zone == w.zone, hashOf(hex(m.id.v), hashOf(w.id)));
+    std::pair<bool, std::uint64_t> const rank(m.zone == w.zone, hash64(hex(m.id.value), hash64(w.id)));
     if (best && rank <= top) continue;
-    best = Addr{m.ip, settings_.control.port};
+    best = Address{m.ip, settings_.control.port};
     top = rank;
   }
   return best;
--- a/edge/carry_out.cpp
+++ b/edge/carry_out.cpp
@@ -27,7 +27,7 @@
   std::uint64_t sends = 0;
   bool mayHaveRun = false;
   EventReader ev;
-  Code why = Code::noWorker;
+  ErrorCode why = ErrorCode::noWorker;
   int rounds = 0;
   while (sends < l.tries && Clock::now() < l.deadline) {
     Worker const* w = balance_.pick(view_, l.want, tried);
@@ -35,7 +35,7 @@
       // Everyone was tried; a short wait, then one more round, while there is time inside the aim.
       if (++rounds > 1 || Clock::now() - l.came > Ms(l.route->aim / 4)) break;
       tried.clear();
-      co_await pause(Ms(std::max<std::int64_t>(1, l.route->aim / 20)));
+      co_await sleepFor(Ms(std::max<std::int64_t>(1, l.route->aim / 20)));
       continue;
     }
     if (!w) break;
@@ -48,14 +48,13 @@
     Verdict const v = co_await x.start(ask, l.attempt, l.deadline);
     balance_.first(id, unread);
     bool over = false;
-    say(Level::debug, "request",
-        l.attempt + " at " + id + " verdict " + std::to_string(static_cast<int>(v)) +
-            (v == Verdict::answered ? " status " + std::to_string(x.status()) : ""));
+    logDebug("request", l.attempt + " at " + id + " verdict " + std::to_string(static_cast<int>(v)) +
+                            (v == Verdict::answered ? " status " + std::to_string(x.status()) : ""));
     switch (v) {
       case Verdict::notSent:
         balance_.broke(id, true);
         view_.tally(id, false);
-        why = Code::noWorker;
+        why = ErrorCode::noWorker;
         break;
       case Verdict::notRun:
         ++sends;
@@ -66,20 +65,20 @@
           if (b && (*b)[0] < (*b)[2] / 2) view_.tally(id, false);
         } else
           balance_.broke(id, true);
-        why = Code::workersFull;
+        why = ErrorCode::workersFull;
         break;
       case Verdict::unclear:
         ++sends;
         balance_.broke(id, x.fresh());
         if (x.fresh()) view_.tally(id, false);
         mayHaveRun = true;
-        why = Code::workerBroke;
+        why = ErrorCode::workerFailed;
         over = !l.mayRepeat;
         break;
       case Verdict::timeUp:
         if (l.deadline - l.came > Ms(4 * l.route->aim)) view_.tally(id, false);
         mayHaveRun = true;
-        why = Code::deadlineBroken;
+        why = ErrorCode::deadlineExceeded;
         over = true;
         break;
       case Verdict::answered: {
@@ -99,7 +98,7 @@
           if (passes) view_.tally(id, false);
           x.cut();
           mayHaveRun = true;
-          why = Code::workerBroke;
+          why = ErrorCode::workerFailed;
           over = !l.mayRepeat;
           break;
         }
@@ -123,16 +122,16 @@
   }
   if (mayHaveRun) {
     if (Clock::now() >= l.deadline)
-      why = Code::deadlineBroken;
-    else if (lineOf(why).kind == Kind::refused)
-      why = Code::workerBroke;
+      why = ErrorCode::deadlineExceeded;
+    else if (errorInfo(why).kind == ErrorKind::rejected)
+      why = ErrorCode::workerFailed;
     co_await answer(p, Error(why));
     co_return;
   }
-  CallAnswer a = answerOf(Error(Clock::now() >= l.deadline ? Code::deadlinePassed : why));
+  HttpReply a = errorReply(Error(Clock::now() >= l.deadline ? ErrorCode::deadlinePassed : why));
   char t[32];
   std::snprintf(t, sizeof t, "%.3f", retryAfter(l));
-  a.heads.emplace_back("Retry-After", t);
+  a.headers.emplace_back("Retry-After", t);
   co_await answer(p, std::move(a));
 }
 
@@ -153,14 +152,14 @@
   r.prepare_payload();
   p->headSent = true;
   error_code e;
-  Guard g(io_, p->sock);
-  g.until(Clock::now() + Ms(5 * settings_.bounds.inTouch));
+  SocketDeadline g(io_, p->sock);
+  g.expireAt(Clock::now() + Ms(5 * settings_.bounds.inTouch));
   co_await http::async_write(p->sock, r, asio::redirect_error(asio::use_awaitable, e));
   if (e) p->keep = false;
   co_return true;
 }
 
-Task<bool> EdgeNode::relay(ConnectionPtr p, Plan const&, Exchange& x, EventReader& ev, Moment until) {
+Task<bool> EdgeNode::relay(ConnectionPtr p, Plan const&, Exchange& x, EventReader& ev, TimePoint until) {
   error_code e;
   bool const first = !p->headSent;
   if (first) {
@@ -179,7 +178,7 @@
       co_return true;
     }
   }
-  Guard g(io_, p->sock);
+  SocketDeadline g(io_, p->sock);
   Piece s = Piece::some;
   string body;
   while (s == Piece::some) {
@@ -189,7 +188,7 @@
     bool const whole = s == Piece::whole;
     if (whole && !ev.clean()) s = Piece::broken;
     if (events.empty() && !(s == Piece::whole)) continue;
-    g.until(Clock::now() + Ms(2 * settings_.bounds.inTouch));
+    g.expireAt(Clock::now() + Ms(2 * settings_.bounds.inTouch));
     if (s == Piece::whole) {
       x.done();
       if (events.empty())
@@ -204,7 +203,7 @@
       co_await asio::async_write(p->sock, http::make_chunk(asio::buffer(events)),
                                  asio::redirect_error(asio::use_awaitable, e));
     }
-    g.hold();
+    g.cancel();
     if (e) {
       x.cut();
       p->keep = false;
--- a/edge/edge_node.cpp
+++ b/edge/edge_node.cpp
@@ -6,15 +6,15 @@
     : io_(io),
       settings_(settings),
       rpc_(io, Ms(settings.bounds.inTouch / 2)),
-      server_(io, settings.relayAt(settings.ip), Ms(settings.bounds.inTouch / 2)),
-      view_(io, settings, rpc_, "edge", settings.relayAt(settings.ip)),
+      server_(io, settings.relayAddress(settings.ip), Ms(settings.bounds.inTouch / 2)),
+      view_(io, settings, rpc_, "edge", settings.relayAddress(settings.ip)),
       pools_(io, settings),
       balance_(settings),
       lotApi_(io, settings, rpc_, view_),
       readiness_(
           io, settings.readiness,
-          [this](Call c) -> Task<CallAnswer> {
-            CallAnswer a;
+          [this](HttpCall c) -> Task<HttpReply> {
+            HttpReply a;
             a.status = c.path == "/readiness" ? (view_.healthy() && !stopping_ ? 200 : 503) : 404;
             co_return a;
           },
@@ -31,9 +31,9 @@
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.bind(p);
   acceptor_.listen(1024);
-  spawn(io_, "listener", take());
-  spawn(io_, "sweep", sweepLoop());
-  tell("edge", settings_.nodeName + " serves clients at " + settings_.outside.text());
+  spawnTask(io_, "listener", take());
+  spawnTask(io_, "sweep", sweepLoop());
+  logInfo("edge", settings_.nodeName + " serves clients at " + settings_.outside.text());
 }
 
 void EdgeNode::stop() {
@@ -46,7 +46,7 @@
 
 Task<void> EdgeNode::sweepLoop() {
   for (;;) {
-    co_await pause(Ms(settings_.bounds.inTouch / 2));
+    co_await sleepFor(Ms(settings_.bounds.inTouch / 2));
     pools_.sweep(view_);
     balance_.sweep(view_);
   }
@@ -58,15 +58,15 @@
     tcp::socket s = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, e));
     if (e) {
       if (e == asio::error::operation_aborted) co_return;
-      co_await pause(Ms(10));
+      co_await sleepFor(Ms(10));
       continue;
     }
-    spawn(io_, "client", serve(std::make_shared<ClientConnection>(std::move(s))));
+    spawnTask(io_, "client", serve(std::make_shared<ClientConnection>(std::move(s))));
   }
 }
 
 Task<void> EdgeNode::serve(ConnectionPtr p) {
-  tune(p->sock, Ms(2 * settings_.bounds.inTouch));
+  setSocketOptions(p->sock, Ms(2 * settings_.bounds.inTouch));
   error_code e;
   while (p->keep && p->sock.is_open()) {
     std::shared_ptr<Configuration const> const c = view_.configuration();
@@ -76,32 +76,32 @@
     parser.body_limit(lim.bodyBytes);
     bool timeUp = false;
     {
-      Guard g(io_, p->sock);
+      SocketDeadline g(io_, p->sock);
       if (!p->buf.size()) {
-        g.until(Clock::now() + Ms(lim.idleLimit));
+        g.expireAt(Clock::now() + Ms(lim.idleLimit));
         idle_.insert(p.get());
         co_await p->sock.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, e));
         idle_.erase(p.get());
-        if (e || g.fired()) break;
+        if (e || g.expired()) break;
       }
-      g.until(Clock::now() + Ms(lim.headerWait));
+      g.expireAt(Clock::now() + Ms(lim.headerWait));
       co_await http::async_read_header(p->sock, p->buf, parser, asio::redirect_error(asio::use_awaitable, e));
       if (!e) {
-        g.until(Clock::now() + Ms(lim.idleLimit));
+        g.expireAt(Clock::now() + Ms(lim.idleLimit));
         co_await http::async_read(p->sock, p->buf, parser, asio::redirect_error(asio::use_awaitable, e));
       }
-      timeUp = g.fired();
+      timeUp = g.expired();
     }
     if (timeUp || !p->sock.is_open()) break;
     if (e) {
       p->keep = false;
       if (e == http::error::header_limit)
-        co_await answer(p, Error(Code::headTooLong));
+        co_await answer(p, Error(ErrorCode::headersTooLong));
       else if (e == http::error::body_limit)
-        co_await answer(p, Error(Code::bodyTooLong));
+        co_await answer(p, Error(ErrorCode::bodyTooLong));
       else if (e != http::error::end_of_stream &&
                e.category() == http::make_error_code(http::error::end_of_stream).category())
-        co_await answer(p, Error(Code::badHead));
+        co_await answer(p, Error(ErrorCode::badHeaders));
       break;
     }
     ++live_;
@@ -112,7 +112,7 @@
       ok = co_await request(p, parser.release());
     } catch (Error const& x) {
       p->keep = false;
-      warn("edge", x.what());
+      logWarning("edge", x.what());
     }
     --live_;
     if (!ok) break;
@@ -122,26 +122,26 @@
 }
 
 Task<void> EdgeNode::answer(ConnectionPtr p, Error const& x) {
-  co_await answer(p, answerOf(x));
+  co_await answer(p, errorReply(x));
 }
 
-Task<void> EdgeNode::answer(ConnectionPtr p, CallAnswer a) {
+Task<void> EdgeNode::answer(ConnectionPtr p, HttpReply a) {
   http::response<http::string_body> r(static_cast<http::status>(a.status), 11);
-  if (!a.body.empty()) r.set(http::field::content_type, a.type);
-  for (std::pair<string, string> const& h : a.heads) r.set(h.first, h.second);
+  if (!a.body.empty()) r.set(http::field::content_type, a.contentType);
+  for (std::pair<string, string> const& h : a.headers) r.set(h.first, h.second);
   r.body() = std::move(a.body);
   r.keep_alive(p->keep && !stopping_);
   if (stopping_) p->keep = false;
   r.prepare_payload();
   p->headSent = true;
   error_code e;
-  Guard g(io_, p->sock);
-  g.until(Clock::now() + Ms(5 * settings_.bounds.inTouch));
+  SocketDeadline g(io_, p->sock);
+  g.expireAt(Clock::now() + Ms(5 * settings_.bounds.inTouch));
   co_await http::async_write(p->sock, r, asio::redirect_error(asio::use_awaitable, e));
   if (e) p->keep = false;
 }
 
-Plan EdgeNode::plan(Ask const& q, Moment now) const {
+Plan EdgeNode::plan(Ask const& q, TimePoint now) const {
   Plan l;
   l.configuration = view_.configuration();
   l.came = now;
@@ -154,13 +154,12 @@
   l.attempt = string(id.data(), id.size());
   if (!l.route) return l;
   Route const& m = *l.route;
-  std::uint64_t left = 0;
   beast::string_view const tl = q["Time-Left-Ms"];
   std::int64_t span = m.timeLimit;
-  if (readNumber(string_view(tl.data(), tl.size()), left))
-    span = std::min<std::int64_t>(span, static_cast<std::int64_t>(left));
+  if (std::optional<std::uint64_t> const given = parseNumber(string_view(tl.data(), tl.size())))
+    span = std::min<std::int64_t>(span, static_cast<std::int64_t>(*given));
   l.deadline = now + Ms(span);
-  l.service = m.serviceFor(hashOf(l.attempt));
+  l.service = m.serviceFor(hash64(l.attempt));
   l.tries = m.tries;
   l.mayRepeat = m.mayRepeat();
   l.streams = m.kind == RouteKind::streaming;
@@ -170,35 +169,37 @@
   string key;
   for (std::size_t i = 0; i < parts.size(); ++i) {
     std::size_t const c = parts[i].find(':');
-    std::uint64_t n = 0;
-    if (c == string::npos || !readNumber(string_view(parts[i]).substr(c + 1), n)) continue;
+    if (c == string::npos) continue;
+    std::optional<std::uint64_t> const tokens = parseNumber(string_view(parts[i]).substr(c + 1));
+    if (!tokens) continue;
+    std::uint64_t const n = *tokens;
     l.want.tokens += n;
     if (i + 1 < parts.size()) {
       l.want.sharedTokens += n;
       key += parts[i];
     }
   }
-  l.want.key = hashOf(key);
+  l.want.key = hash64(key);
   return l;
 }
 
 double EdgeNode::retryAfter(Plan const& l) const {
-  double const aim = static_cast<double>(l.route ? l.route->aim : settings_.bounds.step);
+  double const aim = static_cast<double>(l.route ? l.route->aim : settings_.bounds.step.count());
   return std::max(0.02, aim / 4000.0);
 }
 
 Task<bool> EdgeNode::request(ConnectionPtr p, Ask q) {
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   std::shared_ptr<Configuration const> c = view_.configuration();
   if (!c) {
     // Updates is due any moment after a start; a short wait spares the client a try.
-    Moment const until = now + Ms(settings_.bounds.inTouch / 8);
-    while (!view_.configuration() && Clock::now() < until) co_await pause(Ms(settings_.bounds.step / 8));
+    TimePoint const until = now + Ms(settings_.bounds.inTouch / 8);
+    while (!view_.configuration() && Clock::now() < until) co_await sleepFor(Ms(settings_.bounds.step / 8));
     c = view_.configuration();
   }
   if (!c) {
-    CallAnswer a = answerOf(Error(Code::unhealthy));
-    a.heads.emplace_back("Retry-After", "0.3");
+    HttpReply a = errorReply(Error(ErrorCode::notReady));
+    a.headers.emplace_back("Retry-After", "0.3");
     co_await answer(p, std::move(a));
     co_return p->keep;
   }
@@ -207,25 +208,24 @@
   string host(h.data(), h.size());
   if (std::size_t const x = host.find(':'); x != string::npos) host.resize(x);
   if (lotApi_.isLotCall(*c, verb, host, target)) {
-    std::uint64_t hold = 0;
     beast::string_view const hr = q["Hold-Read-Ms"];
-    readNumber(string_view(hr.data(), hr.size()), hold);
-    CallAnswer a = co_await lotApi_.call(verb, host, target, static_cast<std::int64_t>(hold));
+    std::uint64_t const hold = parseNumber(string_view(hr.data(), hr.size())).value_or(0);
+    HttpReply a = co_await lotApi_.call(verb, host, target, static_cast<std::int64_t>(hold));
     co_await answer(p, std::move(a));
     co_return p->keep;
   }
   Plan l = plan(q, now);
   if (!l.route) {
-    co_await answer(p, Error(Code::noRoute));
+    co_await answer(p, Error(ErrorCode::noRoute));
     co_return p->keep;
   }
   if (l.route->kind == RouteKind::bulk) {
-    CallAnswer a;
+    HttpReply a;
     try {
-      if (verb != "POST") throw Error(Code::lotUnreadable);
+      if (verb != "POST") throw Error(ErrorCode::lotUnreadable);
       a = co_await lotApi_.handIn(*l.route, l.attempt, q.body());
     } catch (Error const& x) {
-      a = answerOf(x);
+      a = errorReply(x);
     }
     co_await answer(p, std::move(a));
     co_return p->keep;
@@ -246,7 +246,7 @@
       skip = skip || beast::iequals(f->name_string(), beast::string_view(o.data(), o.size()));
     if (!skip) r.insert(f->name_string(), f->value());
   }
-  r.set("Time-Left-Ms", std::to_string(std::max<std::int64_t>(1, leftMs(l.deadline))));
+  r.set("Time-Left-Ms", std::to_string(std::max<std::int64_t>(1, remainingMs(l.deadline))));
   r.set("Wanted-Server", w.id);
   if (ev.any()) r.set("Last-Event-Id", std::to_string(ev.last()));
   r.body() = q.body();
--- a/edge/edge_node.hpp
+++ b/edge/edge_node.hpp
@@ -11,7 +11,7 @@
   std::shared_ptr<Configuration const> configuration;
   Route const* route = nullptr;
   string service, attempt;
-  Moment came, deadline;
+  TimePoint came, deadline;
   std::uint64_t tries = 1;
   bool mayRepeat = false, streams = false;
   Want want;
@@ -31,28 +31,28 @@
   EdgeNode(asio::io_context& io, Settings const& settings);
   void start();
   void stop();
-  std::size_t live() const { return live_; }
+  std::size_t activeRequests() const { return live_; }
 
  private:
   using ConnectionPtr = std::shared_ptr<ClientConnection>;
   Task<void> take();
   Task<void> serve(ConnectionPtr p);
   Task<bool> request(ConnectionPtr p, Ask q);
-  Plan plan(Ask const& q, Moment now) const;
+  Plan plan(Ask const& q, TimePoint now) const;
   Task<void> carryOut(ConnectionPtr p, Ask const& q, Plan plan);
   /// One worker's part of a streaming request; true once nothing more is to be done.
-  Task<bool> relay(ConnectionPtr p, Plan const& plan, Exchange& x, EventReader& ev, Moment until);
+  Task<bool> relay(ConnectionPtr p, Plan const& plan, Exchange& x, EventReader& ev, TimePoint until);
   bool mayPass(ClientConnection const& p, Plan const& plan, Exchange const& x) const;
   Task<bool> passWhole(ConnectionPtr p, Plan const& plan, Exchange& x);
   Ask forWorker(Ask const& q, Plan const& plan, Worker const& w, EventReader const& ev) const;
   Task<void> answer(ConnectionPtr p, Error const& x);
-  Task<void> answer(ConnectionPtr p, CallAnswer a);
+  Task<void> answer(ConnectionPtr p, HttpReply a);
   double retryAfter(Plan const& plan) const;
   Task<void> sweepLoop();
 
   asio::io_context& io_;
   Settings const& settings_;
-  Rpc rpc_;
+  RpcClient rpc_;
   RpcServer server_;  ///< updates is relayed there
   FleetView view_;
   Pools pools_;
--- a/fleet/nodes.hpp
+++ b/fleet/nodes.hpp
@@ -7,12 +7,12 @@
 /// A worker as the register knows it.
 struct Worker {
   string id, service, zone, version;
-  Addr at;
+  Address at;
   std::uint64_t capacity = 1, callCount = 0;
   bool draining = false, gone = false;
   std::int64_t warmupLeft = 0;
   bool lost = false;       ///< its beats are missing, by the word of the control node that heard them
-  Identity registrar;      ///< the control node that hears its beats
+  NodeId registrar;        ///< the control node that hears its beats
   bool resting = false;    ///< it fails more than its like, whatever its health answers: used last
   std::uint64_t turn = 0;  ///< rises with each change of that
   MSGPACK_DEFINE(id, service, zone, version, at, capacity, callCount, draining, gone, warmupLeft, lost, registrar,
@@ -29,7 +29,7 @@
 /// A data-plane node as the others know it; it may relay updates.
 struct NodeRow {
   string name, zone, role;
-  Addr at;                ///< where it serves updates
+  Address at;             ///< where it serves updates
   std::uint32_t cpu = 0;  ///< its processor share in thousandths of a core
   bool operator==(NodeRow const&) const = default;
   MSGPACK_DEFINE(name, zone, role, at, cpu)
@@ -37,9 +37,9 @@
 
 /// A store machine that holds replicas.
 struct StoreRef {
-  Identity id;
+  NodeId id;
   string name, zone;
-  Addr at;
+  Address at;
   bool operator==(StoreRef const&) const = default;
   MSGPACK_DEFINE(id, name, zone, at)
 };
--- a/lots/lease_grants.hpp
+++ b/lots/lease_grants.hpp
@@ -7,9 +7,9 @@
 class LeaseGrants {
  public:
   enum class Word { granted, fenced, unhealthy };
-  LeaseGrants(Ms span, Moment started) : span_(span), started_(started) {}
+  LeaseGrants(Ms span, TimePoint started) : span_(span), started_(started) {}
   /// A store asks for its lease to go on.
-  Word beat(Identity store, std::uint64_t lease, bool healthy, Moment now) {
+  Word beat(NodeId store, std::uint64_t lease, bool healthy, TimePoint now) {
     Row& r = rows_[store];
     r.lease = std::max(r.lease, lease);
     if (lease <= r.fenced) return Word::fenced;
@@ -18,13 +18,13 @@
     return Word::granted;
   }
   /// The highest lease of a store that is never granted again here.
-  std::uint64_t fencedUpTo(Identity store) const {
-    std::map<Identity, Row>::const_iterator const row = rows_.find(store);
+  std::uint64_t fencedUpTo(NodeId store) const {
+    std::map<NodeId, Row>::const_iterator const row = rows_.find(store);
     return row == rows_.end() ? 0 : row->second.fenced;
   }
   /// True if no lease granted here can still count; the lease is never granted again then. A store
   /// whose lease may count is left alone.
-  bool fence(Identity store, Moment now) {
+  bool fence(NodeId store, TimePoint now) {
     Row& r = rows_[store];
     if (now - r.granted <= span_ || now - started_ <= span_) return false;
     r.fenced = std::max(r.fenced, r.lease);
@@ -34,11 +34,11 @@
  private:
   struct Row {
     std::uint64_t lease = 0, fenced = 0;
-    Moment granted;
+    TimePoint granted;
   };
   Ms span_;
-  Moment started_;
-  std::map<Identity, Row> rows_;
+  TimePoint started_;
+  std::map<NodeId, Row> rows_;
 };
 
 }  // namespace tealshelf
--- a/lots/lot_api.cpp
+++ b/lots/lot_api.cpp
@@ -63,41 +63,41 @@
   rapidjson::Document d;
   d.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
   if (d.HasParseError() || !d.IsObject() || !d.HasMember("requests") || !d["requests"].IsArray())
-    throw Error(Code::lotUnreadable);
+    throw Error(ErrorCode::lotUnreadable);
   rapidjson::Value const& a = d["requests"];
-  if (a.Size() > mostItems) throw Error(Code::lotTooMany);
-  if (a.Empty()) throw Error(Code::lotUnreadable, "no items");
+  if (a.Size() > mostItems) throw Error(ErrorCode::lotTooManyItems);
+  if (a.Empty()) throw Error(ErrorCode::lotUnreadable, "no items");
   vector<ItemRecord> v;
   std::set<string> ids;
   for (rapidjson::Value const& x : a.GetArray()) {
     if (!x.IsObject() || !x.HasMember("serverId") || !x["serverId"].IsString() || !x.HasMember("urlPath") ||
         !x["urlPath"].IsString())
-      throw Error(Code::lotUnreadable, "item");
+      throw Error(ErrorCode::lotUnreadable, "item");
     ItemRecord r;
     r.id = x["serverId"].GetString();
     r.path = x["urlPath"].GetString();
-    if (r.id.empty() || r.path.empty() || r.path[0] != '/') throw Error(Code::lotUnreadable, "item");
-    if (!ids.insert(r.id).second) throw Error(Code::lotTwice, r.id);
+    if (r.id.empty() || r.path.empty() || r.path[0] != '/') throw Error(ErrorCode::lotUnreadable, "item");
+    if (!ids.insert(r.id).second) throw Error(ErrorCode::duplicateItem, r.id);
     if (x.HasMember("headerMap")) {
-      if (!x["headerMap"].IsObject()) throw Error(Code::lotUnreadable, "headerMap");
+      if (!x["headerMap"].IsObject()) throw Error(ErrorCode::lotUnreadable, "headerMap");
       for (rapidjson::Value::ConstMemberIterator h = x["headerMap"].MemberBegin(); h != x["headerMap"].MemberEnd();
            ++h) {
-        if (!h->value.IsString()) throw Error(Code::lotUnreadable, "headerMap");
+        if (!h->value.IsString()) throw Error(ErrorCode::lotUnreadable, "headerMap");
         string const n = h->name.GetString(), t = h->value.GetString();
         if ((n + t).find_first_of("\r\n") != string::npos || n.find_first_of(": ") != string::npos || n.empty())
-          throw Error(Code::lotUnreadable, "headerMap");
+          throw Error(ErrorCode::lotUnreadable, "headerMap");
         r.heads.emplace_back(n, t);
       }
     }
     if (x.HasMember("payload")) {
       if (!x["payload"].IsString() ||
           !unbase64(string_view(x["payload"].GetString(), x["payload"].GetStringLength()), r.body))
-        throw Error(Code::lotBadBody, r.id);
+        throw Error(ErrorCode::badItemPayload, r.id);
     }
     if (x.HasMember("tokens") && x["tokens"].IsNumber() && x["tokens"].GetDouble() >= 0)
       r.tokens = static_cast<std::uint64_t>(x["tokens"].GetDouble());
     else
-      throw Error(Code::lotUnreadable, "tokens");
+      throw Error(ErrorCode::lotUnreadable, "tokens");
     v.push_back(std::move(r));
   }
   return v;
@@ -116,27 +116,29 @@
 Task<typename Q::Reply> LotApi::coordinator(Q q, Ms limit) {
   std::optional<Error> last;
   int tries = 0;
-  for (Addr const& a : view_.controls()) {
+  for (Address const& a : view_.controls()) {
     if (++tries > 3) break;
     try {
-      typename Q::Reply r = co_await rpc_.ask(a, q, limit);
+      typename Q::Reply r = co_await rpc_.call(a, q, limit);
       view_.worked(a);
       co_return r;
     } catch (Error const& x) {
-      if (x.code() == Code::noPath || x.code() == Code::connectionBroke || x.code() == Code::timeUp) view_.failed(a);
-      if (x.kind() == Kind::notFound || x.kind() == Kind::overQuota || x.code() == Code::staleStamp ||
-          x.code() == Code::noStores)
+      if (x.code() == ErrorCode::notConnected || x.code() == ErrorCode::connectionLost ||
+          x.code() == ErrorCode::timedOut)
+        view_.failed(a);
+      if (x.kind() == ErrorKind::notFound || x.kind() == ErrorKind::overQuota || x.code() == ErrorCode::staleStamp ||
+          x.code() == ErrorCode::noStores)
         throw;
       last = x;
     }
   }
-  throw last ? *last : Error(Code::noPath);
+  throw last ? *last : Error(ErrorCode::notConnected);
 }
 
-Task<CallAnswer> LotApi::handIn(Route const& m, string id, string const& body) {
+Task<HttpReply> LotApi::handIn(Route const& m, string id, string const& body) {
   vector<ItemRecord> items = readLot(body);
-  if (!view_.near()) throw Error(Code::lotUnsure);
-  if (id.empty()) throw Error(Code::lotUnreadable, "no id");
+  if (!view_.near()) throw Error(ErrorCode::lotStateUnknown);
+  if (id.empty()) throw Error(ErrorCode::lotUnreadable, "no id");
   LotOpen q;
   q.lot.id = id;
   q.lot.host = m.host;
@@ -147,7 +149,7 @@
   q.lot.tries = m.tries;
   for (ItemRecord const& r : items) q.lot.tokens += r.tokens;
   q.most = m.mostQueued;
-  string const packedItems = packed(items);
+  string const packedItems = serialize(items);
   items.clear();
   Ms const limit(settings_.bounds.inTouch / 5);
   try {
@@ -157,7 +159,7 @@
       std::optional<Error> failed;
       try {
         SegCreate const ask{o.lot, packedItems, {}, true};
-        co_await rpc_.ask(o.lot.holders[0].at, ask, limit);
+        co_await rpc_.call(o.lot.holders[0].at, ask, limit);
       } catch (Error const& x) {
         failed = x;
       }
@@ -173,20 +175,20 @@
     }
   } catch (Error const& x) {
     // Only a refusal that came before anything was recorded is a promise.
-    if (x.code() == Code::lotOverQuota) {
-      CallAnswer a = answerOf(x);
-      a.heads.emplace_back("Retry-After", "0.5");
+    if (x.code() == ErrorCode::lotOverQuota) {
+      HttpReply a = errorReply(x);
+      a.headers.emplace_back("Retry-After", "0.5");
       co_return a;
     }
     // An owner that was overtaken may not know the lot; that says nothing of whether it was taken.
-    bool const unsure = x.code() == Code::staleStamp || x.code() == Code::lotUnknown;
+    bool const unsure = x.code() == ErrorCode::staleStamp || x.code() == ErrorCode::lotUnknown;
     if (x.status() < 500 && !unsure) throw;
-    CallAnswer a = answerOf(x);
+    HttpReply a = errorReply(x);
     a.status = 500;
-    say(Level::debug, "lots", string("a lot was not taken: ") + x.what());
+    logDebug("lots", string("a lot was not taken: ") + x.what());
     co_return a;
   }
-  co_return CallAnswer{202, "{}", "application/json", {}};
+  co_return HttpReply{202, "{}", "application/json", {}};
 }
 
 Task<LotRecord> LotApi::where(string host, string id, bool anew) {
@@ -194,53 +196,53 @@
   if (!anew && known_.count(k)) co_return known_[k];
   LotFind const ask{host, id, 0};
   LotFindReply const r = co_await coordinator(ask, Ms(settings_.bounds.settleWithin / 2));
-  if (!r.known) throw Error(Code::lotUnknown);
+  if (!r.known) throw Error(ErrorCode::lotUnknown);
   if (known_.size() > 4096) known_.clear();
   known_[k] = r.lot;
   co_return r.lot;
 }
 
-Task<CallAnswer> LotApi::call(string verb, string host, string target, std::int64_t holdMs) {
+Task<HttpReply> LotApi::call(string verb, string host, string target, std::int64_t holdMs) {
   string_view const path = string_view(target).substr(0, target.find('?'));
   try {
-    if (!view_.near()) throw Error(Code::lotUnsure);
+    if (!view_.near()) throw Error(ErrorCode::lotStateUnknown);
     if (path.substr(0, 7) == "/items/")
       co_return co_await item(host, string(path.substr(7)), query(target, "serverId"));
     string const id(path.substr(6));
     if (verb == "DELETE") {
       LotEnd const ask{host, id, 0};
       LotFindReply const r = co_await coordinator(ask, Ms(settings_.bounds.inTouch / 2));
-      if (!r.known) throw Error(Code::lotUnknown);
+      if (!r.known) throw Error(ErrorCode::lotUnknown);
       known_[{host, id}] = r.lot;
-      co_return CallAnswer{200, "{}", "application/json", {}};
+      co_return HttpReply{200, "{}", "application/json", {}};
     }
-    std::uint64_t from = 0;
     string const a = query(target, "startAfter");
-    if (!a.empty() && !readNumber(a, from)) throw Error(Code::lotUnreadable, "startAfter");
-    co_return co_await list(host, id, from, holdMs);
+    std::optional<std::uint64_t> const from = a.empty() ? 0 : parseNumber(a);
+    if (!from) throw Error(ErrorCode::lotUnreadable, "startAfter");
+    co_return co_await list(host, id, *from, holdMs);
   } catch (Error const& x) {
-    if (x.status() == 404 || x.status() == 400) co_return answerOf(x);
-    say(Level::debug, "lots", target + ": " + x.what());
-    CallAnswer a = answerOf(Error(Code::lotUnsure));
-    a.heads.emplace_back("Retry-After", "0.05");
+    if (x.status() == 404 || x.status() == 400) co_return errorReply(x);
+    logDebug("lots", target + ": " + x.what());
+    HttpReply a = errorReply(Error(ErrorCode::lotStateUnknown));
+    a.headers.emplace_back("Retry-After", "0.05");
     co_return a;
   }
 }
 
-Task<CallAnswer> LotApi::list(string host, string id, std::uint64_t from, std::int64_t holdMs) {
-  Moment const until = Clock::now() + Ms(std::max<std::int64_t>(holdMs, settings_.bounds.settleWithin));
+Task<HttpReply> LotApi::list(string host, string id, std::uint64_t from, std::int64_t holdMs) {
+  TimePoint const until = Clock::now() + Ms(std::max<std::int64_t>(holdMs, settings_.bounds.settleWithin.count()));
   std::optional<SegReadReply> got;
   for (int turn = 0; !got; ++turn) {
     LotRecord const l = co_await where(host, id, turn > 0);
-    if (l.holders.empty()) throw Error(Code::lotUnsure);
+    if (l.holders.empty()) throw Error(ErrorCode::lotStateUnknown);
     try {
-      std::int64_t const left = std::min<std::int64_t>(holdMs, leftMs(until));
+      std::int64_t const left = std::min<std::int64_t>(holdMs, remainingMs(until));
       SegRead const ask{host, id, l.stamp, from, mostBytes, left};
-      got = co_await rpc_.ask(l.holders[0].at, ask, Ms(left + settings_.bounds.settleWithin / 2));
+      got = co_await rpc_.call(l.holders[0].at, ask, Ms(left) + settings_.bounds.settleWithin / 2);
     } catch (Error const& x) {
-      if (Clock::now() + Ms(settings_.bounds.step) > until) throw Error(Code::lotUnsure);
+      if (Clock::now() + Ms(settings_.bounds.step) > until) throw Error(ErrorCode::lotStateUnknown);
     }
-    if (!got) co_await pause(Ms(settings_.bounds.step / 2));
+    if (!got) co_await sleepFor(Ms(settings_.bounds.step / 2));
   }
   rapidjson::StringBuffer b;
   rapidjson::Writer<rapidjson::StringBuffer> w(b);
@@ -264,24 +266,24 @@
   }
   w.EndArray();
   w.EndObject();
-  co_return CallAnswer{200, string(b.GetString(), b.GetSize()), "application/json", {}};
+  co_return HttpReply{200, string(b.GetString(), b.GetSize()), "application/json", {}};
 }
 
-Task<CallAnswer> LotApi::item(string host, string id, string item) {
-  Moment const until = Clock::now() + Ms(settings_.bounds.settleWithin);
+Task<HttpReply> LotApi::item(string host, string id, string item) {
+  TimePoint const until = Clock::now() + Ms(settings_.bounds.settleWithin);
   for (int turn = 0;; ++turn) {
     LotRecord const l = co_await where(host, id, turn > 0);
-    if (l.holders.empty()) throw Error(Code::lotUnsure);
+    if (l.holders.empty()) throw Error(ErrorCode::lotStateUnknown);
     try {
       SegItem const ask{host, id, item, l.stamp};
-      SegItemReply r = co_await rpc_.ask(l.holders[0].at, ask, Ms(settings_.bounds.settleWithin / 2));
-      if (!r.known) throw Error(Code::itemUnknown);
-      co_return CallAnswer{200, std::move(r.body), "application/octet-stream", {}};
+      SegItemReply r = co_await rpc_.call(l.holders[0].at, ask, Ms(settings_.bounds.settleWithin / 2));
+      if (!r.known) throw Error(ErrorCode::itemUnknown);
+      co_return HttpReply{200, std::move(r.body), "application/octet-stream", {}};
     } catch (Error const& x) {
-      if (x.code() == Code::itemUnknown) throw;
-      if (Clock::now() + Ms(settings_.bounds.step) > until) throw Error(Code::lotUnsure);
+      if (x.code() == ErrorCode::itemUnknown) throw;
+      if (Clock::now() + Ms(settings_.bounds.step) > until) throw Error(ErrorCode::lotStateUnknown);
     }
-    co_await pause(Ms(settings_.bounds.step / 2));
+    co_await sleepFor(Ms(settings_.bounds.step / 2));
   }
 }
 
--- a/lots/lot_api.hpp
+++ b/lots/lot_api.hpp
@@ -13,22 +13,22 @@
 /// The lot calls of clients at an edge node; one handler for the resource.
 class LotApi {
  public:
-  LotApi(asio::io_context& io, Settings const& settings, Rpc& rpc, FleetView& view)
+  LotApi(asio::io_context& io, Settings const& settings, RpcClient& rpc, FleetView& view)
       : io_(io), settings_(settings), rpc_(rpc), view_(view) {}
   /// True if a call is one of lots by its verb and path.
   bool isLotCall(Configuration const& c, string_view verb, string_view host, string_view path) const;
-  Task<CallAnswer> call(string verb, string host, string target, std::int64_t holdMs);
-  Task<CallAnswer> handIn(Route const& m, string id, string const& body);
+  Task<HttpReply> call(string verb, string host, string target, std::int64_t holdMs);
+  Task<HttpReply> handIn(Route const& m, string id, string const& body);
 
  private:
   template <class Q>
   Task<typename Q::Reply> coordinator(Q q, Ms limit);
   Task<LotRecord> where(string host, string id, bool anew);
-  Task<CallAnswer> list(string host, string id, std::uint64_t from, std::int64_t holdMs);
-  Task<CallAnswer> item(string host, string id, string item);
+  Task<HttpReply> list(string host, string id, std::uint64_t from, std::int64_t holdMs);
+  Task<HttpReply> item(string host, string id, string item);
   asio::io_context& io_;
   Settings const& settings_;
-  Rpc& rpc_;
+  RpcClient& rpc_;
   FleetView& view_;
   std::map<std::pair<string, string>, LotRecord> known_;
 };
--- a/lots/lot_coordinator.cpp
+++ b/lots/lot_coordinator.cpp
@@ -7,7 +7,7 @@
 constexpr std::size_t mostWaiting = 16;
 }  // namespace
 
-LotCoordinator::LotCoordinator(asio::io_context& io, Settings const& settings, Rpc& rpc, Driver& driver)
+LotCoordinator::LotCoordinator(asio::io_context& io, Settings const& settings, RpcClient& rpc, Driver& driver)
     : io_(io), settings_(settings), rpc_(rpc), driver_(driver) {}
 
 void LotCoordinator::start(RpcServer& s) {
@@ -22,7 +22,7 @@
     std::uint64_t const lots = co_await relying(q.host, q.store);
     co_return RelyCountReply{lots};
   });
-  spawn(io_, "lot upkeep", maintain());
+  spawnTask(io_, "lot upkeep", maintain());
 }
 
 /// Hands a call to the owner of the keyspace if that is another node.
@@ -38,10 +38,10 @@
   std::map<string, string> const& v = driver_.consensus().view(keyspaceOf(host));
   std::map<string, string>::const_iterator const i = v.find(id);
   if (i == v.end()) return std::nullopt;
-  return unpacked<LotRecord>(i->second);
+  return deserialize<LotRecord>(i->second);
 }
 Task<bool> LotCoordinator::save(LotRecord const& r) {
-  string const host = r.host, id = r.id, body = packed(r);
+  string const host = r.host, id = r.id, body = serialize(r);
   vector<Consensus::Change> cs(1, Consensus::Change{id, body, false});
   // An unknown end is reported like none: the callers answer with a status that promises nothing.
   Result const end = co_await driver_.propose(keyspaceOf(host), std::move(cs));
@@ -54,40 +54,40 @@
   if (!soft.mutex) soft.mutex.emplace(io_, mostWaiting);
   return soft.mutex->lock(Ms(settings_.bounds.inTouch / 2));
 }
-Stamp LotCoordinator::fresh(string const& host) {
-  return Stamp((driver_.consensus().epochOf(keyspaceOf(host)).n << 32) | (++counter_ & 0xffffffffu));
+GenerationStamp LotCoordinator::fresh(string const& host) {
+  return GenerationStamp((driver_.consensus().epochOf(keyspaceOf(host)).n << 32) | (++counter_ & 0xffffffffu));
 }
 
-bool LotCoordinator::dead(Identity id, Moment now) const {
-  std::map<Identity, Seen>::const_iterator const i = stores_.find(id);
-  Moment const at = i == stores_.end() ? started_ + Ms(settings_.bounds.catchUp / 2) : i->second.at;
+bool LotCoordinator::dead(NodeId id, TimePoint now) const {
+  std::map<NodeId, Seen>::const_iterator const i = stores_.find(id);
+  TimePoint const at = i == stores_.end() ? started_ + Ms(settings_.bounds.catchUp / 2) : i->second.at;
   return now > at && now - at > Ms(settings_.bounds.inTouch * 3 / 10);
 }
 /// True if a store said that its disk takes no writes.
-bool LotCoordinator::refusing(Identity id) const {
-  std::map<Identity, Seen>::const_iterator const i = stores_.find(id);
+bool LotCoordinator::refusing(NodeId id) const {
+  std::map<NodeId, Seen>::const_iterator const i = stores_.find(id);
   return i != stores_.end() && i->second.refusing;
 }
-vector<StoreRef> LotCoordinator::liveStores(Moment now) const {
+vector<StoreRef> LotCoordinator::liveStores(TimePoint now) const {
   vector<StoreRef> v;
-  for (std::pair<Identity const, Seen> const& p : stores_)
+  for (std::pair<NodeId const, Seen> const& p : stores_)
     if (!p.second.leaving && !p.second.refusing && now - p.second.at <= Ms(settings_.bounds.inTouch / 4))
       v.push_back(p.second.ref);
   return v;
 }
 bool LotCoordinator::knownStore(string const& name) const {
-  for (std::pair<Identity const, Seen> const& p : stores_)
+  for (std::pair<NodeId const, Seen> const& p : stores_)
     if (p.second.ref.name == name) return true;
   return false;
 }
 
 /// Adds stores to the ones a lot has, in other zones first, in rendezvous order.
-vector<StoreRef> LotCoordinator::choose(string const& id, std::set<Identity> const& bar, vector<StoreRef> have,
-                                        std::size_t count, Moment now) const {
+vector<StoreRef> LotCoordinator::choose(string const& id, std::set<NodeId> const& bar, vector<StoreRef> have,
+                                        std::size_t count, TimePoint now) const {
   std::set<string> const leaving = retiring ? retiring() : std::set<string>();
   vector<StoreRef> live = liveStores(now);
   std::sort(live.begin(), live.end(), [&](StoreRef const& a, StoreRef const& b) {
-    return hashOf(a.name, hashOf(id)) > hashOf(b.name, hashOf(id));
+    return hash64(a.name, hash64(id)) > hash64(b.name, hash64(id));
   });
   for (int pass = 0; pass < 2; ++pass)
     for (StoreRef const& s : live) {
@@ -114,16 +114,16 @@
   std::optional<LotRecord> const had = load(q.lot.host, q.lot.id);
   if (had && had->state != static_cast<int>(LotState::taking)) {
     if (!co_await driver_.confirm(keyspaceOf(q.lot.host), Ms(settings_.bounds.inTouch / 3)))
-      throw Error(Code::noQuorum);
+      throw Error(ErrorCode::noQuorum);
     co_return LotOpenReply{true, *had};
   }
-  std::int64_t const wall = wallMs();
+  std::int64_t const wall = wallClockMs();
   LotRecord r = q.lot;
   r.sentAt = had ? had->sentAt : wall;
   if (q.most) {
     std::uint64_t waiting = 0;
     for (std::pair<string const, string> const& p : driver_.consensus().view(keyspaceOf(r.host))) {
-      LotRecord const o = unpacked<LotRecord>(p.second);
+      LotRecord const o = deserialize<LotRecord>(p.second);
       if (o.id == r.id || o.route != r.route || o.state == static_cast<int>(LotState::ended)) continue;
       // A lot that was never accepted stops counting only when it can't be accepted any more.
       if (o.state == static_cast<int>(LotState::taking) && !mayAccept({o.host, o.id}, Ms(settings_.bounds.inTouch)))
@@ -135,36 +135,36 @@
     }
     for (std::pair<Key const, Opening> const& p : opening_)
       if (p.first != k && p.second.route == r.route) waiting += p.second.tokens;
-    if (waiting + r.tokens > q.most) throw Error(Code::lotOverQuota, std::to_string(waiting));
+    if (waiting + r.tokens > q.most) throw Error(ErrorCode::lotOverQuota, std::to_string(waiting));
   }
-  r.holders = choose(r.id, std::set<Identity>(q.bar.begin(), q.bar.end()), {}, needed() + 1, Clock::now());
-  if (r.holders.size() < needed()) throw Error(Code::noStores);
+  r.holders = choose(r.id, std::set<NodeId>(q.bar.begin(), q.bar.end()), {}, needed() + 1, Clock::now());
+  if (r.holders.size() < needed()) throw Error(ErrorCode::noStores);
   r.state = static_cast<int>(LotState::taking);
   r.stamp = fresh(r.host);
   soft_[k].opened = Clock::now();
   opening_[k] = {r.route, r.tokens, Clock::now()};
   bool const saved = co_await save(r);
   opening_.erase(k);
-  if (!saved) throw Error(Code::noQuorum);
+  if (!saved) throw Error(ErrorCode::noQuorum);
   co_return LotOpenReply{false, r};
 }
 
-Task<Done> LotCoordinator::accept(LotAccept q) {
-  if (std::optional<Done> r = co_await elsewhere(q.host, q)) co_return *r;
+Task<Acknowledgement> LotCoordinator::accept(LotAccept q) {
+  if (std::optional<Acknowledgement> r = co_await elsewhere(q.host, q)) co_return *r;
   Key const k(q.host, q.id);
   AsyncMutex::Lock const held = co_await lock(k);
   std::optional<LotRecord> r = load(q.host, q.id);
-  if (!r) throw Error(Code::lotUnknown);
-  if (r->state != static_cast<int>(LotState::taking)) co_return Done{};
-  if (r->stamp != q.stamp || !mayAccept(k, Ms(settings_.bounds.inTouch / 2))) throw Error(Code::staleStamp);
+  if (!r) throw Error(ErrorCode::lotUnknown);
+  if (r->state != static_cast<int>(LotState::taking)) co_return Acknowledgement{};
+  if (r->stamp != q.stamp || !mayAccept(k, Ms(settings_.bounds.inTouch / 2))) throw Error(ErrorCode::staleStamp);
   r->state = static_cast<int>(LotState::accepted);
-  if (!co_await save(*r)) throw Error(Code::noQuorum);
-  co_return Done{};
+  if (!co_await save(*r)) throw Error(ErrorCode::noQuorum);
+  co_return Acknowledgement{};
 }
 
 Task<LotFindReply> LotCoordinator::find(LotFind q) {
   if (std::optional<LotFindReply> r = co_await elsewhere(q.host, q)) co_return *r;
-  if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+  if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3))) throw Error(ErrorCode::noQuorum);
   std::optional<LotRecord> const r = load(q.host, q.id);
   if (!r || r->state == static_cast<int>(LotState::taking)) co_return LotFindReply{false, {}};
   co_return LotFindReply{true, *r};
@@ -176,17 +176,18 @@
   AsyncMutex::Lock const held = co_await lock(k);
   std::optional<LotRecord> r = load(q.host, q.id);
   if (!r || r->state == static_cast<int>(LotState::taking)) {
-    if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+    if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3)))
+      throw Error(ErrorCode::noQuorum);
     co_return LotFindReply{false, {}};
   }
   r->state = static_cast<int>(LotState::ended);
-  if (!co_await save(*r)) throw Error(Code::noQuorum);
-  if (!r->holders.empty()) rpc_.cast(r->holders[0].at, Method::lotStart, packed(*r));
+  if (!co_await save(*r)) throw Error(ErrorCode::noQuorum);
+  if (!r->holders.empty()) rpc_.sendRaw(r->holders[0].at, RpcMethod::startLot, serialize(*r));
   co_return LotFindReply{true, *r};
 }
 
 Task<StoreBeatReply> LotCoordinator::beat(StoreBeat q) {
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   Seen& s = stores_[q.self.id];
   s.ref = q.self;
   s.at = now;
@@ -233,7 +234,7 @@
     for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace)) {
       Soft const& x = soft_[{keyspace.substr(5), p.first}];
       if (x.rev <= since) continue;
-      r.lots.push_back(unpacked<LotRecord>(p.second));
+      r.lots.push_back(deserialize<LotRecord>(p.second));
     }
     for (ReplicaMark const& m : q.marks) {
       if (m.host != keyspace.substr(5)) continue;
@@ -254,8 +255,8 @@
   co_return r;
 }
 
-Task<Done> LotCoordinator::fence(StoreFence q) {
-  co_return Done{grants_.fence(q.store, Clock::now())};
+Task<Acknowledgement> LotCoordinator::fence(StoreFence q) {
+  co_return Acknowledgement{grants_.fence(q.store, Clock::now())};
 }
 
 }  // namespace tealshelf
--- a/lots/messages.hpp
+++ b/lots/messages.hpp
@@ -13,19 +13,19 @@
 
 struct LotOpen {
   using Reply = LotOpenReply;
-  static constexpr Method method = Method::lotOpen;
+  static constexpr RpcMethod method = RpcMethod::openLot;
   LotRecord lot;
   std::uint64_t most = 0;
   int hops = 0;
-  vector<Identity> bar;  ///< stores that failed a try before
+  vector<NodeId> bar;  ///< stores that failed a try before
   MSGPACK_DEFINE(lot, most, hops, bar)
 };
 
 struct LotAccept {
-  using Reply = Done;
-  static constexpr Method method = Method::lotAccept;
+  using Reply = Acknowledgement;
+  static constexpr RpcMethod method = RpcMethod::acceptLot;
   string host, id;
-  Stamp stamp;
+  GenerationStamp stamp;
   int hops = 0;
   MSGPACK_DEFINE(host, id, stamp, hops)
 };
@@ -38,7 +38,7 @@
 
 struct LotFind {
   using Reply = LotFindReply;
-  static constexpr Method method = Method::lotFind;
+  static constexpr RpcMethod method = RpcMethod::findLot;
   string host, id;
   int hops = 0;
   MSGPACK_DEFINE(host, id, hops)
@@ -46,7 +46,7 @@
 
 struct LotEnd {
   using Reply = LotFindReply;
-  static constexpr Method method = Method::lotEnd;
+  static constexpr RpcMethod method = RpcMethod::endLot;
   string host, id;
   int hops = 0;
   MSGPACK_DEFINE(host, id, hops)
@@ -55,7 +55,7 @@
 /// How far a lot has come, told by its primary.
 struct LotProgress {
   string host, id;
-  Stamp stamp;
+  GenerationStamp stamp;
   std::uint64_t doneTokens = 0, done = 0;
   MSGPACK_DEFINE(host, id, stamp, doneTokens, done)
 };
@@ -63,8 +63,8 @@
 /// A primary's word that a holder fails a lot, or that it must be settled anew itself.
 struct Complaint {
   string host, id;
-  Stamp stamp;
-  Identity about;
+  GenerationStamp stamp;
+  NodeId about;
   MSGPACK_DEFINE(host, id, stamp, about)
 };
 
@@ -81,7 +81,7 @@
 
 struct StoreBeat {
   using Reply = StoreBeatReply;
-  static constexpr Method method = Method::storeBeat;
+  static constexpr RpcMethod method = RpcMethod::storeHeartbeat;
   StoreRef self;
   std::uint64_t lease = 0, life = 0, rev = 0;
   bool counts = false;
@@ -94,9 +94,9 @@
 };
 
 struct StoreFence {
-  using Reply = Done;
-  static constexpr Method method = Method::storeFence;
-  Identity store;
+  using Reply = Acknowledgement;
+  static constexpr RpcMethod method = RpcMethod::fenceStore;
+  NodeId store;
   MSGPACK_DEFINE(store)
 };
 
@@ -108,7 +108,7 @@
 
 struct RelyCount {
   using Reply = RelyCountReply;
-  static constexpr Method method = Method::relyCount;
+  static constexpr RpcMethod method = RpcMethod::countRelyingLots;
   string host, store;
   int hops = 0;
   MSGPACK_DEFINE(host, store, hops)
--- a/lots/replica_rules.hpp
+++ b/lots/replica_rules.hpp
@@ -7,16 +7,16 @@
 class ConfirmedReplicas {
  public:
   /// Takes in an answer; one of another disk than the one asked counts for nothing.
-  void add(Identity asked, SegConfirm const& question, SegConfirmReply const& answer) {
+  void add(NodeId asked, SegConfirm const& question, SegConfirmReply const& answer) {
     if (answer.self != asked) return;
     for (std::size_t i = 0; i < question.replicas.size() && i < answer.held.size(); ++i)
       if (answer.held[i]) held_.insert({asked, question.replicas[i]});
   }
-  bool has(Identity store, LotRecord const& lot) const { return held_.count({store, {lot.host, lot.id, lot.stamp}}); }
+  bool has(NodeId store, LotRecord const& lot) const { return held_.count({store, {lot.host, lot.id, lot.stamp}}); }
 
  private:
   struct Held {
-    Identity store;
+    NodeId store;
     ReplicaMark mark;
     bool operator<(Held const& o) const {
       return std::tie(store, mark.host, mark.id, mark.stamp) < std::tie(o.store, o.mark.host, o.mark.id, o.mark.stamp);
@@ -57,9 +57,9 @@
 /// writer are barred, unless too few others are there: then they may get a fresh copy once they are back, as the lot
 /// would stay without a writer for good.
 template <class Choose>
-vector<StoreRef> storesForRecovery(Choose choose, std::set<Identity> const& failed, std::size_t needed) {
+vector<StoreRef> storesForRecovery(Choose choose, std::set<NodeId> const& failed, std::size_t needed) {
   vector<StoreRef> chosen = choose(failed);
-  if (chosen.size() < needed) chosen = choose(std::set<Identity>());
+  if (chosen.size() < needed) chosen = choose(std::set<NodeId>());
   return chosen;
 }
 
--- a/lots/reshape.cpp
+++ b/lots/reshape.cpp
@@ -3,16 +3,16 @@
 
 namespace tealshelf {
 
-Task<bool> LotCoordinator::fenceAt(Identity store) {
+Task<bool> LotCoordinator::fenceAt(NodeId store) {
   std::size_t ok = 0;
   for (Member const& m : vector<Member>(driver_.consensus().membership().members)) {
     try {
       StoreFence const ask{store};
-      Done d{false};
+      Acknowledgement d{false};
       if (m.id == driver_.consensus().self().id)
         d = co_await fence(ask);
       else
-        d = co_await rpc_.ask(settings_.controlAt(m.ip), ask, Ms(settings_.bounds.inTouch / 6));
+        d = co_await rpc_.call(settings_.controlAddress(m.ip), ask, Ms(settings_.bounds.inTouch / 6));
       if (d.ok) ++ok;
     } catch (Error const&) {
     }
@@ -21,7 +21,7 @@
 }
 
 /// True if a lot's holders are not what they should be.
-bool LotCoordinator::unfit(LotRecord const& r, Soft const& s, Moment now) const {
+bool LotCoordinator::unfit(LotRecord const& r, Soft const& s, TimePoint now) const {
   if (r.state == static_cast<int>(LotState::taking) || s.busy) return false;
   if (now - s.tried < Ms(settings_.bounds.inTouch / 10)) return false;
   if (s.resettle || !s.bad.empty()) return true;
@@ -35,20 +35,20 @@
 
 Task<void> LotCoordinator::maintain() {
   for (;;) {
-    co_await pause(Ms(settings_.bounds.inTouch / 30));
-    Moment const now = Clock::now();
+    co_await sleepFor(Ms(settings_.bounds.inTouch / 30));
+    TimePoint const now = Clock::now();
     for (string const& keyspace : driver_.consensus().keyspaces()) {
       if (keyspace.rfind("lots/", 0) != 0 || !driver_.consensus().owns(keyspace)) continue;
       vector<Consensus::Change> old;
       vector<LotRecord> todo;
       for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace)) {
-        LotRecord l = unpacked<LotRecord>(p.second);
+        LotRecord l = deserialize<LotRecord>(p.second);
         Soft& s = soft_[{l.host, l.id}];
         ages_.learn({l.host, l.id}, now);
         std::int64_t const age = ages_.atLeast({l.host, l.id}, now).count();
         bool const over = l.state == static_cast<int>(LotState::taking)
-                              ? age > 4 * settings_.bounds.confirmWithin
-                              : age > 2 * settings_.bounds.statusEvery + l.keepFor &&
+                              ? age > 4 * settings_.bounds.confirmWithin.count()
+                              : age > 2 * settings_.bounds.statusEvery.count() + l.keepFor &&
                                     (l.state == static_cast<int>(LotState::ended) || s.done >= l.total);
         if (over && !s.busy && !(s.mutex && s.mutex->locked()))
           old.push_back({l.id, "", true});
@@ -67,7 +67,7 @@
         s.busy = true;
         s.began = Clock::now();
         ++busy_;
-        spawn(io_, "reshape", reshape(std::move(l)));
+        spawnTask(io_, "reshape", reshape(std::move(l)));
       }
     }
   }
@@ -80,7 +80,7 @@
     std::optional<LotRecord> const now = load(r.host, r.id);
     if (now && driver_.consensus().owns(keyspaceOf(r.host))) co_await reshapeNow(*now);
   } catch (std::exception const& x) {
-    say(Level::debug, "stamps", r.id + ": " + x.what());
+    logDebug("stamps", r.id + ": " + x.what());
   }
   Soft& s = soft_[k];
   s.busy = false;
@@ -91,12 +91,12 @@
 /// The paper's recovery: stamps are collected, those at or above the recorded one kept, the
 /// shortest length settled under a fresh stamp, and only then the record is written.
 Task<void> LotCoordinator::reshapeNow(LotRecord r) {
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   Ms const limit(settings_.bounds.inTouch / 4);
   Epoch const epoch = driver_.consensus().epochOf(keyspaceOf(r.host));
   Soft& soft = soft_[{r.host, r.id}];
   std::set<string> const leaving = retiring ? retiring() : std::set<string>();
-  std::set<Identity> const bad = soft.bad;
+  std::set<NodeId> const bad = soft.bad;
   vector<StoreRef> live;
   for (StoreRef const& h : r.holders)
     if (!dead(h.id, now) && !refusing(h.id) && !bad.count(h.id)) live.push_back(h);
@@ -113,7 +113,7 @@
   for (StoreRef const& h : live) {
     try {
       SegInspect const ask{r.host, r.id};
-      SegInspectReply const i = co_await rpc_.ask(h.at, ask, limit);
+      SegInspectReply const i = co_await rpc_.call(h.at, ask, limit);
       if (!i.known || i.stamp < r.stamp) continue;
       good.push_back(h);
       cut = std::min(cut, i.results);
@@ -122,7 +122,7 @@
   }
   std::size_t const least = std::min(needed(), r.holders.size());
   auto const chosen = [&](vector<StoreRef> const& have, std::size_t count) {
-    auto const without = [&](std::set<Identity> const& barred) {
+    auto const without = [&](std::set<NodeId> const& barred) {
       return choose(r.id, barred, have, count, Clock::now());
     };
     return storesForRecovery(without, bad, least);
@@ -131,12 +131,12 @@
   // Only a node that still owns the keyspace, under the epoch it began with, may give a stamp.
   if (!driver_.consensus().owns(keyspaceOf(r.host)) || driver_.consensus().epochOf(keyspaceOf(r.host)) != epoch)
     co_return;
-  Stamp const stamp = fresh(r.host);
+  GenerationStamp const stamp = fresh(r.host);
   vector<StoreRef> kept;
   for (StoreRef const& h : good) {
     try {
       SegSettle const ask{r.host, r.id, r.stamp, stamp, cut};
-      co_await rpc_.ask(h.at, ask, limit);
+      co_await rpc_.call(h.at, ask, limit);
       kept.push_back(h);
     } catch (Error const&) {
     }
@@ -153,7 +153,7 @@
     n.holders = {more[i]};
     try {
       SegCopy const ask{n, kept[0].at};
-      co_await rpc_.ask(more[i].at, ask, 2 * limit);
+      co_await rpc_.call(more[i].at, ask, 2 * limit);
       stay.push_back(more[i]);
     } catch (Error const&) {
     }
@@ -165,9 +165,9 @@
   if (!co_await save(n)) co_return;
   soft.bad.clear();
   soft.resettle = false;
-  string text = r.id + " has stamp " + hex(stamp.v) + ", " + std::to_string(cut) + " results, at";
+  string text = r.id + " has stamp " + hex(stamp.value) + ", " + std::to_string(cut) + " results, at";
   for (StoreRef const& h : n.holders) text += " " + h.name;
-  tell("stamps", text);
+  logInfo("stamps", text);
 }
 
 }  // namespace tealshelf
--- a/lots/retirement.cpp
+++ b/lots/retirement.cpp
@@ -7,15 +7,15 @@
 /// new is put there.
 Task<std::uint64_t> LotCoordinator::relying(string host, string store) {
   string const keyspace = keyspaceOf(host);
-  Moment const barred = barred_.try_emplace(store, Clock::now()).first->second;
-  if (!co_await driver_.confirm(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+  TimePoint const barred = barred_.try_emplace(store, Clock::now()).first->second;
+  if (!co_await driver_.confirm(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(ErrorCode::noQuorum);
   std::uint64_t count = 0;
-  std::map<Identity, SegConfirm> questions;
-  std::map<Identity, Addr> places;
+  std::map<NodeId, SegConfirm> questions;
+  std::map<NodeId, Address> places;
   for (std::pair<Key const, Opening> const& p : opening_)
     if (p.first.first == host) count += p.second.began <= barred;
   for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace)) {
-    LotRecord const lot = unpacked<LotRecord>(p.second);
+    LotRecord const lot = deserialize<LotRecord>(p.second);
     // A recovery that began before may still name the store.
     Soft const& soft = soft_[{host, lot.id}];
     count += namesStore(lot, store) || (soft.busy && soft.began <= barred);
@@ -26,18 +26,18 @@
   }
   if (count) co_return count;
   ConfirmedReplicas confirmed;
-  for (std::pair<Identity const, SegConfirm> const& q : questions) {
+  for (std::pair<NodeId const, SegConfirm> const& q : questions) {
     try {
-      SegConfirmReply const answer = co_await rpc_.ask(places[q.first], q.second, Ms(settings_.bounds.inTouch / 4));
+      SegConfirmReply const answer = co_await rpc_.call(places[q.first], q.second, Ms(settings_.bounds.inTouch / 4));
       confirmed.add(q.first, q.second, answer);
     } catch (Error const& x) {
-      say(Level::debug, "lots", x.what());
+      logDebug("lots", x.what());
     }
   }
   // Records may have changed while the stores were asked.
-  if (!co_await driver_.confirm(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(Code::noQuorum);
+  if (!co_await driver_.confirm(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(ErrorCode::noQuorum);
   for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace))
-    count += !freeOf(unpacked<LotRecord>(p.second), store, confirmed, needed());
+    count += !freeOf(deserialize<LotRecord>(p.second), store, confirmed, needed());
   co_return count;
 }
 
@@ -50,10 +50,10 @@
       count += co_await relying(host, store);
       continue;
     }
-    std::optional<Addr> const owner = driver_.ownerOf(keyspace);
-    if (!owner) throw Error(Code::noOwner);
+    std::optional<Address> const owner = driver_.ownerOf(keyspace);
+    if (!owner) throw Error(ErrorCode::noOwner);
     RelyCount const question{host, store, 0};
-    RelyCountReply const answer = co_await rpc_.ask(*owner, question, Ms(settings_.bounds.inTouch));
+    RelyCountReply const answer = co_await rpc_.call(*owner, question, Ms(settings_.bounds.inTouch));
     count += answer.lots;
   }
   co_return count;
--- a/lots/run_items.cpp
+++ b/lots/run_items.cpp
@@ -7,9 +7,9 @@
   return true;
 }
 
-std::int64_t StoreNode::timeLeft(LotRecord const& lot, Moment now) const {
+std::int64_t StoreNode::timeLeft(LotRecord const& lot, TimePoint now) const {
   Ms const due(lot.dueIn);
-  return (due - ages_.likely({lot.host, lot.id}, now, Ms(wallMs() - lot.sentAt), due)).count();
+  return (due - ages_.likely({lot.host, lot.id}, now, Ms(wallClockMs() - lot.sentAt), due)).count();
 }
 
 Task<void> StoreNode::dispatchLoop() {
@@ -26,7 +26,7 @@
 bool StoreNode::dispatch() {
   if (!view_.near() || stopping_ || !hasLease()) return false;
   RunPtr best;
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   for (std::pair<Key const, RunPtr> const& p : runs_) {
     RunPtr const& r = p.second;
     if (!current(r) || r->stalled || now < r->retryAt) continue;
@@ -54,7 +54,7 @@
   best->states[n] = LotRun::running;
   ++best->live;
   ++live_;
-  spawn(io_, "item", runItem(best, n));
+  spawnTask(io_, "item", runItem(best, n));
   return true;
 }
 
@@ -66,7 +66,7 @@
   while (!over && current(run) && run->states[n] == LotRun::running) {
     over = co_await tryItem(run, n, ev);
     if (over) break;
-    co_await pause(wait);
+    co_await sleepFor(wait);
     wait = std::min(wait * 2, Ms(settings_.bounds.step));
   }
   --run->live;
@@ -89,7 +89,7 @@
     co_return true;
   }
   Want want;
-  want.service = m->serviceFor(hashOf(it.id));
+  want.service = m->serviceFor(hash64(it.id));
   want.behind = true;
   std::int64_t const spare = timeLeft(run->lot, Clock::now());
   want.leave = spare > run->lot.dueIn / 2 ? 0.25 : 0.1;
@@ -105,7 +105,7 @@
   q.prepare_payload();
   string const id = w->id;
   Ms const silence(settings_.bounds.inTouch);
-  Moment const began = Clock::now();
+  TimePoint const began = Clock::now();
   Exchange x(pools_, *w, true);
   balance_.began(id, it.tokens / 2);
   Verdict const v = co_await x.start(q, it.id, Clock::now() + 2 * silence);
@@ -183,7 +183,7 @@
 
 /// Writes what is finished to every live holder; what all have synced is listed.
 Task<bool> StoreNode::flush() {
-  if (!log_.well()) co_return false;
+  if (!log_.healthy()) co_return false;
   struct Row {
     RunPtr run;
     SegAppend::Part part;
@@ -191,7 +191,7 @@
     bool ok = true;
   };
   vector<Row> rows;
-  std::map<Identity, std::pair<StoreRef, vector<std::size_t>>> by;
+  std::map<NodeId, std::pair<StoreRef, vector<std::size_t>>> by;
   for (std::pair<Key const, RunPtr> const& p : runs_) {
     RunPtr const& r = p.second;
     if (r->stalled || r->pending.empty() ||
@@ -203,7 +203,7 @@
       continue;
     }
     Row row{r, {r->lot.host, r->lot.id, r->lot.stamp, x->results.size(), {}}, 0, true};
-    for (ResultRecord const& d : r->pending) row.part.records.push_back(packed(d));
+    for (ResultRecord const& d : r->pending) row.part.records.push_back(serialize(d));
     row.count = r->pending.size();
     for (StoreRef const& h : r->lot.holders)
       if (h.id != id_) {
@@ -214,15 +214,15 @@
   }
   if (rows.empty()) co_return false;
   std::shared_ptr<std::size_t> const left = std::make_shared<std::size_t>(by.size());
-  asio::steady_timer t(io_, Moment::max());
+  asio::steady_timer t(io_, TimePoint::max());
   for (Row& r : rows) replicas_.append(r.part.host, r.part.id, r.part.stamp, r.part.from, r.part.records);
   persist();
-  std::map<Identity, std::optional<SegAppendReply>> got;
-  for (std::pair<Identity const, std::pair<StoreRef, vector<std::size_t>>> const& p : by) {
+  std::map<NodeId, std::optional<SegAppendReply>> got;
+  for (std::pair<NodeId const, std::pair<StoreRef, vector<std::size_t>>> const& p : by) {
     SegAppend q;
     for (std::size_t const n : p.second.second) q.parts.push_back(rows[n].part);
-    Identity const who = p.first;
-    asio::co_spawn(io_, rpc_.ask(p.second.first.at, q, Ms(settings_.bounds.inTouch / 6)),
+    NodeId const who = p.first;
+    asio::co_spawn(io_, rpc_.call(p.second.first.at, q, Ms(settings_.bounds.inTouch / 6)),
                    [&got, &t, left, who](std::exception_ptr x, SegAppendReply a) {
                      if (!x) got[who] = std::move(a);
                      if (!--*left) t.cancel();
@@ -230,14 +230,14 @@
   }
   bool own = true;
   try {
-    co_await log_.settled();
+    co_await log_.waitSynced();
   } catch (Error const& x) {
-    say(Level::debug, "segments", x.what());
+    logDebug("segments", x.what());
     own = false;
   }
   error_code e;
   while (*left) co_await t.async_wait(asio::redirect_error(asio::use_awaitable, e));
-  for (std::pair<Identity const, std::pair<StoreRef, vector<std::size_t>>> const& p : by) {
+  for (std::pair<NodeId const, std::pair<StoreRef, vector<std::size_t>>> const& p : by) {
     std::optional<SegAppendReply> const& a = got[p.first];
     for (std::size_t i = 0; i < p.second.second.size(); ++i) {
       if (a && i < a->ok.size() && a->ok[i]) continue;
@@ -255,8 +255,8 @@
     }
     r.run->listed = std::max(r.run->listed, r.part.from + r.count);
     if (r.run->listed == r.run->lot.total)
-      tell("lots", r.run->lot.id + " is whole after " +
-                       std::to_string(r.run->lot.dueIn - timeLeft(r.run->lot, Clock::now())) + " ms");
+      logInfo("lots", r.run->lot.id + " is whole after " +
+                          std::to_string(r.run->lot.dueIn - timeLeft(r.run->lot, Clock::now())) + " ms");
     r.run->pending.erase(r.run->pending.begin(), r.run->pending.begin() + static_cast<std::ptrdiff_t>(r.count));
     for (std::shared_ptr<asio::steady_timer> const& x : r.run->readers) x->cancel();
   }
--- a/lots/store_calls.cpp
+++ b/lots/store_calls.cpp
@@ -3,12 +3,12 @@
 
 namespace tealshelf {
 
-Task<Done> StoreNode::create(SegCreate q) {
+Task<Acknowledgement> StoreNode::create(SegCreate q) {
   needRoom(q.lot);
   vector<StoreRef> const holders = q.lot.holders;
   bool const pass = q.pass;
   q.pass = false;
-  string const body = pass ? packed(q) : "";
+  string const body = pass ? serialize(q) : "";
   replicas_.create(q.lot, std::move(q.items), std::move(q.results));
   persist();
   std::size_t ok = 1;
@@ -16,17 +16,17 @@
   if (pass) {
     std::shared_ptr<std::size_t> const left = std::make_shared<std::size_t>(0);
     std::shared_ptr<std::size_t> const good = std::make_shared<std::size_t>(0);
-    std::shared_ptr<asio::steady_timer> const t = std::make_shared<asio::steady_timer>(io_, Moment::max());
+    std::shared_ptr<asio::steady_timer> const t = std::make_shared<asio::steady_timer>(io_, TimePoint::max());
     for (StoreRef const& h : holders) {
       if (h.id == id_) continue;
       ++*left;
-      asio::co_spawn(io_, rpc_.call(h.at, Method::segCreate, body, Ms(settings_.bounds.inTouch / 3)),
+      asio::co_spawn(io_, rpc_.callRaw(h.at, RpcMethod::createReplica, body, Ms(settings_.bounds.inTouch / 3)),
                      [left, good, t, need](std::exception_ptr p, string) {
                        if (!p) ++*good;
                        if (!--*left || *good + 1 >= need) t->cancel();
                      });
     }
-    co_await log_.settled();
+    co_await log_.waitSynced();
     error_code e;
     // Once the copies suffice, a slower holder gets only a moment more; if it fails, the lot is settled anew.
     if (*left && *good + 1 < need) co_await t->async_wait(asio::redirect_error(asio::use_awaitable, e));
@@ -36,10 +36,10 @@
     }
     ok += *good;
   } else {
-    co_await log_.settled();
+    co_await log_.waitSynced();
   }
-  if (ok < (pass ? need : 1)) throw Error(Code::noStores);
-  co_return Done{};
+  if (ok < (pass ? need : 1)) throw Error(ErrorCode::noStores);
+  co_return Acknowledgement{};
 }
 
 Task<SegAppendReply> StoreNode::append(SegAppend q) {
@@ -50,7 +50,7 @@
       needDisk();
       replicas_.append(p.host, p.id, p.stamp, p.from, p.records);
     } catch (Error const& x) {
-      say(Level::debug, "segments", x.what());
+      logDebug("segments", x.what());
       ok = false;
     }
     r.ok.push_back(ok);
@@ -65,20 +65,20 @@
   co_await synced();
   co_return r;
 }
-Task<Done> StoreNode::settle(SegSettle q) {
+Task<Acknowledgement> StoreNode::settle(SegSettle q) {
   needDisk();
   replicas_.settle(q.host, q.id, q.old, q.stamp, q.cut);
   if (std::map<Key, RunPtr>::iterator const i = runs_.find({q.host, q.id}); i != runs_.end()) i->second->stalled = true;
   co_await synced();
-  co_return Done{};
+  co_return Acknowledgement{};
 }
-Task<Done> StoreNode::copy(SegCopy q) {
+Task<Acknowledgement> StoreNode::copy(SegCopy q) {
   needRoom(q.lot);
   SegFetch const ask{q.lot.host, q.lot.id, q.lot.stamp};
-  SegCreate c = co_await rpc_.ask(q.from, ask, Ms(settings_.bounds.inTouch / 3));
+  SegCreate c = co_await rpc_.call(q.from, ask, Ms(settings_.bounds.inTouch / 3));
   replicas_.create(q.lot, std::move(c.items), std::move(c.results));
   co_await synced();
-  co_return Done{};
+  co_return Acknowledgement{};
 }
 Task<SegCreate> StoreNode::fetch(SegFetch q) {
   Replicas::Replica const& r = replicas_.read(q.host, q.id, q.stamp);
@@ -95,19 +95,19 @@
 
 Task<SegReadReply> StoreNode::read(SegRead q) {
   Key const k(q.host, q.id);
-  Moment const until = Clock::now() + Ms(std::min<std::int64_t>(q.holdMs, settings_.bounds.inTouch));
+  TimePoint const until = Clock::now() + Ms(std::min<std::int64_t>(q.holdMs, settings_.bounds.inTouch.count()));
   for (;;) {
     std::map<Key, RunPtr>::iterator const i = runs_.find(k);
-    if (i == runs_.end() || i->second->lot.stamp != q.stamp || !hasLease()) throw Error(Code::staleStamp, q.id);
+    if (i == runs_.end() || i->second->lot.stamp != q.stamp || !hasLease()) throw Error(ErrorCode::staleStamp, q.id);
     RunPtr const run = i->second;
     Replicas::Replica const& r = replicas_.read(q.host, q.id, q.stamp);
-    if (!r.since) throw Error(Code::staleStamp, q.id);
+    if (!r.since) throw Error(ErrorCode::staleStamp, q.id);
     if (run->listed > q.from || Clock::now() >= until || run->ended()) {
       SegReadReply a;
       a.total = run->lot.total;
       std::size_t bytes = 0;
       for (std::uint64_t n = q.from; n < run->listed && n < r.results.size(); ++n) {
-        ResultRecord x = unpacked<ResultRecord>(r.results[n]);
+        ResultRecord x = deserialize<ResultRecord>(r.results[n]);
         bytes += x.text.size() + 128;
         if (bytes > q.most && !a.outputs.empty()) break;
         a.ids.push_back(run->ids.at(x.item));
@@ -125,9 +125,9 @@
 
 Task<SegItemReply> StoreNode::item(SegItem q) {
   std::map<Key, RunPtr>::iterator const i = runs_.find({q.host, q.id});
-  if (i == runs_.end() || i->second->lot.stamp != q.stamp || !hasLease()) throw Error(Code::staleStamp, q.id);
+  if (i == runs_.end() || i->second->lot.stamp != q.stamp || !hasLease()) throw Error(ErrorCode::staleStamp, q.id);
   Replicas::Replica const& r = replicas_.read(q.host, q.id, q.stamp);
-  for (ItemRecord& x : unpacked<vector<ItemRecord>>(r.items))
+  for (ItemRecord& x : deserialize<vector<ItemRecord>>(r.items))
     if (x.id == q.item) co_return SegItemReply{true, false, std::move(x.body)};
   co_return SegItemReply{};
 }
