--- a/lots/store_node.cpp
+++ b/lots/store_node.cpp
@@ -1,27 +1,30 @@
 #include "lots/store_node.hpp"
 
+#include "base/node_id.hpp"
+
 namespace tealshelf {
 
 StoreNode::StoreNode(asio::io_context& io, Settings const& settings)
     : io_(io),
       settings_(settings),
       rpc_(io, Ms(settings.bounds.inTouch / 2)),
-      server_(io, settings.storeAt(settings.ip), Ms(settings.bounds.inTouch / 2)),
-      view_(io, settings, rpc_, "store", settings.storeAt(settings.ip)),
+      server_(io, settings.storeAddress(settings.ip), Ms(settings.bounds.inTouch / 2)),
+      view_(io, settings, rpc_, "store", settings.storeAddress(settings.ip)),
       pools_(io, settings),
       balance_(settings),
-      id_(awaitIdentity(settings.dataFolder, fresh_, Ms(settings.bounds.inTouch / 3))),
-      self_{id_, settings.nodeName, settings.zone, settings.storeAt(settings.ip)},
+      id_(waitForNodeId(settings.dataFolder, Ms(settings.bounds.inTouch / 3))),
+      self_{id_, settings.nodeName, settings.zone, settings.storeAddress(settings.ip)},
       log_(io, settings.dataFolder + "/segments", diskLimits(settings, 0.9), [this] { return replicas_.snapshot(); }),
-      lease_(static_cast<std::uint64_t>(wallMs())),
+      lease_(static_cast<std::uint64_t>(wallClockMs())),
       work_(io),
       flushes_(io) {
-  meanRun_ = static_cast<double>(8 * settings.bounds.step);
-  for (string const& r : log_.found().records) replicas_.replay(r);
-  if (log_.found().torn) warn("segments", "a torn tail of " + std::to_string(log_.found().torn) + " bytes was cut");
-  for (string const& c : log_.found().corrupt) warn("segments", "synced records are lost: " + c);
-  if (!log_.found().corrupt.empty()) replicas_.doubtAll();
-  log_.forget();
+  meanRun_ = static_cast<double>(8 * settings.bounds.step.count());
+  for (string const& r : log_.recovered().records) replicas_.replay(r);
+  if (log_.recovered().tornBytes)
+    logWarning("segments", "a torn tail of " + std::to_string(log_.recovered().tornBytes) + " bytes was cut");
+  for (string const& c : log_.recovered().corruptions) logWarning("segments", "synced records are lost: " + c);
+  if (!log_.recovered().corruptions.empty()) replicas_.doubtAll();
+  log_.releaseRecovered();
 }
 
 void StoreNode::start() {
@@ -34,19 +37,19 @@
   server_.on<SegConfirm>([this](SegConfirm q) { return confirm(std::move(q)); });
   server_.on<SegRead>([this](SegRead q) { return read(std::move(q)); });
   server_.on<SegItem>([this](SegItem q) { return item(std::move(q)); });
-  server_.on(Method::lotStart, [this](string b) -> Task<string> {
-    want(unpacked<LotRecord>(b));
+  server_.onRaw(RpcMethod::startLot, [this](string b) -> Task<string> {
+    want(deserialize<LotRecord>(b));
     reconcile();
     co_return "";
   });
   view_.onUpdate = [this] { work_.cancel(); };
   view_.start(server_);
   server_.start();
-  spawn(io_, "store beat", beatLoop());
-  spawn(io_, "dispatch", dispatchLoop());
-  spawn(io_, "flush", flushLoop());
-  spawn(io_, "sweep", sweepLoop());
-  tell("store", settings_.nodeName + " holds " + std::to_string(replicas_.all().size()) + " replicas");
+  spawnTask(io_, "store beat", beatLoop());
+  spawnTask(io_, "dispatch", dispatchLoop());
+  spawnTask(io_, "flush", flushLoop());
+  spawnTask(io_, "sweep", sweepLoop());
+  logInfo("store", settings_.nodeName + " holds " + std::to_string(replicas_.all().size()) + " replicas");
 }
 void StoreNode::stop() {
   stopping_ = true;
@@ -57,23 +60,24 @@
 }
 Task<void> StoreNode::synced() {
   persist();
-  co_await log_.settled();
+  co_await log_.waitSynced();
 }
 
 void StoreNode::needDisk() const {
-  if (!log_.well()) throw Error(Code::diskRefuses, std::strerror(log_.error()));
+  if (!log_.healthy()) throw Error(ErrorCode::diskUnavailable, std::strerror(log_.lastError()));
 }
 void StoreNode::needRoom(LotRecord const& lot) const {
   needDisk();
-  if (log_.crowded() && !replicas_.find(lot.host, lot.id)) throw Error(Code::diskRefuses, "the replicas fill its part");
+  if (log_.overBudget() && !replicas_.find(lot.host, lot.id))
+    throw Error(ErrorCode::diskUnavailable, "the replicas fill its part");
 }
 
 /// True while a majority of the control nodes granted this store its lease.
 bool StoreNode::hasLease() const {
   std::size_t n = 0;
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   for (Member const& m : members_) {
-    std::map<Addr, Control>::const_iterator const c = controls_.find(settings_.controlAt(m.ip));
+    std::map<Address, Control>::const_iterator const c = controls_.find(settings_.controlAddress(m.ip));
     if (c != controls_.end() && now - c->second.held < Ms(settings_.bounds.inTouch / 5)) ++n;
   }
   return !members_.empty() && n >= members_.size() / 2 + 1;
@@ -82,17 +86,17 @@
 Task<void> StoreNode::beatLoop() {
   std::uint64_t turn = 0;
   for (;;) {
-    for (Addr const& a : view_.controls()) {
+    for (Address const& a : view_.controls()) {
       Control& c = controls_[a];
-      if (!c.asking) spawn(io_, "beat", beat(a, turn % 6 == 0));
+      if (!c.asking) spawnTask(io_, "beat", beat(a, turn % 6 == 0));
     }
     reconcile();
     ++turn;
-    co_await pause(Ms(settings_.bounds.inTouch / 18));
+    co_await sleepFor(Ms(settings_.bounds.inTouch / 18));
   }
 }
 
-Task<void> StoreNode::beat(Addr at, bool marks) {
+Task<void> StoreNode::beat(Address at, bool marks) {
   Control& c = controls_[at];
   c.asking = true;
   StoreBeat q;
@@ -102,20 +106,20 @@
   q.rev = c.rev;
   q.counts = settings_.countsAsLoss;
   q.leaving = stopping_;
-  q.refusing = !log_.well();
+  q.refusing = !log_.healthy();
   if (marks) q.marks = replicas_.marks();
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   for (std::pair<Key const, RunPtr> const& p : runs_) {
     LotRun const& r = *p.second;
     if (!r.over) q.progress.push_back({r.lot.host, r.lot.id, r.lot.stamp, r.doneTokens, r.listed});
-    for (Identity const& b : r.bad) q.complaints.push_back({r.lot.host, r.lot.id, r.lot.stamp, b});
+    for (NodeId const& b : r.bad) q.complaints.push_back({r.lot.host, r.lot.id, r.lot.stamp, b});
     if (r.resettle) q.complaints.push_back({r.lot.host, r.lot.id, r.lot.stamp, id_});
   }
-  for (std::pair<Key const, std::pair<Stamp, Moment>> const& p : odd_)
+  for (std::pair<Key const, std::pair<GenerationStamp, TimePoint>> const& p : odd_)
     if (now - p.second.second > Ms(settings_.bounds.inTouch / 12))
       q.complaints.push_back({p.first.first, p.first.second, p.second.first, id_});
   try {
-    StoreBeatReply const r = co_await rpc_.ask(at, q, Ms(settings_.bounds.inTouch / 5));
+    StoreBeatReply const r = co_await rpc_.call(at, q, Ms(settings_.bounds.inTouch / 5));
     members_ = r.members;
     if (r.ok && q.lease == lease_) c.held = now;
     if (r.fenced && q.lease == lease_) renewLease(r.fencedUpTo);
@@ -132,13 +136,13 @@
     for (ReplicaMark const& m : r.drops) {
       if (!replicas_.drop(m.host, m.id, m.stamp)) continue;
       drop({m.host, m.id});
-      tell("segments", "the replica of " + m.id + " is stale and deleted");
+      logInfo("segments", "the replica of " + m.id + " is stale and deleted");
     }
     persist();
-    log_.write();
+    log_.flush();
     reconcile();
   } catch (Error const& x) {
-    say(Level::debug, "store", x.what());
+    logDebug("store", x.what());
   }
   c.asking = false;
 }
@@ -147,18 +151,18 @@
 void StoreNode::renewLease(std::uint64_t fencedUpTo) {
   // The time of day may have been set back since the former lease.
   lease_ = std::max(lease_, fencedUpTo) + 1;
-  for (std::pair<Addr const, Control>& p : controls_) p.second.held = Moment();
+  for (std::pair<Address const, Control>& p : controls_) p.second.held = TimePoint();
   for (std::pair<Key const, RunPtr>& p : runs_) {
     p.second->stalled = true;
     replicas_.doubt(p.first.first, p.first.second);
   }
-  tell("store", "the lease was fenced; a new one is asked for");
+  logInfo("store", "the lease was fenced; a new one is asked for");
 }
 
 void StoreNode::want(LotRecord const& l) {
   ages_.learn({l.host, l.id}, Clock::now());
   LotRecord& w = wanted_[{l.host, l.id}];
-  if (w.stamp.v && (l.stamp < w.stamp || (l.stamp == w.stamp && l.state < w.state))) return;
+  if (w.stamp.value && (l.stamp < w.stamp || (l.stamp == w.stamp && l.state < w.state))) return;
   w = l;
 }
 
@@ -175,7 +179,7 @@
 
 /// Brings what runs here to what the coordinators want.
 void StoreNode::reconcile() {
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   for (std::pair<Key const, LotRecord> const& p : wanted_) {
     LotRecord const& l = p.second;
     if (l.state == static_cast<int>(LotState::taking)) continue;
@@ -184,7 +188,7 @@
       bool holder = false;
       for (StoreRef const& h : l.holders) holder = holder || h.id == id_;
       // A copy may still be on its way here; then nothing is amiss.
-      std::pair<Stamp, Moment>& o = odd_[p.first];
+      std::pair<GenerationStamp, TimePoint>& o = odd_[p.first];
       if (!holder || replicas_.holds(l.host, l.id, l.stamp))
         odd_.erase(p.first);
       else if (o.first != l.stamp)
@@ -198,7 +202,7 @@
     }
     Replicas::Replica const* const r = replicas_.find(l.host, l.id);
     if (!r || r->lot.stamp != l.stamp || !r->since || r->frozen || !r->whole) {
-      std::pair<Stamp, Moment>& o = odd_[p.first];
+      std::pair<GenerationStamp, TimePoint>& o = odd_[p.first];
       if (o.first != l.stamp) o = {l.stamp, now};
       continue;
     }
@@ -220,14 +224,14 @@
   vector<ResultRecord> kept;
   if (!run) {
     run = std::make_shared<LotRun>();
-    run->items = unpacked<vector<ItemRecord>>(r.items);
+    run->items = deserialize<vector<ItemRecord>>(r.items);
     run->states.assign(run->items.size(), LotRun::queued);
     run->fails.assign(run->items.size(), 0);
     for (ItemRecord const& x : run->items) run->ids.push_back(x.id);
   }
   std::set<std::uint32_t> on;
   for (string const& s : r.results) {
-    ResultRecord x = unpacked<ResultRecord>(s);
+    ResultRecord x = deserialize<ResultRecord>(s);
     on.insert(x.item);
   }
   std::deque<ResultRecord> again;
@@ -249,7 +253,7 @@
     }
   }
   // An item whose result was cut runs once more; its body was let go and is read again.
-  if (cutBack) run->items = unpacked<vector<ItemRecord>>(r.items);
+  if (cutBack) run->items = deserialize<vector<ItemRecord>>(r.items);
   run->next = 0;
   run->lot = l;
   run->listed = r.results.size();
@@ -263,7 +267,7 @@
 
 Task<void> StoreNode::sweepLoop() {
   for (;;) {
-    co_await pause(Ms(settings_.bounds.inTouch / 2));
+    co_await sleepFor(Ms(settings_.bounds.inTouch / 2));
     pools_.sweep(view_);
     balance_.sweep(view_);
     std::size_t queued = 0, pending = 0, stalled = 0, open = 0;
@@ -278,11 +282,10 @@
       if (w.second.capacity > 10)
         loads += " " + std::to_string(static_cast<int>(100 * balance_.load(w.second, Clock::now())));
     if (open)
-      say(Level::debug, "store",
-          std::to_string(open) + " lots open, " + std::to_string(stalled) + " stalled; items queued " +
-              std::to_string(queued) + ", live " + std::to_string(live_) + ", unlisted " + std::to_string(pending) +
-              ", mean run " + std::to_string(static_cast<int>(meanRun_)) + " ms; lease " + std::to_string(hasLease()) +
-              "; loads" + loads);
+      logDebug("store", std::to_string(open) + " lots open, " + std::to_string(stalled) + " stalled; items queued " +
+                            std::to_string(queued) + ", live " + std::to_string(live_) + ", unlisted " +
+                            std::to_string(pending) + ", mean run " + std::to_string(static_cast<int>(meanRun_)) +
+                            " ms; lease " + std::to_string(hasLease()) + "; loads" + loads);
   }
 }
 
--- a/lots/store_node.hpp
+++ b/lots/store_node.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "base/disk.hpp"
+#include "base/durable_log.hpp"
 #include "lots/lot_ages.hpp"
 #include "lots/messages.hpp"
 #include "segments/replicas.hpp"
@@ -21,8 +21,8 @@
   std::deque<ResultRecord> pending;
   bool stalled = false, over = false, writing = false;
   bool resettle = false;  ///< its own disk failed it; it needs a fresh stamp
-  std::set<Identity> bad;
-  Moment retryAt;
+  std::set<NodeId> bad;
+  TimePoint retryAt;
   std::set<std::shared_ptr<asio::steady_timer>> readers;
   bool ended() const { return lot.state == static_cast<int>(LotState::ended); }
 };
@@ -39,7 +39,7 @@
   using RunPtr = std::shared_ptr<LotRun>;
   struct Control {
     std::uint64_t life = 0, rev = 0;
-    Moment held;
+    TimePoint held;
     bool asking = false;
   };
 
@@ -48,21 +48,21 @@
   void needDisk() const;
   void needRoom(LotRecord const& lot) const;
   Task<void> synced();
-  Task<Done> create(SegCreate q);
+  Task<Acknowledgement> create(SegCreate q);
   Task<SegAppendReply> append(SegAppend q);
   Task<SegInspectReply> inspect(SegInspect q);
-  Task<Done> settle(SegSettle q);
-  Task<Done> copy(SegCopy q);
+  Task<Acknowledgement> settle(SegSettle q);
+  Task<Acknowledgement> copy(SegCopy q);
   Task<SegCreate> fetch(SegFetch q);
   Task<SegConfirmReply> confirm(SegConfirm q);
   Task<SegReadReply> read(SegRead q);
   Task<SegItemReply> item(SegItem q);
 
   Task<void> beatLoop();
-  Task<void> beat(Addr at, bool marks);
+  Task<void> beat(Address at, bool marks);
   bool hasLease() const;
   /// Milliseconds until a lot is due, as far as that can be told; for urgency only.
-  std::int64_t timeLeft(LotRecord const& lot, Moment now) const;
+  std::int64_t timeLeft(LotRecord const& lot, TimePoint now) const;
   void renewLease(std::uint64_t fencedUpTo);
   void want(LotRecord const& l);
   void adopt(LotRecord const& l);
@@ -80,23 +80,23 @@
 
   asio::io_context& io_;
   Settings const& settings_;
-  Rpc rpc_;
+  RpcClient rpc_;
   RpcServer server_;
   FleetView view_;
   Pools pools_;
   Balance balance_;
   bool fresh_ = false, stopping_ = false;
-  Identity id_;
+  NodeId id_;
   StoreRef self_;
   Replicas replicas_;
-  DiskLog log_;
-  std::map<Addr, Control> controls_;
+  DurableLog log_;
+  std::map<Address, Control> controls_;
   std::uint64_t lease_ = 0;
   LotAges ages_;
   std::uint64_t const life_ = randomId();
   std::map<Key, LotRecord> wanted_;
   std::map<Key, RunPtr> runs_;
-  std::map<Key, std::pair<Stamp, Moment>> odd_;
+  std::map<Key, std::pair<GenerationStamp, TimePoint>> odd_;
   vector<Member> members_;
   std::size_t live_ = 0;
   double meanRun_ = 1000;  ///< how long an item runs, in ms, as seen lately
--- a/segments/messages.hpp
+++ b/segments/messages.hpp
@@ -12,7 +12,7 @@
   std::uint64_t tokens = 0, total = 0, tries = 1;
   std::int64_t sentAt = 0, keepFor = 0, dueIn = 0;
   int state = 0;
-  Stamp stamp;
+  GenerationStamp stamp;
   vector<StoreRef> holders;  ///< the first is the primary
   MSGPACK_DEFINE(id, host, route, service, tokens, total, tries, sentAt, keepFor, dueIn, state, stamp, holders)
 };
@@ -20,7 +20,7 @@
 /// A replica that a store holds.
 struct ReplicaMark {
   string host, id;
-  Stamp stamp;
+  GenerationStamp stamp;
   MSGPACK_DEFINE(host, id, stamp)
 };
 
@@ -40,8 +40,8 @@
 
 /// Puts a lot's items on a holder; the primary passes them on to the others.
 struct SegCreate {
-  using Reply = Done;
-  static constexpr Method method = Method::segCreate;
+  using Reply = Acknowledgement;
+  static constexpr RpcMethod method = RpcMethod::createReplica;
   LotRecord lot;
   string items;
   vector<string> results;
@@ -56,10 +56,10 @@
 
 struct SegAppend {
   using Reply = SegAppendReply;
-  static constexpr Method method = Method::segAppend;
+  static constexpr RpcMethod method = RpcMethod::appendResults;
   struct Part {
     string host, id;
-    Stamp stamp;
+    GenerationStamp stamp;
     std::uint64_t from = 0;
     vector<string> records;
     MSGPACK_DEFINE(host, id, stamp, from, records)
@@ -70,48 +70,48 @@
 
 struct SegInspectReply {
   bool known = false;
-  Stamp stamp;
+  GenerationStamp stamp;
   std::uint64_t results = 0;
   MSGPACK_DEFINE(known, stamp, results)
 };
 
 struct SegInspect {
   using Reply = SegInspectReply;
-  static constexpr Method method = Method::segInspect;
+  static constexpr RpcMethod method = RpcMethod::inspectReplica;
   string host, id;
   MSGPACK_DEFINE(host, id)
 };
 
 /// Gives a replica a fresh stamp and cuts its results.
 struct SegSettle {
-  using Reply = Done;
-  static constexpr Method method = Method::segSettle;
+  using Reply = Acknowledgement;
+  static constexpr RpcMethod method = RpcMethod::settleReplica;
   string host, id;
-  Stamp old, stamp;
+  GenerationStamp old, stamp;
   std::uint64_t cut = 0;
   MSGPACK_DEFINE(host, id, old, stamp, cut)
 };
 
 /// Asks a store to copy a lot from another under a stamp.
 struct SegCopy {
-  using Reply = Done;
-  static constexpr Method method = Method::segCopy;
+  using Reply = Acknowledgement;
+  static constexpr RpcMethod method = RpcMethod::copyReplica;
   LotRecord lot;
-  Addr from;
+  Address from;
   MSGPACK_DEFINE(lot, from)
 };
 
 struct SegFetch {
   using Reply = SegCreate;
-  static constexpr Method method = Method::segFetch;
+  static constexpr RpcMethod method = RpcMethod::fetchReplica;
   string host, id;
-  Stamp stamp;
+  GenerationStamp stamp;
   MSGPACK_DEFINE(host, id, stamp)
 };
 
 /// What a store answers of the replicas it is asked about, each in the order of the question.
 struct SegConfirmReply {
-  Identity self;           ///< the disk that answers: another may have come to its address
+  NodeId self;             ///< the disk that answers: another may have come to its address
   std::uint64_t life = 0;  ///< the life of the process that answers
   vector<bool> held;       ///< whole, synced and under the stamp asked for
   MSGPACK_DEFINE(self, life, held)
@@ -120,7 +120,7 @@
 /// Asks a store which replicas it holds, whole and synced, in its present life.
 struct SegConfirm {
   using Reply = SegConfirmReply;
-  static constexpr Method method = Method::segConfirm;
+  static constexpr RpcMethod method = RpcMethod::confirmReplicas;
   vector<ReplicaMark> replicas;
   MSGPACK_DEFINE(replicas)
 };
@@ -134,9 +134,9 @@
 
 struct SegRead {
   using Reply = SegReadReply;
-  static constexpr Method method = Method::segRead;
+  static constexpr RpcMethod method = RpcMethod::readResults;
   string host, id;
-  Stamp stamp;
+  GenerationStamp stamp;
   std::uint64_t from = 0, most = 0;
   std::int64_t holdMs = 0;
   MSGPACK_DEFINE(host, id, stamp, from, most, holdMs)
@@ -150,9 +150,9 @@
 
 struct SegItem {
   using Reply = SegItemReply;
-  static constexpr Method method = Method::segItem;
+  static constexpr RpcMethod method = RpcMethod::readItem;
   string host, id, item;
-  Stamp stamp;
+  GenerationStamp stamp;
   MSGPACK_DEFINE(host, id, item, stamp)
 };
 
--- a/segments/replicas.hpp
+++ b/segments/replicas.hpp
@@ -23,20 +23,21 @@
   /// New replica, or a newer one over an older; throws staleStamp.
   void create(LotRecord const& lot, string items, vector<string> results);
   /// Adds results from a position on; refused with another stamp or with a gap.
-  void append(string const& host, string const& id, Stamp s, std::uint64_t from, vector<string> const& records);
+  void append(string const& host, string const& id, GenerationStamp s, std::uint64_t from,
+              vector<string> const& records);
   /// Gives a fresh stamp and cuts; refused unless the present stamp lies between old and fresh.
-  void settle(string const& host, string const& id, Stamp old, Stamp s, std::uint64_t cut);
+  void settle(string const& host, string const& id, GenerationStamp old, GenerationStamp s, std::uint64_t cut);
   /// Lets a replica go on only under a fresh stamp, as after a restart.
   void doubt(string const& host, string const& id);
   /// Records that had been synced are lost, and nothing tells which: no replica counts as held
   /// until it is made anew.
   void doubtAll();
   /// True if a replica is held whole under a stamp or a newer one.
-  bool holds(string const& host, string const& id, Stamp least) const;
+  bool holds(string const& host, string const& id, GenerationStamp least) const;
   /// Deletes a replica whose stamp is not above the given one.
-  bool drop(string const& host, string const& id, Stamp upTo);
+  bool drop(string const& host, string const& id, GenerationStamp upTo);
   /// The replica, if its stamp is the one asked for; throws staleStamp.
-  Replica const& read(string const& host, string const& id, Stamp s) const;
+  Replica const& read(string const& host, string const& id, GenerationStamp s) const;
   /// Tells a recovery stamp and length; nothing is appended until a fresh stamp comes.
   SegInspectReply inspect(string const& host, string const& id);
   Replica const* find(string const& host, string const& id) const;
--- a/tests/async_mutex_test.cpp
+++ b/tests/async_mutex_test.cpp
@@ -23,7 +23,7 @@
       --inside;
       if (name == 'x') throw std::runtime_error("left by an exception");
     } catch (Error const& error) {
-      log += error.code() == Code::busy ? '!' : '?';
+      log += error.code() == ErrorCode::busy ? '!' : '?';
       log += name;
     } catch (std::runtime_error const&) {
     }
--- a/tests/call_input_test.cpp
+++ b/tests/call_input_test.cpp
@@ -35,13 +35,14 @@
     LONGS_EQUAL_TEXT(408, codeOf([&] { checkRetirement(body); }), body.substr(0, 40).c_str());
 }
 TEST(callinput, whatIsOpenIsNeverFinal) {
-  for (Code const code : {Code::noQuorum, Code::connectionBroke, Code::timeUp}) {
+  for (ErrorCode const code : {ErrorCode::noQuorum, ErrorCode::connectionLost, ErrorCode::timedOut}) {
     LONGS_EQUAL(503, shownToCaller(Error(code), CallKind::change).status());
     LONGS_EQUAL(112, static_cast<int>(shownToCaller(Error(code), CallKind::change).code()));
     LONGS_EQUAL(210, static_cast<int>(shownToCaller(Error(code), CallKind::read).code()));
   }
-  for (Code const code : {Code::noOwner, Code::busy, Code::noPath, Code::orderOpen, Code::orderTooOld})
+  for (ErrorCode const code : {ErrorCode::noOwner, ErrorCode::busy, ErrorCode::notConnected, ErrorCode::changeUndecided,
+                               ErrorCode::changeTooOld})
     LONGS_EQUAL(503, shownToCaller(Error(code), CallKind::change).status());
-  LONGS_EQUAL(412, shownToCaller(Error(Code::lostRace), CallKind::change).status());
-  LONGS_EQUAL(400, shownToCaller(Error(Code::badMatch), CallKind::change).status());
+  LONGS_EQUAL(412, shownToCaller(Error(ErrorCode::versionConflict), CallKind::change).status());
+  LONGS_EQUAL(400, shownToCaller(Error(ErrorCode::badIfMatch), CallKind::change).status());
 }
--- a/tests/canonical_json_test.cpp
+++ b/tests/canonical_json_test.cpp
@@ -45,6 +45,6 @@
 }
 TEST(canonicaljson, digestIsSha256) {
   string shown;
-  for (char const c : sha256("abc").v) shown += hex(static_cast<unsigned char>(c)).substr(14);
+  for (char const c : sha256("abc").value) shown += hex(static_cast<unsigned char>(c)).substr(14);
   STRCMP_EQUAL("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad", shown.c_str());
 }
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -52,6 +52,6 @@
   std::shared_ptr<Configuration const> const c = compileConfiguration(configuration(
       route("r", "\"timeLimitMs\":5,\"split\":[{\"service\":\"s\",\"share\":90},{\"service\":\"t\",\"share\":10}]")));
   int s = 0;
-  for (int i = 0; i < 10000; ++i) s += c->routes[0].serviceFor(hashOf(std::to_string(i))) == "s";
+  for (int i = 0; i < 10000; ++i) s += c->routes[0].serviceFor(hash64(std::to_string(i))) == "s";
   CHECK(s > 8800 && s < 9200);
 }
--- a/tests/consensus_probe.hpp
+++ b/tests/consensus_probe.hpp
@@ -5,7 +5,7 @@
 
 /// Reaches into the state machine: the search decides who leads, and knows states by their content.
 struct ConsensusProbe {
-  static Moment now() { return Moment() + std::chrono::hours(10); }
+  static TimePoint now() { return TimePoint() + std::chrono::hours(10); }
   static void lead(Consensus& c, string const& keyspace) {
     if (c.mayVote()) c.startTakeover(keyspace, c.keyspaces_[keyspace], now());
   }
@@ -13,7 +13,7 @@
   static void deafen(Consensus& c) {
     c.peers_.clear();
     c.heardOf_.clear();
-    c.awakeSince_ = Moment() + std::chrono::hours(1);
+    c.awakeSince_ = TimePoint() + std::chrono::hours(1);
     c.lastTick_ = now();
   }
   static bool holds(Consensus const& c, string const& keyspace, string const& key) {
@@ -27,17 +27,17 @@
     for (std::pair<string const, Consensus::Keyspace> const& p : c.keyspaces_) {
       Consensus::Keyspace const& k = p.second;
       msgpack::pack(b, std::make_tuple(static_cast<int>(k.phase), k.epoch, k.seen, k.next, k.committed, k.upTo));
-      for (Identity const& v : k.votes) msgpack::pack(b, v);
+      for (NodeId const& v : k.votes) msgpack::pack(b, v);
       for (Consensus::Write const& w : k.writes) {
         msgpack::pack(b, std::make_tuple(w.op, w.last, w.done, w.entries));
-        for (Identity const& v : w.acks) msgpack::pack(b, v);
+        for (NodeId const& v : w.acks) msgpack::pack(b, v);
       }
       msgpack::pack(b, k.view);
       msgpack::pack(b, std::make_tuple(k.viewed.epoch, k.viewed.seq, k.known.epoch, k.known.seq, k.acceptedEpoch));
       for (std::pair<std::uint64_t const, Consensus::Accepted> const& a : k.accepted)
         msgpack::pack(b, std::make_tuple(a.first, a.second.prev, a.second.full, a.second.entries));
     }
-    return hashOf(string(b.data(), b.size()));
+    return hash64(string(b.data(), b.size()));
   }
 };
 
--- a/tests/consensus_sim.cpp
+++ b/tests/consensus_sim.cpp
@@ -19,7 +19,7 @@
   x.disk.clear();
   x.cached.clear();
   if (keepIdentity) return;
-  x.self.id = Identity(1000 + ++lastIdentity_);
+  x.self.id = NodeId(1000 + ++lastIdentity_);
   x.self.founder = false;
   x.whole = false;
 }
@@ -76,7 +76,7 @@
   if (!x.lasting) {
     x.disk.clear();
     x.cached.clear();
-    x.self.id = Identity(1000 + ++lastIdentity_);
+    x.self.id = NodeId(1000 + ++lastIdentity_);
     x.self.founder = false;
   }
   make(x);
@@ -131,7 +131,7 @@
 void Cluster::join(std::size_t i) {
   Node& x = nodes_[i];
   tealshelf::Membership const& g = x.consensus->membership();
-  if (g.no.v && x.consensus->isMember()) {
+  if (g.no.value && x.consensus->isMember()) {
     if (!x.consensus->copied()) copy(x, i);
     if (x.consensus->owns("members")) {
       std::map<string, string> const& v = x.consensus->view("members");
@@ -147,17 +147,17 @@
     }
     return;
   }
-  if (!g.no.v && i < founders_ && x.self.founder) return;
+  if (!g.no.value && i < founders_ && x.self.founder) return;
   bool anyDisk = false;
   for (Member const& m : g.members) anyDisk = anyDisk || m.disk;
-  if (!x.lasting && (anyDisk || !g.no.v)) {
-    if (g.no.v) return;
+  if (!x.lasting && (anyDisk || !g.no.value)) {
+    if (g.no.value) return;
   }
-  if (g.no.v && x.consensus->isRetired()) {
+  if (g.no.value && x.consensus->isRetired()) {
     x.consensus->comeBack(++lastIdentity_);
     pump(x);
   }
-  if (!g.no.v || x.learnedUnder != g.no) return copy(x, i);
+  if (!g.no.value || x.learnedUnder != g.no) return copy(x, i);
   std::size_t const j = dice(nodes_.size());
   Node& y = nodes_[j];
   if (!reaches(i, j) || !y.consensus->owns("members") || !y.changes.empty()) return;
@@ -193,7 +193,7 @@
     x.copied.push_back(y.consensus->dump());
   }
   bool const trusted = member && trustLearner && !x.learned.empty();
-  if (!trusted && (!g.no.v || x.copies.size() < need)) return;
+  if (!trusted && (!g.no.value || x.copies.size() < need)) return;
   if (member) {
     x.consensus->adopt(trusted ? x.learned : x.copied);
     pump(x);
@@ -212,7 +212,7 @@
   if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.op); c != m.changes.end()) {
     tealshelf::Membership const g = c->second;
     m.changes.erase(c);
-    if (o.result == Result::committed && m.consensus->membership().no.v + 1 == g.no.v) {
+    if (o.result == Result::committed && m.consensus->membership().no.value + 1 == g.no.value) {
       m.consensus->install(g, false);
       pump(m);
     }
--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -17,7 +17,7 @@
     bool up = true, frozen = false;
     bool refuses = false;  ///< its disk syncs nothing
     std::uint64_t life = 0;
-    Moment syncAt;
+    TimePoint syncAt;
     std::uint64_t seenVersion = 0;                           ///< highest settled version in this life
     bool lasting = true;                                     ///< without a disk its state ends with its process
     std::map<std::uint64_t, tealshelf::Membership> changes;  ///< memberships proposed by this life, by operation
@@ -40,7 +40,7 @@
       : g_(seed), breakSync_(breakSync), nodes_(n), founders_(founders ? founders : n) {
     for (std::size_t i = 0; i < n; ++i)
       nodes_[i].self =
-          Member{Identity(100 + i), "n" + std::to_string(i), "10.0.0." + std::to_string(i), "z", i < founders_, true};
+          Member{NodeId(100 + i), "n" + std::to_string(i), "10.0.0." + std::to_string(i), "z", i < founders_, true};
     for (Node& x : nodes_) make(x);
     if (!founders)
       for (std::size_t i = 0; i < n; ++i) found(i);
@@ -91,7 +91,7 @@
     return most;
   }
   std::uint64_t dice(std::uint64_t n) { return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(g_); }
-  Moment now() const { return now_; }
+  TimePoint now() const { return now_; }
   vector<Node>& nodes() { return nodes_; }
   double loss = 0;
   std::uint64_t delay = 0;                             ///< packets come up to so many ms later
@@ -146,11 +146,11 @@
   /// Who says that it is in touch with a majority has sent what a majority received, within the bound.
   void checkContact(Node const& x) {
     if (!x.consensus->inMajority(now_)) return;
-    vector<Moment> truth;
+    vector<TimePoint> truth;
     for (Member const& m : x.consensus->membership().members)
       truth.push_back(m.id == x.self.id ? now_ : received_[{x.self.id, m.id}]);
-    std::sort(truth.begin(), truth.end(), std::greater<Moment>());
-    Moment const proof = truth[x.consensus->membership().most() - 1];
+    std::sort(truth.begin(), truth.end(), std::greater<TimePoint>());
+    TimePoint const proof = truth[x.consensus->membership().most() - 1];
     if (now_ - proof <= Ms(750)) return;
     std::size_t const i = static_cast<std::size_t>(&x - nodes_.data());
     bool const overtaken = ackedAt_ > proof && ackedBy_ != i;
@@ -202,7 +202,7 @@
     if (from != to && (cuts.count({from, to}) || std::uniform_real_distribution<>(0, 1)(g_) < loss)) return;
     std::uint64_t const life = nodes_[to].life;
     Ms const late(delay && from != to ? dice(delay) : 0);
-    Moment const at = now_ + late + Ms(from == to ? 0 : 1 + dice(loss > 0 ? 60 : 3));
+    TimePoint const at = now_ + late + Ms(from == to ? 0 : 1 + dice(loss > 0 ? 60 : 3));
     net_.emplace(at, [this, to, life, m = std::move(m)] {
       Node& y = nodes_[to];
       if (!y.up || y.life != life) return;
@@ -218,13 +218,13 @@
     pump(y);
   }
   struct HeartbeatAnswer {
-    Identity from;
+    NodeId from;
     OwnMoment sent;
   };
   void take(Node& y, HeartbeatAnswer const& a) { y.consensus->echoed(a.from, a.sent, now_); }
   void take(Node& y, Heartbeat p) {
-    Moment& received = received_[{p.self.id, y.self.id}];
-    received = std::max(received, Moment(Moment::duration(p.sent.ticks)));
+    TimePoint& received = received_[{p.self.id, y.self.id}];
+    received = std::max(received, TimePoint(TimePoint::duration(p.sent.ticks)));
     for (std::size_t i = 0; i < nodes_.size(); ++i)
       if (nodes_[i].self.id == p.self.id && !datedByArrival)
         deliver(static_cast<std::size_t>(&y - nodes_.data()), i, HeartbeatAnswer{y.self.id, p.sent});
@@ -255,17 +255,17 @@
   bool breakSync_;
   vector<Node> nodes_;
   std::size_t founders_ = 0;
-  Moment now_ = Moment() + std::chrono::hours(1);
+  TimePoint now_ = TimePoint() + std::chrono::hours(1);
   std::uint64_t turn_ = 0, lastIdentity_ = 0;
-  std::multimap<Moment, std::function<void()>> net_;
+  std::multimap<TimePoint, std::function<void()>> net_;
   std::deque<Op> ops_;
   Consensus::Times times_{Ms(750), Ms(100), Ms(1500), Ms(600)};
   std::set<std::size_t> writing_;
   std::map<std::tuple<std::size_t, std::uint64_t, std::uint64_t>, std::function<void(bool)>> begun_;
   std::uint64_t lastMark_ = 0;
   std::set<std::uint64_t> refused_;  ///< marks of writes that were said never to come into force
-  std::map<std::pair<Identity, Identity>, Moment> received_;  ///< when the latest heartbeat that arrived was sent
-  Moment ackedAt_;
+  std::map<std::pair<NodeId, NodeId>, TimePoint> received_;  ///< when the latest heartbeat that arrived was sent
+  TimePoint ackedAt_;
   std::size_t ackedBy_ = 0;
   vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> late_;
 };
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -175,7 +175,7 @@
   // The owner's disk is gone; its new identity has no vote, so the stale one and the other decide.
   sim::Cluster::Node& w = g.nodes()[owner];
   w.disk.clear();
-  w.self.id = Identity(777);
+  w.self.id = NodeId(777);
   w.self.founder = false;
   g.start(owner);
   g.start(other);
@@ -298,7 +298,7 @@
 
 namespace {
 /// What a node would have shown by the old rule, which wanted that nothing was under way.
-std::optional<std::map<string, string>> viewWhenQuiet(sim::Cluster::Node const& x, Moment now) {
+std::optional<std::map<string, string>> viewWhenQuiet(sim::Cluster::Node const& x, TimePoint now) {
   Position applied;
   for (KeyspaceProgress const& k : x.consensus->heartbeat(now).marks)
     if (k.keyspace == "configuration") applied = Position{k.epoch, k.upTo};
--- a/tests/disk_control_test.cpp
+++ b/tests/disk_control_test.cpp
@@ -150,7 +150,7 @@
 TEST(diskcontrol, noMembershipGivesALostVoteBack) {
   Membership first, second, third;
   first.no = MembershipNumber(1);
-  first.members = {Member{Identity(1), "a", "10.0.0.1", "z", true, true}};
+  first.members = {Member{NodeId(1), "a", "10.0.0.1", "z", true, true}};
   second = first;
   second.no = MembershipNumber(2);
   third = first;
--- a/tests/disk_test.cpp
+++ b/tests/disk_test.cpp
@@ -1,4 +1,5 @@
-#include "base/disk.hpp"
+#include "base/durable_log.hpp"
+#include "base/node_id.hpp"
 #include "memory_disk.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -9,12 +10,12 @@
 
 namespace {
 string const folder = "/d";
-string const firstLog = logPath(folder, LogFileKind::log, 1);
+string const firstLog = logFilePath(folder, LogFileKind::log, 1);
 DiskLimits const limits{4000, Ms(5), Ms(2)};
 
 string allFramed(vector<string> const& records) {
   string out;
-  for (string const& record : records) out += framed(record);
+  for (string const& record : records) out += encodeRecord(record);
   return out;
 }
 string nameOf(std::size_t n) {
@@ -29,10 +30,10 @@
   TestedWriter(MemoryDisk& disk, Faulty how, std::uint64_t last) : disk_(disk), how_(how), good_(disk, folder, last) {
     number_ = last;
   }
-  bool whole() const { return how_ == Faulty::no ? good_.whole() : file_ >= 0; }
+  bool whole() const { return how_ == Faulty::no ? good_.isOpen() : file_ >= 0; }
   int append(string const& records) {
     if (how_ == Faulty::no) return good_.append(records);
-    int failed = writeAll(disk_, file_, batchOf(records));
+    int failed = writeAll(disk_, file_, encodeBatch(records));
     if (!failed && disk_.sync(file_)) failed = EIO;
     if (failed && how_ == Faulty::syncsAgain && !disk_.sync(file_)) return 0;
     if (failed) file_ = -1;
@@ -42,30 +43,30 @@
     if (how_ != Faulty::oldOrder) return renewWell(records);
     // As before: the syncs of the snapshot, the log and the folder go unlooked at.
     ++number_;
-    int const next = disk_.open(folder + "/next", FileLayer::Open::truncate);
+    int const next = disk_.open(folder + "/next", FileSystem::OpenMode::truncate);
     if (next < 0) return EIO;
-    int failed = writeAll(disk_, next, fileHead(LogFileKind::snapshot) + batchOf(allFramed(records)));
+    int failed = writeAll(disk_, next, encodeFileHeader(LogFileKind::snapshot) + encodeBatch(allFramed(records)));
     disk_.sync(next);
-    if (!failed && disk_.rename(folder + "/next", logPath(folder, LogFileKind::snapshot, number_))) failed = EIO;
+    if (!failed && disk_.rename(folder + "/next", logFilePath(folder, LogFileKind::snapshot, number_))) failed = EIO;
     if (failed) return failed;
     if (openLog() < 0) return EIO;
     disk_.sync(file_);
-    syncFolder(disk_, folder);
-    for (LogFile const& file : logFiles(disk_, folder))
-      if (file.number < number_) disk_.remove(logPath(folder, file.kind, file.number));
+    syncDirectory(disk_, folder);
+    for (LogFile const& file : listLogFiles(disk_, folder))
+      if (file.number < number_) disk_.remove(logFilePath(folder, file.kind, file.number));
     return 0;
   }
 
  private:
   int openLog() {
-    file_ = disk_.open(logPath(folder, LogFileKind::log, number_), FileLayer::Open::append);
-    return file_ < 0 || writeAll(disk_, file_, fileHead(LogFileKind::log)) ? -1 : file_;
+    file_ = disk_.open(logFilePath(folder, LogFileKind::log, number_), FileSystem::OpenMode::append);
+    return file_ < 0 || writeAll(disk_, file_, encodeFileHeader(LogFileKind::log)) ? -1 : file_;
   }
   int renewWell(vector<string> const& records) {
     ++number_;
     int const failed = good_.renew(records);
     if (!failed && how_ != Faulty::no)
-      file_ = disk_.open(logPath(folder, LogFileKind::log, number_), FileLayer::Open::append);
+      file_ = disk_.open(logFilePath(folder, LogFileKind::log, number_), FileSystem::OpenMode::append);
     return failed;
   }
 
@@ -91,18 +92,18 @@
   std::set<string> acknowledged;
   std::size_t made = 0;
   for (int life = 0; life < 4; ++life) {
-    Found const found = readLogs(disk, folder);
+    RecoveredLog const found = readLog(disk, folder);
     std::set<string> const there(found.records.begin(), found.records.end());
     bool const whole = std::includes(there.begin(), there.end(), acknowledged.begin(), acknowledged.end());
-    if (!whole || !found.corrupt.empty()) return true;
+    if (!whole || !found.corruptions.empty()) return true;
     state.assign(there.begin(), there.end());
-    TestedWriter writer(disk, trial.how, found.lastNo);
+    TestedWriter writer(disk, trial.how, found.lastNumber);
     // What is read at the start is relied on at once: an owner answers from it.
     if (trial.how == Faulty::trustsTheStart) acknowledged = there;
     for (std::size_t step = disk.dice(9); step > 0; --step) {
       state.push_back(nameOf(made++));
       bool const renews = !writer.whole() || disk.dice(4) == 0;
-      int const failed = renews ? writer.renew(state) : writer.append(framed(state.back()));
+      int const failed = renews ? writer.renew(state) : writer.append(encodeRecord(state.back()));
       if (!failed) acknowledged.insert(state.begin(), state.end());
     }
     if (disk.dice(2)) disk.losePower();
@@ -123,18 +124,18 @@
   explicit Running(MemoryDisk& disk)
       : log(
             io, folder, limits, [this] { return state; }, disk) {
-    state = log.found().records;
+    state = log.recovered().records;
   }
   asio::io_context io;
   asio::executor_work_guard<asio::io_context::executor_type> work = asio::make_work_guard(io);
   vector<string> state;
   std::size_t synced = 0;
-  DiskLog log;
+  DurableLog log;
 
   void add() {
     state.push_back(nameOf(state.size()));
     log.append(state.back());
-    log.synced([this] { ++synced; });
+    log.whenSynced([this] { ++synced; });
   }
   void until(std::function<bool()> done) {
     while (!done()) io.run_one();
@@ -165,10 +166,10 @@
       for (auto const& [name, content] : disk.all()) bytes += content.size();
       most = std::max(most, bytes);
     }
-    vector<string> const found = readLogs(disk, folder).records;
+    vector<string> const found = readLog(disk, folder).records;
     CHECK(std::equal(run.state.rbegin(), run.state.rend(), found.rbegin()));
   }
-  CHECK(most > limits.logMost());
+  CHECK(most > limits.minLogSize());
   CHECK(most <= limits.budget);
 }
 
@@ -180,17 +181,17 @@
   std::map<string, string> const before = disk.all();
   disk.refuse(true);
   for (int i = 0; i < 5; ++i) run.add();
-  run.until([&] { return !run.log.well(); });
-  CHECK(run.log.state() == DiskState::refusing);
-  CHECK(run.log.error() == ENOSPC || run.log.error() == EIO);
+  run.until([&] { return !run.log.healthy(); });
+  CHECK(run.log.state() == DiskState::failing);
+  CHECK(run.log.lastError() == ENOSPC || run.log.lastError() == EIO);
   std::size_t const calls = disk.calls;
   run.until([&] { return disk.calls > calls + 20; });
   LONGS_EQUAL(1, run.synced);
   for (auto const& [name, content] : before) CHECK(disk.all().at(name).rfind(content, 0) == 0);
   disk.refuse(false);
-  run.until([&] { return run.log.well(); });
+  run.until([&] { return run.log.healthy(); });
   LONGS_EQUAL(6, run.synced);
-  CHECK(readLogs(disk, folder).records == run.state);
+  CHECK(readLog(disk, folder).records == run.state);
 }
 
 TEST(disk, aStalledDiskIsFoundAndItsWaitersAreTold) {
@@ -201,11 +202,11 @@
   disk.hang(true);
   run.add();
   bool refused = false;
-  asio::co_spawn(run.io, run.log.settled(), [&](std::exception_ptr x) {
+  asio::co_spawn(run.io, run.log.waitSynced(), [&](std::exception_ptr x) {
     try {
       if (x) std::rethrow_exception(x);
     } catch (Error const& error) {
-      refused = error.code() == Code::diskRefuses;
+      refused = error.code() == ErrorCode::diskUnavailable;
     }
   });
   run.until([&] { return refused; });
@@ -213,14 +214,14 @@
   LONGS_EQUAL(1, run.synced);
   disk.hang(false);
   run.until([&] { return run.synced == 2; });
-  CHECK(run.log.well());
+  CHECK(run.log.healthy());
 }
 
 /// A folder with a snapshot of two records and a log of three batches.
 static void fill(MemoryDisk& disk) {
   LogWriter writer(disk, folder, 0);
   writer.renew({"one", "two"});
-  for (char const* const record : {"three", "four", "five"}) writer.append(framed(record));
+  for (char const* const record : {"three", "four", "five"}) writer.append(encodeRecord(record));
 }
 
 TEST(disk, damageIsTornOnlyInWhatMayBeUnsynced) {
@@ -243,12 +244,12 @@
   for (Case const& c : cases) {
     MemoryDisk disk(1);
     fill(disk);
-    string& bytes = disk.bytes(logPath(folder, c.file, 1));
+    string& bytes = disk.bytes(logFilePath(folder, c.file, 1));
     bytes[bytes.size() - c.fromEnd] ^= 0x55;
-    Found const found = readLogs(disk, folder);
+    RecoveredLog const found = readLog(disk, folder);
     LONGS_EQUAL(c.records, found.records.size());
-    CHECK_EQUAL(c.corrupt > 0, !found.corrupt.empty());
-    CHECK_EQUAL(c.torn, found.torn > 0);
+    CHECK_EQUAL(c.corrupt > 0, !found.corruptions.empty());
+    CHECK_EQUAL(c.torn, found.tornBytes > 0);
   }
 }
 
@@ -256,36 +257,36 @@
   MemoryDisk disk(1);
   fill(disk);
   // A restart in the middle of a snapshot: its file has no name yet, and is torn.
-  disk.place(folder + "/next", fileHead(LogFileKind::snapshot) + "TS");
-  Found const orphan = readLogs(disk, folder);
+  disk.place(folder + "/next", encodeFileHeader(LogFileKind::snapshot) + "TS");
+  RecoveredLog const orphan = readLog(disk, folder);
   LONGS_EQUAL(5, orphan.records.size());
-  CHECK(orphan.corrupt.empty());
+  CHECK(orphan.corruptions.empty());
   // A log without the snapshot it began with: what lay between is lost.
-  disk.place(logPath(folder, LogFileKind::log, 3), disk.bytes(firstLog));
-  LONGS_EQUAL(1, readLogs(disk, folder).corrupt.size());
+  disk.place(logFilePath(folder, LogFileKind::log, 3), disk.bytes(firstLog));
+  LONGS_EQUAL(1, readLog(disk, folder).corruptions.size());
   // A log of which nothing was written yet is no loss.
-  disk.place(logPath(folder, LogFileKind::log, 3), fileHead(LogFileKind::log));
-  CHECK(readLogs(disk, folder).corrupt.empty());
+  disk.place(logFilePath(folder, LogFileKind::log, 3), encodeFileHeader(LogFileKind::log));
+  CHECK(readLog(disk, folder).corruptions.empty());
   Running run(disk);
   run.add();
   run.until([&] { return run.synced == 1; });
   LONGS_EQUAL(2, disk.all().size());
-  LONGS_EQUAL(6, readLogs(disk, folder).records.size());
+  LONGS_EQUAL(6, readLog(disk, folder).records.size());
 }
 
 TEST(disk, theFormatOfTheLastReleaseIsReadAndReplaced) {
   MemoryDisk disk(1);
-  disk.place(logPath(folder, LogFileKind::snapshot, 4), allFramed({"one", "two"}));
-  disk.place(logPath(folder, LogFileKind::log, 4), allFramed({"three"}) + "torn");
-  disk.place(logPath(folder, LogFileKind::log, 5), allFramed({"four"}));
-  Found const found = readLogs(disk, folder);
+  disk.place(logFilePath(folder, LogFileKind::snapshot, 4), allFramed({"one", "two"}));
+  disk.place(logFilePath(folder, LogFileKind::log, 4), allFramed({"three"}) + "torn");
+  disk.place(logFilePath(folder, LogFileKind::log, 5), allFramed({"four"}));
+  RecoveredLog const found = readLog(disk, folder);
   LONGS_EQUAL(4, found.records.size());
-  LONGS_EQUAL(4, found.torn);
-  CHECK(found.corrupt.empty());
+  LONGS_EQUAL(4, found.tornBytes);
+  CHECK(found.corruptions.empty());
   Running run(disk);
   run.add();
   run.until([&] { return run.synced == 1; });
-  LONGS_EQUAL(5, readLogs(disk, folder).records.size());
+  LONGS_EQUAL(5, readLog(disk, folder).records.size());
   for (auto const& [name, content] : disk.all()) CHECK(content.rfind("TSLG", 0) == 0);
 }
 
@@ -293,7 +294,7 @@
   for (std::uint32_t const version : {0u, 2u, 77u}) {
     MemoryDisk disk(1);
     fill(disk);
-    string head = fileHead(LogFileKind::log).substr(0, 12);
+    string head = encodeFileHeader(LogFileKind::log).substr(0, 12);
     std::memcpy(&head[4], &version, 4);
     boost::crc_32_type crc;
     crc.process_bytes(head.data(), head.size());
@@ -301,36 +302,37 @@
     head.append(reinterpret_cast<char const*>(&sum), 4);
     disk.bytes(firstLog).replace(0, 16, head);
     std::map<string, string> const before = disk.all();
-    Code code = Code::unreadable;
+    ErrorCode code = ErrorCode::unreadable;
     try {
       Running run(disk);
     } catch (Error const& x) {
       code = x.code();
     }
-    CHECK(code == Code::unknownFormat);
+    CHECK(code == ErrorCode::unknownFormat);
     LONGS_EQUAL(4, exitStatusOf(Error(code)));
     CHECK(disk.all() == before);
   }
 }
 
 TEST(disk, identityStaysUntilTheFolderIsEmpty) {
-  bool fresh = false;
   for (std::size_t call = 0; call < 12; ++call) {
     MemoryDisk disk(call);
     disk.failFrom = call;
     disk.failCount = 1;
-    Identity first;
-    while (!first.v) try {
-        first = identityOf(folder, fresh, disk);
+    NodeId first;
+    while (!first.value) try {
+        first = loadNodeId(folder, disk).id;
       } catch (Error const& x) {
-        CHECK(x.code() == Code::diskFailed);
+        CHECK(x.code() == ErrorCode::diskFailed);
       }
     disk.failCount = 0;
     disk.losePower();
-    CHECK(identityOf(folder, fresh, disk) == first);
-    CHECK_FALSE(fresh);
+    LoadedNodeId const again = loadNodeId(folder, disk);
+    CHECK(again.id == first);
+    CHECK_FALSE(again.created);
     disk.remove(folder + "/identity");
-    CHECK(identityOf(folder, fresh, disk) != first);
-    CHECK(fresh);
+    LoadedNodeId const other = loadNodeId(folder, disk);
+    CHECK(other.id != first);
+    CHECK(other.created);
   }
 }
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -234,7 +234,7 @@
   std::unique_ptr<WorkerConnection> c = pools.create();
   c->sock.connect(a.local_endpoint());
   c->keepUntil = Clock::now() + Ms(60000);
-  c->failed.push_back(hashOf("a"));
+  c->failed.push_back(hash64("a"));
   WorkerConnection* const had = c.get();
   pools.give(w.id, std::move(c));
   CHECK(pools.take(w, true, "a").get() != had);
--- a/tests/forward_test.cpp
+++ b/tests/forward_test.cpp
@@ -16,8 +16,8 @@
     string ip, owner;  ///< this node and the one it takes for the owner
     bool silent = false;
     View consensus() const { return View{*this}; }
-    std::optional<Addr> ownerOf(string const&) const {
-      return owner.empty() ? std::nullopt : std::optional<Addr>(Addr{owner, 1});
+    std::optional<Address> ownerOf(string const&) const {
+      return owner.empty() ? std::nullopt : std::optional<Address>(Address{owner, 1});
     }
     Ms period() const { return Ms(5); }
   };
@@ -34,11 +34,11 @@
   std::map<string, Node> nodes;
   int calls = 0;
 
-  Task<Reply> ask(Addr to, Message message, Ms limit) {
+  Task<Reply> call(Address to, Message message, Ms limit) {
     ++calls;
     if (nodes.at(to.ip).silent) {
-      co_await pause(limit);
-      throw Error(Code::timeUp);
+      co_await sleepFor(limit);
+      throw Error(ErrorCode::timedOut);
     }
     co_return co_await handle(to.ip, message);
   }
@@ -90,7 +90,7 @@
   for (auto const& line : table) {
     Nodes nodes;
     nodes.nodes = {{"a", {"a", line.a}}, {"b", {"b", line.b, line.silent}}, {"c", {"c", line.c}}};
-    Moment const begin = Clock::now();
+    TimePoint const begin = Clock::now();
     STRCMP_EQUAL(line.result, nodes.result().c_str());
     LONGS_EQUAL(line.calls, nodes.calls);
     CHECK(Clock::now() - begin < std::chrono::seconds(1));
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -8,7 +8,7 @@
 using namespace tealshelf;
 
 TEST_GROUP(health) {
-  Moment now = Moment() + std::chrono::hours(1);
+  TimePoint now = TimePoint() + std::chrono::hours(1);
   std::mt19937_64 g{3};
   static vector<Worker> fleet(int n) {
     vector<Worker> v;
@@ -16,7 +16,7 @@
       Worker w;
       w.id = "i-" + std::to_string(i);
       w.service = "s";
-      w.registrar = Identity(static_cast<std::uint64_t>(i % 2 + 1));
+      w.registrar = NodeId(static_cast<std::uint64_t>(i % 2 + 1));
       v.push_back(w);
     }
     return v;
@@ -34,10 +34,10 @@
     }
     a.note(x, now);
     b.note(y, now);
-    a.heard(Identity(2), b.report(now), now);
-    b.heard(Identity(1), a.report(now), now);
+    a.heard(NodeId(2), b.report(now), now);
+    b.heard(NodeId(1), a.report(now), now);
     for (std::uint64_t n : {1, 2})
-      for (WorkerHealth::RestChange const& change : (n == 1 ? a : b).judge(all, Identity(n), now))
+      for (WorkerHealth::RestChange const& change : (n == 1 ? a : b).judge(all, NodeId(n), now))
         for (Worker& w : all)
           if (w.id == change.worker) {
             w.resting = change.resting;
@@ -110,11 +110,11 @@
   vector<Worker> all = fleet(4);
   WorkerHealth a(Ms(1000), {});
   a.note({{"i-0", 0, 3}, {"i-2", -1, 50}, {"i-2", 0, 1e9}, {"i-2", std::nan(""), 9}}, now);
-  for (Worker& w : all) w.registrar = Identity(1);
-  CHECK(a.judge(all, Identity(1), now).empty());
+  for (Worker& w : all) w.registrar = NodeId(1);
+  CHECK(a.judge(all, NodeId(1), now).empty());
 }
 TEST(health, aRestIsTheRegistrarsWordAndOutlivesBeats) {
-  WorkerRegistry a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
+  WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   Worker w = fleet(1)[0];
   w.callCount = 1;
   a.merge(w, now);
--- a/tests/learner_test.cpp
+++ b/tests/learner_test.cpp
@@ -90,7 +90,7 @@
     g.nodes()[3].frozen = true;
     g.run(400);
     std::size_t const away = (g.ownerOf("members") + 1) % 3;
-    Identity const id = g.nodes()[away].self.id;
+    NodeId const id = g.nodes()[away].self.id;
     g.nodes()[away].frozen = true;
     g.run(100);
     g.thaw(3);
@@ -146,9 +146,9 @@
     g.step();
     for (sim::Cluster::Node const& x : g.nodes()) {
       Membership const& m = x.consensus->membership();
-      MembershipWish const wish{Member{Identity(999), "new", "10.0.0.99", "z", false, true, 0}, false, m.no};
+      MembershipWish const wish{Member{NodeId(999), "new", "10.0.0.99", "z", false, true, 0}, false, m.no};
       MembershipWish late = wish;
-      late.copiedUnder = MembershipNumber(m.no.v - 1);
+      late.copiedUnder = MembershipNumber(m.no.value - 1);
       bool const may = policyOf(g).next(*x.consensus, wish, g.now()).has_value();
       bool const newcomerVotes = m.members.size() == 3 || m.former.size() == m.members.size() ||
                                  x.consensus->ready(m.members.back().id, g.now());
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -6,19 +6,19 @@
 using namespace tealshelf::wire;
 
 namespace {
-constexpr Method method = Method::hello;
+constexpr RpcMethod method = RpcMethod::hello;
 string reply(std::uint64_t id, string const& body) {
-  return frame(id, 0, Sort::reply, body);
+  return encodeFrame(id, RpcMethod(), FrameKind::reply, body);
 }
 
 /// A peer that reads the hello and one call on each connection, answers with fixed bytes, and ends.
 class FakePeer {
  public:
-  FakePeer(asio::io_context& io, Addr const& at, vector<string> answers, bool ends)
+  FakePeer(asio::io_context& io, Address const& at, vector<string> answers, bool ends)
       : acceptor_(io, {asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)}),
         answers_(std::move(answers)),
         ends_(ends) {
-    spawn(io, "fake peer", serve());
+    spawnTask(io, "fake peer", serve());
   }
   std::size_t connections = 0;
   bool together = true;  ///< each call came along with its hello, before anything was answered
@@ -29,12 +29,12 @@
       tcp::socket s = co_await acceptor_.async_accept(asio::use_awaitable);
       ++connections;
       FrameReader r;
-      Head h;
+      FrameHeader h;
       string body;
       bool ok = co_await r.next(s, h, body);
-      together = together && ok && h.sort == Sort::hello;
+      together = together && ok && h.kind == FrameKind::hello;
       ok = co_await r.next(s, h, body);
-      together = together && ok && h.sort == Sort::call;
+      together = together && ok && h.kind == FrameKind::call;
       co_await asio::async_write(s, asio::buffer(answer), asio::use_awaitable);
       if (!ends_) open_.push_back(std::move(s));
     }
@@ -57,15 +57,15 @@
 
 TEST_GROUP(link) {
   asio::io_context io{1};
-  Addr const at{"127.0.0.79", 17691}, elsewhere{"127.0.0.79", 17692};
+  Address const at{"127.0.0.79", 17691}, elsewhere{"127.0.0.79", 17692};
   Ms const silence{2000};
   struct End {
     int code = -1;  ///< 0: an answer came; -1: nothing ended yet
     string body;
   };
-  std::shared_ptr<End> start(Rpc & rpc, Addr const& to, string body, Ms limit = Ms(1500)) {
+  std::shared_ptr<End> start(RpcClient & rpc, Address const& to, string body, Ms limit = Ms(1500)) {
     std::shared_ptr<End> const end = std::make_shared<End>();
-    asio::co_spawn(io, rpc.call(to, method, std::move(body), limit), [end](std::exception_ptr p, string r) {
+    asio::co_spawn(io, rpc.callRaw(to, method, std::move(body), limit), [end](std::exception_ptr p, string r) {
       end->code = 0;
       end->body = std::move(r);
       try {
@@ -77,25 +77,25 @@
     return end;
   }
   void finish(std::function<bool()> const& f) {
-    Moment const until = Clock::now() + Ms(5000);
+    TimePoint const until = Clock::now() + Ms(5000);
     while (!f() && Clock::now() < until) {
       io.restart();
       io.run_one_for(Ms(20));
     }
   }
-  End call(Rpc & rpc, Addr const& to, string body, Ms limit = Ms(1500)) {
+  End call(RpcClient & rpc, Address const& to, string body, Ms limit = Ms(1500)) {
     std::shared_ptr<End> const end = start(rpc, to, std::move(body), limit);
     finish([&] { return end->code >= 0; });
     return *end;
   }
-  string welcome(Addr const& self, std::uint32_t version = protocolVersion) {
-    return frame(0, 0, Sort::welcome, packed(LinkWelcome{version, self, 7}));
+  string welcome(Address const& self, std::uint32_t version = protocolVersion) {
+    return encodeFrame(0, RpcMethod(), FrameKind::welcome, serialize(ConnectionWelcome{version, self, 7}));
   }
   void echo(RpcServer & server, std::size_t & handled) {
-    server.on(method, [&handled](string b) -> Task<string> {
+    server.onRaw(method, [&handled](string b) -> Task<string> {
       ++handled;
       if (b == "throw") throw std::runtime_error("not an error of ours");
-      if (b == "wait") co_await pause(Ms(3000));
+      if (b == "wait") co_await sleepFor(Ms(3000));
       co_return b;
     });
     server.start();
@@ -106,24 +106,30 @@
   struct Row {
     char const* name;
     string answer;
-    Code code;
+    ErrorCode code;
   };
-  string const old = frame(0, 0, Sort::error, packed(WireError{static_cast<int>(Code::badMessage), "x"}));
+  string const old =
+      encodeFrame(0, RpcMethod(), FrameKind::error, serialize(WireError{static_cast<int>(ErrorCode::badMessage), "x"}));
   for (Row const& row : vector<Row>{
-           {"another version", welcome(at, protocolVersion + 1) + reply(1, "a"), Code::otherProtocol},
-           {"an old version", old, Code::otherProtocol},
-           {"no welcome", reply(1, "a"), Code::otherProtocol},
-           {"another process", welcome(elsewhere) + reply(1, "a"), Code::wrongProcess},
-           {"a malformed welcome", frame(0, 0, Sort::welcome, "\xc1"), Code::badMessage},
-           {"a malformed error", welcome(at) + frame(1, 0, Sort::error, "\xc1"), Code::badMessage},
-           {"an unknown error", welcome(at) + frame(1, 0, Sort::error, packed(WireError{4711, "x"})), Code::callFailed},
-           {"an unknown kind of frame", welcome(at) + frame(1, 0, static_cast<Sort>(77), "a"), Code::connectionBroke},
-           {"a call in place of an answer", welcome(at) + frame(1, 0, Sort::call, "a"), Code::connectionBroke},
-           {"an oversized frame", welcome(at) + string(15, '\xff'), Code::connectionBroke},
-           {"another's reply", welcome(at) + reply(2, "a") + string(15, '\xff'), Code::connectionBroke}}) {
+           {"another version", welcome(at, protocolVersion + 1) + reply(1, "a"), ErrorCode::otherProtocol},
+           {"an old version", old, ErrorCode::otherProtocol},
+           {"no welcome", reply(1, "a"), ErrorCode::otherProtocol},
+           {"another process", welcome(elsewhere) + reply(1, "a"), ErrorCode::wrongProcess},
+           {"a malformed welcome", encodeFrame(0, RpcMethod(), FrameKind::welcome, "\xc1"), ErrorCode::badMessage},
+           {"a malformed error", welcome(at) + encodeFrame(1, RpcMethod(), FrameKind::error, "\xc1"),
+            ErrorCode::badMessage},
+           {"an unknown error",
+            welcome(at) + encodeFrame(1, RpcMethod(), FrameKind::error, serialize(WireError{4711, "x"})),
+            ErrorCode::callFailed},
+           {"an unknown kind of frame", welcome(at) + encodeFrame(1, RpcMethod(), static_cast<FrameKind>(77), "a"),
+            ErrorCode::connectionLost},
+           {"a call in place of an answer", welcome(at) + encodeFrame(1, RpcMethod(), FrameKind::call, "a"),
+            ErrorCode::connectionLost},
+           {"an oversized frame", welcome(at) + string(15, '\xff'), ErrorCode::connectionLost},
+           {"another's reply", welcome(at) + reply(2, "a") + string(15, '\xff'), ErrorCode::connectionLost}}) {
     FakePeer peer(io, at, {row.answer}, false);
-    Rpc rpc(io, silence);
-    Moment const began = Clock::now();
+    RpcClient rpc(io, silence);
+    TimePoint const began = Clock::now();
     LONGS_EQUAL_TEXT(static_cast<int>(row.code), call(rpc, at, "q").code, row.name);
     CHECK_TEXT(Clock::now() - began < Ms(1000), row.name);
     CHECK_TEXT(peer.together, "the handshake costs a round trip");
@@ -134,9 +140,9 @@
 TEST(link, aReplyOfAnEarlierLifeIsNeverTaken) {
   // The first call ends unclear with its connection; its reply comes on the next one.
   FakePeer peer(io, at, {welcome(at), welcome(at) + reply(1, "old") + reply(2, "new")}, true);
-  Rpc rpc(io, silence);
-  LONGS_EQUAL(static_cast<int>(Code::connectionBroke), call(rpc, at, "first").code);
-  CHECK(Error(Code::connectionBroke).kind() == Kind::unclear);
+  RpcClient rpc(io, silence);
+  LONGS_EQUAL(static_cast<int>(ErrorCode::connectionLost), call(rpc, at, "first").code);
+  CHECK(Error(ErrorCode::connectionLost).kind() == ErrorKind::undetermined);
   End const second = call(rpc, at, "second");
   LONGS_EQUAL(0, second.code);
   STRCMP_EQUAL("new", second.body.c_str());
@@ -150,11 +156,11 @@
   tcp::socket a(io), b(io);
   front.async_accept(a, [&](error_code) {
     b.connect({asio::ip::make_address(elsewhere.ip), static_cast<std::uint16_t>(elsewhere.port)});
-    spawn(io, "there", passOn(a, b));
-    spawn(io, "back", passOn(b, a));
+    spawnTask(io, "there", passOn(a, b));
+    spawnTask(io, "back", passOn(b, a));
   });
-  Rpc rpc(io, silence);
-  LONGS_EQUAL(static_cast<int>(Code::wrongProcess), call(rpc, at, "q").code);
+  RpcClient rpc(io, silence);
+  LONGS_EQUAL(static_cast<int>(ErrorCode::wrongProcess), call(rpc, at, "q").code);
   LONGS_EQUAL(0, handled);
   LONGS_EQUAL(0, call(rpc, elsewhere, "q").code);
   LONGS_EQUAL(1, handled);
@@ -163,9 +169,11 @@
   std::size_t handled = 0;
   RpcServer server(io, at, silence);
   echo(server, handled);
-  string const q = frame(9, static_cast<std::uint16_t>(method), Sort::call, "q");
-  string const other = frame(0, 0, Sort::hello, packed(LinkHello{protocolVersion + 1, at, 1}));
-  for (string const& first : {q, other + q, frame(0, 0, Sort::hello, "\xc1") + q, string(15, '\xff') + q}) {
+  string const q = encodeFrame(9, method, FrameKind::call, "q");
+  string const other =
+      encodeFrame(0, RpcMethod(), FrameKind::hello, serialize(ConnectionHello{protocolVersion + 1, at, 1}));
+  for (string const& first :
+       {q, other + q, encodeFrame(0, RpcMethod(), FrameKind::hello, "\xc1") + q, string(15, '\xff') + q}) {
     tcp::socket s(io);
     s.connect({asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
     asio::write(s, asio::buffer(first));
@@ -183,53 +191,53 @@
   LONGS_EQUAL(0, handled);
 }
 TEST(link, aRestartedProcessHasAnotherIncarnation) {
-  Rpc rpc(io, silence);
+  RpcClient rpc(io, silence);
   {
     FakePeer peer(io, at, {welcome(at)}, true);
-    LONGS_EQUAL(static_cast<int>(Code::connectionBroke), call(rpc, at, "q").code);
-    LONGS_EQUAL(7, rpc.incarnationAt(at));
+    LONGS_EQUAL(static_cast<int>(ErrorCode::connectionLost), call(rpc, at, "q").code);
+    LONGS_EQUAL(7, rpc.processAt(at));
   }
   std::size_t handled = 0;
   RpcServer server(io, at, silence);
   echo(server, handled);
   LONGS_EQUAL(0, call(rpc, at, "q").code);
-  CHECK(rpc.incarnationAt(at) != 7 && rpc.incarnationAt(at) != 0);
+  CHECK(rpc.processAt(at) != 7 && rpc.processAt(at) != 0);
 }
 TEST(link, aForeignExceptionEndsOnlyItsCall) {
   std::size_t handled = 0;
   RpcServer server(io, at, silence);
   echo(server, handled);
-  Rpc rpc(io, silence);
+  RpcClient rpc(io, silence);
   for (int n = 0; n < 3; ++n) {
-    LONGS_EQUAL(static_cast<int>(Code::callFailed), call(rpc, at, "throw").code);
+    LONGS_EQUAL(static_cast<int>(ErrorCode::callFailed), call(rpc, at, "throw").code);
     LONGS_EQUAL(0, call(rpc, at, "q").code);
   }
-  CHECK(Error(Code::callFailed).kind() == Kind::unclear);
+  CHECK(Error(ErrorCode::callFailed).kind() == ErrorKind::undetermined);
 }
 TEST(link, whatCallersSendIsBounded) {
   // A peer that takes connections and never reads.
   tcp::acceptor deaf(io, {asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
-  Rpc rpc(io, silence);
+  RpcClient rpc(io, silence);
   vector<std::shared_ptr<End>> ends;
   for (int n = 0; n < 12; ++n) ends.push_back(start(rpc, at, string(4u << 20, 'x'), Ms(300)));
   finish([&] {
     return std::all_of(ends.begin(), ends.end(), [](std::shared_ptr<End> const& e) { return e->code >= 0; });
   });
   std::size_t full = 0;
-  for (std::shared_ptr<End> const& e : ends) full += e->code == static_cast<int>(Code::queueFull);
+  for (std::shared_ptr<End> const& e : ends) full += e->code == static_cast<int>(ErrorCode::queueFull);
   CHECK_TEXT(full >= 7, "calls to a peer that doesn't read cost memory without bound");
 }
 TEST(link, callsUnderWayAreBounded) {
   std::size_t handled = 0;
   RpcServer server(io, at, silence);
   echo(server, handled);
-  Rpc rpc(io, silence);
+  RpcClient rpc(io, silence);
   vector<std::shared_ptr<End>> ends;
   for (int n = 0; n < 1100; ++n) ends.push_back(start(rpc, at, "wait", Ms(1500)));
   std::size_t full = 0;
   finish([&] {
     full = 0;
-    for (std::shared_ptr<End> const& e : ends) full += e->code == static_cast<int>(Code::queueFull);
+    for (std::shared_ptr<End> const& e : ends) full += e->code == static_cast<int>(ErrorCode::queueFull);
     return full >= 76;
   });
   LONGS_EQUAL(76, full);
@@ -238,13 +246,13 @@
 TEST(link, whatWasNotSentInTimeIsNotSentLater) {
   // The first call fills the sockets, so that the second one waits behind it until its caller gives up.
   tcp::acceptor slow(io, {asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
-  Rpc rpc(io, silence);
+  RpcClient rpc(io, silence);
   std::shared_ptr<End> const first = start(rpc, at, string(15u << 20, 'x'), Ms(4000));
   io.run_for(Ms(100));
   std::shared_ptr<End> const second = start(rpc, at, "second", Ms(100));
   finish([&] { return second->code >= 0; });
-  LONGS_EQUAL(static_cast<int>(Code::noPath), second->code);
-  CHECK_TEXT(Error(Code::noPath).kind() == Kind::refused, "what was never sent has not run");
+  LONGS_EQUAL(static_cast<int>(ErrorCode::notConnected), second->code);
+  CHECK_TEXT(Error(ErrorCode::notConnected).kind() == ErrorKind::rejected, "what was never sent has not run");
   tcp::socket s(io);
   slow.accept(s);
   s.non_blocking(true);
--- a/tests/lots_twice_test.cpp
+++ b/tests/lots_twice_test.cpp
@@ -24,7 +24,7 @@
         store(io, settings[1]),
         edges{{{io, settings[2]}, {io, settings[3]}}},
         worker(
-            io, {ip(0), 17739}, [this](Call c) { return run(std::move(c)); }, 1u << 20, Ms(5000)),
+            io, {ip(0), 17739}, [this](HttpCall c) { return run(std::move(c)); }, 1u << 20, Ms(5000)),
         rpc(io, Ms(1000)) {
     worker.start();
     control.start();
@@ -48,30 +48,30 @@
       s.nodeName = "n-" + std::to_string(n);
       s.ip = ip(n);
       s.zone = "z";
-      s.firstPort = 17730;
+      s.firstInternalPort = 17730;
       s.control = {ip(n), 17738};
       s.outside = {ip(n), 17736};
       s.readiness = {ip(n), 17737};
       s.seeds = {{ip(0), 17738}};
-      s.firstStart = true;
-      s.reportEvery = 20000;
-      s.bounds.inTouch = 4800;  // a try may be accepted for half of it, also on a busy machine
-      s.bounds.step = 40;
+      s.firstBoot = true;
+      s.reportEvery = Ms(20000);
+      s.bounds.inTouch = Ms(4800);  // a try may be accepted for half of it, also on a busy machine
+      s.bounds.step = Ms(40);
       if (n < 2) s.dataFolder = folder + "/" + s.nodeName;
       if (n < 2) std::filesystem::create_directories(s.dataFolder);
     }
     return all;
   }
-  Task<CallAnswer> run(Call c) {
-    string const id = c.head("Attempt-Id");
+  Task<HttpReply> run(HttpCall c) {
+    string const id = c.header("Attempt-Id");
     ++runs[id];
-    co_await pause(Ms(5));
-    CallAnswer a{200, "id: 1\ndata: " + id + "\n\n", "text/event-stream", {}};
-    a.heads = {{"Attempt-Id", id}, {"Server-Seal", "s"}};
+    co_await sleepFor(Ms(5));
+    HttpReply a{200, "id: 1\ndata: " + id + "\n\n", "text/event-stream", {}};
+    a.headers = {{"Attempt-Id", id}, {"Server-Seal", "s"}};
     co_return a;
   }
   void until(std::function<bool()> const& f) {
-    Moment const end = Clock::now() + Ms(8000);
+    TimePoint const end = Clock::now() + Ms(8000);
     while (!f() && Clock::now() < end) {
       io.restart();
       io.run_one_for(Ms(10));
@@ -79,7 +79,7 @@
     CHECK(f());
   }
   using Got = std::pair<int, string>;
-  std::shared_ptr<Got> begin(Addr at, string verb, string path, string body, string head, string value) {
+  std::shared_ptr<Got> begin(Address at, string verb, string path, string body, string head, string value) {
     std::shared_ptr<Got> const got = std::make_shared<Got>(-1, "");
     asio::co_spawn(io,
                    client(std::move(at), std::move(verb), std::move(path), std::move(body), std::move(head),
@@ -89,17 +89,17 @@
                    });
     return got;
   }
-  Got call(Addr const& at, string const& verb, string const& path, string const& body = "",
+  Got call(Address const& at, string const& verb, string const& path, string const& body = "",
            string const& head = "Attempt-Id", string const& value = "lot") {
     std::shared_ptr<Got> const got = begin(at, verb, path, body, head, value);
-    Moment const end = Clock::now() + Ms(4000);
+    TimePoint const end = Clock::now() + Ms(4000);
     while (got->first < 0 && Clock::now() < end) {
       io.restart();
       io.run_one_for(Ms(10));
     }
     return *got;
   }
-  Task<void> client(Addr at, string verb, string path, string body, string head, string value,
+  Task<void> client(Address at, string verb, string path, string body, string head, string value,
                     std::shared_ptr<Got> got) {
     tcp::socket s(io);
     tcp::endpoint const to(asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port));
@@ -118,10 +118,10 @@
   }
   /// The answer to a message, or the number of the error.
   template <class Q>
-  std::pair<int, typename Q::Reply> ask(Addr const& to, Q const& q) {
+  std::pair<int, typename Q::Reply> ask(Address const& to, Q const& q) {
     using R = std::pair<int, typename Q::Reply>;
     std::shared_ptr<R> const got = std::make_shared<R>(-1, typename Q::Reply());
-    asio::co_spawn(io, rpc.ask(to, q, Ms(2000)), [got](std::exception_ptr p, typename Q::Reply r) {
+    asio::co_spawn(io, rpc.call(to, q, Ms(2000)), [got](std::exception_ptr p, typename Q::Reply r) {
       got->second = std::move(r);
       try {
         if (p) std::rethrow_exception(p);
@@ -142,7 +142,7 @@
   StoreNode store;
   std::array<EdgeNode, 2> edges;
   HttpServer worker;
-  Rpc rpc;
+  RpcClient rpc;
   std::map<string, int> runs;
 };
 }  // namespace
@@ -174,7 +174,7 @@
 /// Each step of handing in a lot, sent again, late, or under the stamp of a try that was overtaken.
 TEST(lotstwice, aStepThatComesAgainIsHarmless) {
   SmallSystem s;
-  Addr const control = s.settings[0].controlAt(s.ip(0));
+  Address const control = s.settings[0].controlAddress(s.ip(0));
   LotOpen open;
   open.lot.id = "lot";
   open.lot.host = host;
@@ -183,15 +183,15 @@
   open.lot.tokens = 10;
   open.lot.keepFor = 60000;
   open.lot.dueIn = 300;
-  string const items = packed(vector<ItemRecord>{{"item-0", "/night/x", "b", {}, 10}});
+  string const items = serialize(vector<ItemRecord>{{"item-0", "/night/x", "b", {}, 10}});
   s.until([&] { return s.ask(control, open).first == 0; });
   LotRecord const first = s.ask(control, open).second.lot, second = s.ask(control, open).second.lot;
   CHECK(first.stamp < second.stamp);
-  Addr const store = first.holders.at(0).at;
+  Address const store = first.holders.at(0).at;
   LONGS_EQUAL(0, s.ask(store, SegCreate{second, items, {}, true}).first);
   // The try that was overtaken: its copy comes late and is refused, and so is its acceptance.
-  LONGS_EQUAL(static_cast<int>(Code::staleStamp), s.ask(store, SegCreate{first, items, {}, true}).first);
-  LONGS_EQUAL(static_cast<int>(Code::staleStamp), s.ask(control, LotAccept{host, "lot", first.stamp, 0}).first);
+  LONGS_EQUAL(static_cast<int>(ErrorCode::staleStamp), s.ask(store, SegCreate{first, items, {}, true}).first);
+  LONGS_EQUAL(static_cast<int>(ErrorCode::staleStamp), s.ask(control, LotAccept{host, "lot", first.stamp, 0}).first);
   LONGS_EQUAL(0, s.ask(store, SegCreate{second, items, {}, true}).first);
   for (int n = 0; n < 2; ++n) LONGS_EQUAL(0, s.ask(control, LotAccept{host, "lot", second.stamp, 0}).first);
   std::pair<int, LotOpenReply> const again = s.ask(control, open);
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -4,7 +4,7 @@
 #include <CppUTest/TestRegistry.h>
 
 int main(int argc, char** argv) {
-  tealshelf::startLog(tealshelf::Level::error);
+  tealshelf::initLogging(tealshelf::LogLevel::error);
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return CommandLineTestRunner::RunAllTests(argc, argv);
 }
--- a/tests/membership_runs.hpp
+++ b/tests/membership_runs.hpp
@@ -55,7 +55,7 @@
   if (owners != 1) return std::to_string(owners) + " owners after all was healed";
   std::set<std::uint64_t> numbers;
   for (Cluster::Node const& x : g.nodes())
-    if (x.consensus->membership().find(x.self.id)) numbers.insert(x.consensus->membership().no.v);
+    if (x.consensus->membership().find(x.self.id)) numbers.insert(x.consensus->membership().no.value);
   return numbers.size() == 1 ? "" : "members know different memberships";
 }
 /// Three disks of four found the membership.
--- a/tests/membership_search.hpp
+++ b/tests/membership_search.hpp
@@ -23,7 +23,7 @@
   struct Disk {
     std::shared_ptr<Consensus const> state;
     std::shared_ptr<vector<string> const> durable;
-    std::map<Identity, std::shared_ptr<DiskCopy const>> copies, learned;
+    std::map<NodeId, std::shared_ptr<DiskCopy const>> copies, learned;
     MembershipNumber copiesUnder;
     std::uint64_t hash = 0, stays = 0;
     bool stale = true;
@@ -33,7 +33,7 @@
     Membership first;
     first.no = MembershipNumber(1);
     for (std::size_t i = 0; i < disks; ++i) {
-      Member const m{Identity(100 + i), "n", "10.0.0." + std::to_string(i), "z", i < founders, true, 0};
+      Member const m{NodeId(100 + i), "n", "10.0.0." + std::to_string(i), "z", i < founders, true, 0};
       if (i < founders) first.members.push_back(m);
       Disk d;
       d.state = std::make_shared<Consensus>(fresh(m));
@@ -132,14 +132,14 @@
     std::optional<Membership> next = policy.next(c, wish, ConsensusProbe::now());
     if (!next && leave && broken_ == Broken::leavesAnyTime && c.membership().members.size() > 1 && i != j) {
       next = c.membership();
-      next->no = MembershipNumber(next->no.v + 1);
+      next->no = MembershipNumber(next->no.value + 1);
       next->former = c.membership().members;
       std::erase_if(next->members, [&](Member const& m) { return m.id == id(j); });
     }
     if (!next) return false;
     if (broken_ == Broken::forgetsFormer) next->former.erase(next->former.begin(), next->former.end() - 1);
     --budget_.changes;
-    std::uint64_t const op = c.propose("members", {{"membership", packed(*next), false}}, ConsensusProbe::now());
+    std::uint64_t const op = c.propose("members", {{"membership", serialize(*next), false}}, ConsensusProbe::now());
     changes_[op * 16 + i] = *next;
     flush(i, reach);
     return true;
@@ -150,7 +150,7 @@
     change(i).install(at(j).membership(), false);
     if (broken_ == Broken::learnerVotesAtOnce && at(i).isMember() && !at(i).copied() && !disks_[i].learned.empty()) {
       vector<DiskCopy> l;
-      for (std::pair<Identity const, std::shared_ptr<DiskCopy const>> const& c : disks_[i].learned)
+      for (std::pair<NodeId const, std::shared_ptr<DiskCopy const>> const& c : disks_[i].learned)
         l.push_back(*c.second);
       change(i).adopt(l);
     }
@@ -170,7 +170,7 @@
     d.copies[source->id] = copyOf(j);
     if (d.copies.size() < g.mostFormer()) return true;
     vector<DiskCopy> l;
-    for (std::pair<Identity const, std::shared_ptr<DiskCopy const>> const& c : d.copies) l.push_back(*c.second);
+    for (std::pair<NodeId const, std::shared_ptr<DiskCopy const>> const& c : d.copies) l.push_back(*c.second);
     change(i).adopt(l);
     d.copies.clear();
     flush(i, 0);
@@ -195,7 +195,7 @@
   bool wipe(std::size_t i) {
     if (!spend(budget_.wipes)) return false;
     Member m = at(i).self();
-    m.id = Identity(m.id.v + 1000);
+    m.id = NodeId(m.id.value + 1000);
     m.founder = false;
     m.stay = 0;
     restart(i, fresh(m));
@@ -215,16 +215,16 @@
   std::uint64_t hash() {
     msgpack::sbuffer b;
     for (Disk& d : disks_) {
-      if (d.stale) d.hash = ConsensusProbe::hash(*d.state) ^ (d.durable ? hashOf(packed(*d.durable)) * 31 : 0);
+      if (d.stale) d.hash = ConsensusProbe::hash(*d.state) ^ (d.durable ? hash64(serialize(*d.durable)) * 31 : 0);
       d.stale = false;
       msgpack::pack(b, std::make_tuple(d.hash, d.copiesUnder, d.stays));
-      for (std::pair<Identity const, std::shared_ptr<DiskCopy const>> const& c : d.copies) msgpack::pack(b, *c.second);
+      for (std::pair<NodeId const, std::shared_ptr<DiskCopy const>> const& c : d.copies) msgpack::pack(b, *c.second);
     }
     msgpack::pack(b, flight_);
     msgpack::pack(b, acked_);
     msgpack::pack(b, std::make_tuple(budget_.writes, budget_.changes, budget_.leads, budget_.crashes, budget_.wipes,
                                      budget_.corruptions, budget_.reads));
-    return hashOf(string(b.data(), b.size()));
+    return hash64(string(b.data(), b.size()));
   }
 
  private:
@@ -251,7 +251,7 @@
     return s;
   }
   template <class T>
-  static string packed(T const& x) {
+  static string serialize(T const& x) {
     msgpack::sbuffer b;
     msgpack::pack(b, x);
     return string(b.data(), b.size());
@@ -264,7 +264,7 @@
   }
   static bool spend(int& n) { return n-- > 0; }
   std::shared_ptr<DiskCopy const> copyOf(std::size_t j) const { return std::make_shared<DiskCopy>(at(j).dump()); }
-  Identity id(std::size_t i) const { return disks_[i].state->self().id; }
+  NodeId id(std::size_t i) const { return disks_[i].state->self().id; }
   Consensus const& at(std::size_t i) const { return *disks_[i].state; }
   Consensus& change(std::size_t i) {
     std::shared_ptr<Consensus> const c = std::make_shared<Consensus>(*disks_[i].state);
@@ -272,7 +272,7 @@
     disks_[i].stale = true;
     return *c;
   }
-  std::optional<std::size_t> indexOf(Identity who) const {
+  std::optional<std::size_t> indexOf(NodeId who) const {
     for (std::size_t i = 0; i < size(); ++i)
       if (id(i) == who) return i;
     return std::nullopt;
@@ -301,7 +301,8 @@
     if (std::map<std::uint64_t, std::set<string>>::iterator const r = reads_.find(o.op * 16 + i); r != reads_.end())
       mustKnow(i, r->second, "a confirmed read");
     std::map<std::uint64_t, Membership>::iterator const g = changes_.find(o.op * 16 + i);
-    if (g != changes_.end() && at(i).membership().no.v + 1 == g->second.no.v) change(i).install(g->second, false);
+    if (g != changes_.end() && at(i).membership().no.value + 1 == g->second.no.value)
+      change(i).install(g->second, false);
   }
 
   void mustKnow(std::size_t i, std::set<string> const& keys, string const& who) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -200,7 +200,7 @@
       if (!g.nodes()[i].up) g.start(i);
     g.run(100);
     for (std::size_t i = 0; i < 3; ++i)
-      if (!g.nodes()[i].consensus->membership().no.v) g.found(i);
+      if (!g.nodes()[i].consensus->membership().no.value) g.found(i);
     g.run(1500);
     LONGS_EQUAL(5, g.members());
     write(g, 30);
--- a/tests/memory_disk.hpp
+++ b/tests/memory_disk.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "base/files.hpp"
+#include "base/file_system.hpp"
 
 #include <atomic>
 #include <condition_variable>
@@ -9,7 +9,7 @@
 namespace tealshelf::sim {
 
 /// A disk in memory that can refuse calls, hang, and lose power.
-class MemoryDisk : public FileLayer {
+class MemoryDisk : public FileSystem {
  public:
   explicit MemoryDisk(std::uint64_t seed) : random_(seed) {}
 
@@ -52,14 +52,14 @@
     return out;
   }
 
-  int makeFolder(string const&) override { return fails() ? -1 : 0; }
-  int open(string const& path, Open how) override {
+  int makeDirectory(string const&) override { return fails() ? -1 : 0; }
+  int open(string const& path, OpenMode mode) override {
     if (fails()) return -1;
-    if (how != Open::folder) {
+    if (mode != OpenMode::directory) {
       if (!files_.count(path)) files_[path] = std::make_shared<File>();
-      if (how == Open::truncate) files_[path] = std::make_shared<File>();
+      if (mode == OpenMode::truncate) files_[path] = std::make_shared<File>();
     }
-    open_.push_back(how == Open::folder ? nullptr : files_[path]);
+    open_.push_back(mode == OpenMode::directory ? nullptr : files_[path]);
     return static_cast<int>(open_.size() - 1);
   }
   std::ptrdiff_t write(int file, string_view bytes) override {
--- a/tests/order_checker.hpp
+++ b/tests/order_checker.hpp
@@ -9,12 +9,12 @@
 /// One attempt at an order as its operator saw it; without an answer it may have come into force at any later time.
 struct Attempt {
   OrderIdentity order;
-  Moment from, to;
+  TimePoint from, to;
   Answer answer = Answer::none;
 };
 /// A read that was answered: the version seen.
 struct ReadEvent {
-  Moment from, to;
+  TimePoint from, to;
   std::uint64_t version = 0;
 };
 
@@ -49,8 +49,8 @@
   struct Place {
     OrderIdentity order;
     std::uint64_t version = 0;
-    Moment earliest = Moment::max(), latest = Moment::max();
-    Moment notBefore;  ///< the state before was still seen then
+    TimePoint earliest = TimePoint::max(), latest = TimePoint::max();
+    TimePoint notBefore;  ///< the state before was still seen then
   };
 
   static string bound(vector<Place>& places, Attempt const& attempt) {
@@ -83,10 +83,10 @@
     return "version " + std::to_string(read.version) + " was read and never taken";
   }
   static string place(vector<Place> const& places) {
-    Moment now;
+    TimePoint now;
     for (std::size_t i = 1; i < places.size(); ++i) {
       string const name = "version " + std::to_string(places[i].version);
-      if (places[i].earliest == Moment::max()) return name + " was never sent";
+      if (places[i].earliest == TimePoint::max()) return name + " was never sent";
       now = std::max({now, places[i].earliest, places[i].notBefore});
       if (now > places[i].latest) return name + " was seen before and not seen after";
     }
--- a/tests/orders_simulation_test.cpp
+++ b/tests/orders_simulation_test.cpp
@@ -107,7 +107,7 @@
         node, [this](Consensus& c) { return c.confirm("configuration", cluster_.now()); }, std::move(then));
   }
   void read(std::size_t asked) {
-    Moment const from = cluster_.now();
+    TimePoint const from = cluster_.now();
     std::optional<std::size_t> const node = serving(asked);
     if (!node) return;
     confirmed(*node, [this, from, node = *node](bool ok) {
@@ -122,7 +122,7 @@
   }
   void send(std::size_t asked, Sent const& sent) {
     std::size_t const index = checker_.attempts.size();
-    checker_.attempts.push_back({sent.identity, cluster_.now(), Moment(), sim::Answer::none});
+    checker_.attempts.push_back({sent.identity, cluster_.now(), TimePoint(), sim::Answer::none});
     std::optional<std::size_t> const node = serving(asked);
     if (!node || ownerState(*node).busy) return;
     Owner& owner = ownerState(*node);
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -25,20 +25,20 @@
 
 TEST(errors, docsHoldTheWholeTable) {
   string const doc = slurped("docs/errors.md");
-  for (std::size_t i = 0; i < codeCount; ++i) {
-    CodeLine const& l = codeTable[i];
+  for (std::size_t i = 0; i < errorTableSize; ++i) {
+    ErrorInfo const& l = errorTable[i];
     string row = "| E";
-    row.append(std::to_string(static_cast<int>(l.code))).append(" | ").append(std::to_string(statusOf(l.kind)));
+    row.append(std::to_string(static_cast<int>(l.code))).append(" | ").append(std::to_string(httpStatusOf(l.kind)));
     row.append(" | ").append(l.text).append(" |");
     CHECK_TEXT(doc.find(row) != string::npos, row.c_str());
-    if (i) CHECK(codeTable[i - 1].code < l.code);
+    if (i) CHECK(errorTable[i - 1].code < l.code);
   }
 }
 TEST(errors, statusFollowsFromTheKind) {
-  LONGS_EQUAL(412, Error(Code::lostRace).status());
-  LONGS_EQUAL(503, Error(Code::workersFull).status());
-  LONGS_EQUAL(502, Error(Code::workerBroke).status());
-  LONGS_EQUAL(429, Error(Code::lotOverQuota).status());
+  LONGS_EQUAL(412, Error(ErrorCode::versionConflict).status());
+  LONGS_EQUAL(503, Error(ErrorCode::workersFull).status());
+  LONGS_EQUAL(502, Error(ErrorCode::workerFailed).status());
+  LONGS_EQUAL(429, Error(ErrorCode::lotOverQuota).status());
 }
 
 TEST_GROUP(settings){};
@@ -47,11 +47,11 @@
   vector<SettingsFault> f;
   Settings const b = readSettings(settingsText + "some.new.field=7\n", f);
   CHECK(f.empty());
-  LONGS_EQUAL(5100, b.bounds.catchUp);
-  LONGS_EQUAL(7000, b.controlAt("x").port);
+  LONGS_EQUAL(5100, b.bounds.catchUp.count());
+  LONGS_EQUAL(7000, b.controlAddress("x").port);
   LONGS_EQUAL(2, b.seeds.size());
-  CHECK(b.firstStart);
-  LONGS_EQUAL(1, b.unknown.size());
+  CHECK(b.firstBoot);
+  LONGS_EQUAL(1, b.unknownFields.size());
 }
 TEST(settings, listsAllFaultsInOnePass) {
   vector<SettingsFault> f;
@@ -62,7 +62,7 @@
 
 TEST_GROUP(workers) {
   WorkerRegistry t{Ms(3600)};
-  Moment now = Moment() + std::chrono::hours(1);
+  TimePoint now = TimePoint() + std::chrono::hours(1);
   static Worker worker(std::uint64_t count, bool draining = false) {
     Worker w;
     w.id = "i-1";
@@ -103,9 +103,9 @@
 
 /// Several registers that tell each other only transitions, as control nodes do.
 TEST(workers, onlyTheRegistrarTellsAndLoses) {
-  WorkerRegistry a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
+  WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   Worker w = worker(1);
-  w.registrar = Identity(1);
+  w.registrar = NodeId(1);
   CHECK(a.merge(w, now));
   vector<Worker> told = a.fresh();
   LONGS_EQUAL(1, told.size());
@@ -116,23 +116,23 @@
     w.callCount = n;
     a.merge(w, now);
     CHECK_TEXT(a.fresh().empty(), "a beat like the last one is not told");
-    b.alive(Identity(1), now);
+    b.alive(NodeId(1), now);
     CHECK_FALSE(b.sweep(now));
   }
   // The worker goes to the other: that is told, and the old registrar doesn't lose it.
-  w.registrar = Identity(2);
+  w.registrar = NodeId(2);
   w.callCount = 9;
   CHECK_FALSE(b.merge(w, now));
   told = b.fresh();
   LONGS_EQUAL(1, told.size());
   a.merge(told[0], now);
   now += Ms(4000);
-  a.alive(Identity(2), now);
+  a.alive(NodeId(2), now);
   CHECK_FALSE(a.sweep(now));
   // Its registrar loses it and says so; the word of another would not count.
   Worker untrue = w;
   untrue.lost = true;
-  untrue.registrar = Identity(3);
+  untrue.registrar = NodeId(3);
   CHECK_FALSE(a.merge(untrue, now));
   CHECK(b.sweep(now));
   told = b.fresh();
@@ -142,11 +142,11 @@
   CHECK(a.all().empty() && b.all().empty());
 }
 TEST(workers, aWholeRegisterMendsAGap) {
-  WorkerRegistry a{Ms(3600), Identity(1)}, b{Ms(3600), Identity(2)};
+  WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   for (int i = 0; i < 5; ++i) {
     Worker w = worker(1);
     w.id = "i-" + std::to_string(i);
-    w.registrar = Identity(1);
+    w.registrar = NodeId(1);
     a.merge(w, now);
     b.merge(w, now);
   }
@@ -161,7 +161,7 @@
   }
   CHECK(a.sweep(now));
   LONGS_EQUAL(3, a.all().size());
-  CHECK(b.mergeAll(a.all(), Identity(1), now));
+  CHECK(b.mergeAll(a.all(), NodeId(1), now));
   std::set<string> left;
   for (Worker const& w : b.all())
     if (!w.gone) left.insert(w.id);
--- a/tests/replica_rules_test.cpp
+++ b/tests/replica_rules_test.cpp
@@ -13,7 +13,7 @@
   lot.host = "h";
   lot.id = "lot";
   lot.state = static_cast<int>(LotState::accepted);
-  lot.stamp = Stamp(stamp);
+  lot.stamp = GenerationStamp(stamp);
   return lot;
 }
 
@@ -36,7 +36,7 @@
   }
   void wipe(std::uint64_t identity) {
     disk.clear();
-    ref.id = Identity(identity);
+    ref.id = NodeId(identity);
     restart(false);
   }
 };
@@ -45,7 +45,7 @@
 class Moving {
  public:
   explicit Moving(std::uint64_t seed) : random_(seed) {
-    for (std::size_t i = 0; i < 4; ++i) stores_[i].ref = {Identity(i + 1), "s" + std::to_string(i), "z", {}};
+    for (std::size_t i = 0; i < 4; ++i) stores_[i].ref = {NodeId(i + 1), "s" + std::to_string(i), "z", {}};
     for (std::size_t i = 0; i < 3; ++i) {
       lot_.holders.push_back(stores_[i].ref);
       create(stores_[i], lot_);
@@ -112,7 +112,7 @@
   /// What the coordinator does; it may fail anywhere.
   void recover() {
     vector<StoreRef> kept, staying;
-    Stamp const fresh(++lastStamp_);
+    GenerationStamp const fresh(++lastStamp_);
     for (StoreRef const& holder : lot_.holders) {
       Store* const store = at(holder);
       if (!store) continue;
@@ -162,14 +162,14 @@
 
 TEST(replicarules, anAnswerOfAnotherDiskCountsForNothing) {
   LotRecord lot = lotWith(5);
-  SegConfirm const question{{{"h", "lot", Stamp(5)}}};
+  SegConfirm const question{{{"h", "lot", GenerationStamp(5)}}};
   for (std::uint64_t const identity : {1u, 2u}) {
     ConfirmedReplicas confirmed;
-    confirmed.add(Identity(1), question, {Identity(identity), 7, {true}});
-    CHECK_EQUAL(identity == 1, confirmed.has(Identity(1), lot));
-    lot.stamp = Stamp(6);
-    CHECK_FALSE(confirmed.has(Identity(1), lot));
-    lot.stamp = Stamp(5);
+    confirmed.add(NodeId(1), question, {NodeId(identity), 7, {true}});
+    CHECK_EQUAL(identity == 1, confirmed.has(NodeId(1), lot));
+    lot.stamp = GenerationStamp(6);
+    CHECK_FALSE(confirmed.has(NodeId(1), lot));
+    lot.stamp = GenerationStamp(5);
   }
 }
 
@@ -181,9 +181,9 @@
     for (string& record : replicas.take()) records.push_back(std::move(record));
   };
   replicas.create(lotWith(1), "items", {});
-  for (std::uint64_t i = 0; i < 4; ++i) replicas.append("h", "lot", Stamp(1), i, {"result"});
-  replicas.settle("h", "lot", Stamp(1), Stamp(2), 4);
-  replicas.append("h", "lot", Stamp(2), 4, {"result"});
+  for (std::uint64_t i = 0; i < 4; ++i) replicas.append("h", "lot", GenerationStamp(1), i, {"result"});
+  replicas.settle("h", "lot", GenerationStamp(1), GenerationStamp(2), 4);
+  replicas.append("h", "lot", GenerationStamp(2), 4, {"result"});
   note();
   std::size_t tooFew = 0;
   for (std::size_t lost = 0; lost < records.size(); ++lost)
@@ -201,19 +201,18 @@
         continue;
       }
       CHECK_FALSE(found.known);
-      CHECK_FALSE(later.holds("h", "lot", Stamp(0)));
+      CHECK_FALSE(later.holds("h", "lot", GenerationStamp(0)));
       later.create(lotWith(3), "items", {"result"});
-      CHECK(later.holds("h", "lot", Stamp(3)));
+      CHECK(later.holds("h", "lot", GenerationStamp(3)));
     }
   CHECK_TEXT(tooFew > 0, "a replica that lacks results was never taken for whole");
 }
 
 TEST(replicarules, aStoreThatFailedTheWriterMayGetAFreshCopy) {
-  StoreRef const writer{Identity(1), "a", "z1", {}}, failed{Identity(2), "b", "z2", {}},
-      spare{Identity(3), "c", "z3", {}};
-  std::set<Identity> const bad{failed.id};
+  StoreRef const writer{NodeId(1), "a", "z1", {}}, failed{NodeId(2), "b", "z2", {}}, spare{NodeId(3), "c", "z3", {}};
+  std::set<NodeId> const bad{failed.id};
   auto const among = [&](vector<StoreRef> const& live) {
-    return [live](std::set<Identity> const& barred) {
+    return [live](std::set<NodeId> const& barred) {
       vector<StoreRef> chosen;
       for (StoreRef const& store : live)
         if (!barred.count(store.id) && chosen.size() < 2) chosen.push_back(store);
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -10,14 +10,14 @@
 l.host = "h";
 l.id = "lot";
 l.total = 1000;
-l.stamp = Stamp(stamp);
+l.stamp = GenerationStamp(stamp);
 return l;
 }
 static bool refused(std::function<void()> f) {
   try {
     f();
   } catch (Error const& x) {
-    return x.code() == Code::staleStamp || x.code() == Code::lotUnknown;
+    return x.code() == ErrorCode::staleStamp || x.code() == ErrorCode::lotUnknown;
   }
   return false;
 }
@@ -27,60 +27,60 @@
 TEST(replicas, anotherStampIsRefused) {
   Replicas r;
   r.create(lot(5), "items", {});
-  r.append("h", "lot", Stamp(5), 0, {"a"});
-  CHECK(refused([&] { r.append("h", "lot", Stamp(4), 1, {"b"}); }));
-  CHECK(refused([&] { r.append("h", "lot", Stamp(6), 1, {"b"}); }));
-  CHECK(refused([&] { r.read("h", "lot", Stamp(4)); }));
-  CHECK(refused([&] { r.settle("h", "lot", Stamp(6), Stamp(9), 0); }));
-  CHECK(refused([&] { r.settle("h", "lot", Stamp(1), Stamp(5), 0); }));
+  r.append("h", "lot", GenerationStamp(5), 0, {"a"});
+  CHECK(refused([&] { r.append("h", "lot", GenerationStamp(4), 1, {"b"}); }));
+  CHECK(refused([&] { r.append("h", "lot", GenerationStamp(6), 1, {"b"}); }));
+  CHECK(refused([&] { r.read("h", "lot", GenerationStamp(4)); }));
+  CHECK(refused([&] { r.settle("h", "lot", GenerationStamp(6), GenerationStamp(9), 0); }));
+  CHECK(refused([&] { r.settle("h", "lot", GenerationStamp(1), GenerationStamp(5), 0); }));
   CHECK(refused([&] { r.create(lot(4), "items", {}); }));
 }
 TEST(replicas, aRecoveryStopsTheWriter) {
   Replicas r;
   r.create(lot(5), "items", {});
-  r.append("h", "lot", Stamp(5), 0, {"a", "b"});
+  r.append("h", "lot", GenerationStamp(5), 0, {"a", "b"});
   LONGS_EQUAL(2, r.inspect("h", "lot").results);
-  CHECK(refused([&] { r.append("h", "lot", Stamp(5), 2, {"c"}); }));
-  r.settle("h", "lot", Stamp(5), Stamp(8), 1);
-  CHECK(refused([&] { r.append("h", "lot", Stamp(5), 1, {"c"}); }));
-  r.append("h", "lot", Stamp(8), 1, {"c"});
-  LONGS_EQUAL(2, r.read("h", "lot", Stamp(8)).results.size());
+  CHECK(refused([&] { r.append("h", "lot", GenerationStamp(5), 2, {"c"}); }));
+  r.settle("h", "lot", GenerationStamp(5), GenerationStamp(8), 1);
+  CHECK(refused([&] { r.append("h", "lot", GenerationStamp(5), 1, {"c"}); }));
+  r.append("h", "lot", GenerationStamp(8), 1, {"c"});
+  LONGS_EQUAL(2, r.read("h", "lot", GenerationStamp(8)).results.size());
 }
 TEST(replicas, aRestartedReplicaWaitsForAFreshStamp) {
   Replicas r, s;
   r.create(lot(5), "items", {});
-  r.append("h", "lot", Stamp(5), 0, {"a"});
+  r.append("h", "lot", GenerationStamp(5), 0, {"a"});
   for (string const& x : r.take()) s.replay(x);
   LONGS_EQUAL(1, s.find("h", "lot")->results.size());
-  CHECK(refused([&] { s.append("h", "lot", Stamp(5), 1, {"b"}); }));
-  s.settle("h", "lot", Stamp(5), Stamp(6), 1);
-  s.append("h", "lot", Stamp(6), 1, {"b"});
+  CHECK(refused([&] { s.append("h", "lot", GenerationStamp(5), 1, {"b"}); }));
+  s.settle("h", "lot", GenerationStamp(5), GenerationStamp(6), 1);
+  s.append("h", "lot", GenerationStamp(6), 1, {"b"});
 }
 TEST(replicas, gapsAreRefusedAndRepeatsPassed) {
   Replicas r;
   r.create(lot(5), "items", {});
-  CHECK(refused([&] { r.append("h", "lot", Stamp(5), 1, {"b"}); }));
-  r.append("h", "lot", Stamp(5), 0, {"a"});
-  r.append("h", "lot", Stamp(5), 0, {"a", "b"});
-  LONGS_EQUAL(2, r.read("h", "lot", Stamp(5)).results.size());
+  CHECK(refused([&] { r.append("h", "lot", GenerationStamp(5), 1, {"b"}); }));
+  r.append("h", "lot", GenerationStamp(5), 0, {"a"});
+  r.append("h", "lot", GenerationStamp(5), 0, {"a", "b"});
+  LONGS_EQUAL(2, r.read("h", "lot", GenerationStamp(5)).results.size());
 }
 TEST(replicas, staleOnesAreDeleted) {
   Replicas r;
   r.create(lot(5), "items", {});
-  CHECK_FALSE(r.drop("h", "lot", Stamp(4)));
-  CHECK(r.drop("h", "lot", Stamp(5)));
+  CHECK_FALSE(r.drop("h", "lot", GenerationStamp(4)));
+  CHECK(r.drop("h", "lot", GenerationStamp(5)));
   POINTERS_EQUAL(nullptr, r.find("h", "lot"));
 }
 TEST(replicas, snapshotAndLogGiveTheSame) {
   Replicas r, s, t;
   r.create(lot(5), "items", {});
-  r.append("h", "lot", Stamp(5), 0, {"a", "b", "c"});
-  r.settle("h", "lot", Stamp(5), Stamp(7), 2);
+  r.append("h", "lot", GenerationStamp(5), 0, {"a", "b", "c"});
+  r.settle("h", "lot", GenerationStamp(5), GenerationStamp(7), 2);
   for (string const& x : r.snapshot()) s.replay(x);
   for (string const& x : r.take()) t.replay(x);
   for (Replicas const* const q : {&s, &t}) {
     LONGS_EQUAL(2, q->find("h", "lot")->results.size());
-    CHECK(q->find("h", "lot")->lot.stamp == Stamp(7));
+    CHECK(q->find("h", "lot")->lot.stamp == GenerationStamp(7));
   }
 }
 
@@ -106,7 +106,7 @@
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
       std::mt19937_64 g(seed);
       Holder h[3];
-      Stamp stamp(1), last(1);
+      GenerationStamp stamp(1), last(1);
       vector<int> holders = {0, 1, 2};
       for (Holder& x : h) {
         x.live.create(lot(1), "items", {});
@@ -162,7 +162,7 @@
             cut = std::min(cut, q.results);
           }
           if (good.size() < 2) continue;
-          Stamp const fresh(last.v + 1);
+          GenerationStamp const fresh(last.value + 1);
           last = fresh;
           vector<int> kept;
           for (int const i : good) {
@@ -178,7 +178,7 @@
           for (int i = 0; i < 3; ++i) {
             if (std::find(kept.begin(), kept.end(), i) != kept.end() || !h[i].up) continue;
             Replicas::Replica const c = *h[kept[0]].live.find("h", "lot");
-            LotRecord l = lot(fresh.v);
+            LotRecord l = lot(fresh.value);
             h[i].live.create(l, c.items, c.results);
             h[i].sync();
             kept.push_back(i);
@@ -204,20 +204,20 @@
 }
 
 TEST_GROUP(leases) {
-  Moment const start = Moment() + std::chrono::hours(1);
+  TimePoint const start = TimePoint() + std::chrono::hours(1);
   LeaseGrants g{Ms(600), start};
-  Identity const store{7};
+  NodeId const store{7};
 };
 
 TEST(leases, aFencedLeaseIsNeverGrantedAgainButTheNextIs) {
-  Moment now = start + Ms(1000);
+  TimePoint now = start + Ms(1000);
   CHECK(g.beat(store, 5, true, now) == LeaseGrants::Word::granted);
   CHECK(g.fence(store, now + Ms(601)));
   CHECK(g.beat(store, 5, true, now + Ms(700)) == LeaseGrants::Word::fenced);
   CHECK(g.beat(store, 6, true, now + Ms(800)) == LeaseGrants::Word::granted);
 }
 TEST(leases, aLivingLeaseIsNotFencedAndNotHarmed) {
-  Moment now = start + Ms(1000);
+  TimePoint now = start + Ms(1000);
   CHECK(g.beat(store, 5, true, now) == LeaseGrants::Word::granted);
   CHECK_FALSE(g.fence(store, now + Ms(600)));
   CHECK(g.beat(store, 5, true, now + Ms(650)) == LeaseGrants::Word::granted);
--- a/tests/stand_in.hpp
+++ b/tests/stand_in.hpp
@@ -23,13 +23,13 @@
 /// A worker on loopback that does what its script says, except for priming requests, which it answers well.
 class StandIn {
  public:
-  StandIn(asio::io_context& io, Addr at, Script const& script) : io_(io), script_(script), acceptor_(io) {
+  StandIn(asio::io_context& io, Address at, Script const& script) : io_(io), script_(script), acceptor_(io) {
     acceptor_.open(tcp::v4());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.set_option(asio::socket_base::receive_buffer_size(8192));
     acceptor_.bind({asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
     acceptor_.listen(16);
-    spawn(io_, "stand-in", take());
+    spawnTask(io_, "stand-in", take());
   }
   std::size_t primed = 0, sends = 0;
   bool onUsed = false;  ///< the last send came on a connection that had answered before
@@ -49,7 +49,7 @@
       tcp::socket taken = co_await acceptor_.async_accept(asio::use_awaitable);
       std::shared_ptr<tcp::socket> const s = std::make_shared<tcp::socket>(std::move(taken));
       open_.insert(s);
-      spawn(io_, "stand-in connection", serve(s));
+      spawnTask(io_, "stand-in connection", serve(s));
     }
   }
   Task<void> serve(std::shared_ptr<tcp::socket> p) {
@@ -75,7 +75,7 @@
         onUsed = n > 0;
         lastEventIds.push_back(resume);
         if (!script.early.empty()) co_await write(s, script.early, id);
-        if (!script.early.empty()) co_await pause(Ms(20));
+        if (!script.early.empty()) co_await sleepFor(Ms(20));
         if (!script.takes) co_return end(s, script.end);
       }
       co_await http::async_read(s, buf, p, asio::redirect_error(asio::use_awaitable, e));
@@ -83,11 +83,11 @@
       string const answer = primes ? answerText(200, "$ID", "Server-Seal: s\r\n", "own $ID") : script.answer;
       co_await write(s, answer, id);
       if (primes && !script.late.empty()) {
-        co_await pause(Ms(2));
+        co_await sleepFor(Ms(2));
         co_await write(s, script.late, id);
       }
       if (primes || script.end == Script::End::keep) continue;
-      if (script.end == Script::End::silent) co_await pause(Ms(5000));
+      if (script.end == Script::End::silent) co_await sleepFor(Ms(5000));
       co_return end(s, script.end);
     }
   }
@@ -117,7 +117,7 @@
 class EdgeRig {
  public:
   explicit EdgeRig(Script const& script)
-      : server_(io, settings().controlAt(ip), Ms(2000)),
+      : server_(io, settings().controlAddress(ip), Ms(2000)),
         publisher_(io, settings_, 0),
         workers{{{io, {ip, 17685}, script}, {io, {ip, 17686}, script}}},
         edge_(io, settings_) {
@@ -129,7 +129,7 @@
       w.service = "app";
       w.at = {ip, 17685 + n};
       w.capacity = 8;
-      publisher_.common.put("w/" + w.id, packed(w));
+      publisher_.common.put("w/" + w.id, serialize(w));
     }
     server_.on<UpdateRequest>([this](UpdateRequest q) { return publisher_.serve(std::move(q)); });
     server_.start();
@@ -155,7 +155,7 @@
                "\r\nTime-Left-Ms: " + std::to_string(leftMs) + "\r\nContent-Length: " + std::to_string(bodyBytes) +
                "\r\n\r\n" + string(bodyBytes, 'b');
     asio::co_spawn(io, client(std::move(q), got), [&](std::exception_ptr) { done = true; });
-    Moment const end = Clock::now() + Ms(8000);
+    TimePoint const end = Clock::now() + Ms(8000);
     while (!done && Clock::now() < end) {
       io.restart();
       io.run_one_for(Ms(50));
@@ -169,8 +169,8 @@
     settings_.nodeName = "e-1";
     settings_.ip = ip;
     settings_.zone = "z";
-    settings_.firstPort = 17670;
-    settings_.lastPort = 17675;
+    settings_.firstInternalPort = 17670;
+    settings_.lastInternalPort = 17675;
     settings_.outside = {ip, 17680};
     settings_.readiness = {ip, 17681};
     settings_.seeds = {{ip, 17682}};
--- a/tests/two_primaries_test.cpp
+++ b/tests/two_primaries_test.cpp
@@ -13,10 +13,10 @@
 /// test wants it to believe.
 struct StoreRig {
   explicit StoreRig(string const& folder)
-      : control(io, settings[0].controlAt(ip(0)), Ms(1000)),
+      : control(io, settings[0].controlAddress(ip(0)), Ms(1000)),
         publisher(io, settings[0], 0),
         worker(
-            io, {ip(0), 17729}, [this](Call c) { return run(std::move(c)); }, 1u << 20, Ms(5000)),
+            io, {ip(0), 17729}, [this](HttpCall c) { return run(std::move(c)); }, 1u << 20, Ms(5000)),
         rpc(io, Ms(1000)) {
     std::filesystem::remove_all(folder);
     for (int n = 1; n < 3; ++n) {
@@ -40,7 +40,7 @@
     w.service = "app";
     w.at = {ip(0), 17729};
     w.capacity = 8;
-    publisher.common.put("w/i-1", packed(w));
+    publisher.common.put("w/i-1", serialize(w));
     control.on<UpdateRequest>([this](UpdateRequest q) { return publisher.serve(std::move(q)); });
     control.on<StoreBeat>([this](StoreBeat q) -> Task<StoreBeatReply> {
       StoreBeatReply r;
@@ -59,16 +59,16 @@
     until([this] { return refs.size() == 2; });
   }
   static string ip(std::size_t n) { return "127.0.0." + std::to_string(90 + n); }
-  Task<CallAnswer> run(Call c) {
-    string const id = c.head("Attempt-Id");
+  Task<HttpReply> run(HttpCall c) {
+    string const id = c.header("Attempt-Id");
     ++runs[id];
-    co_await pause(Ms(15));
-    CallAnswer a{200, "id: 1\ndata: " + id + "\n\nid: 2\ndata: end\n\n", "text/event-stream", {}};
-    a.heads = {{"Attempt-Id", id}, {"Server-Seal", "s"}};
+    co_await sleepFor(Ms(15));
+    HttpReply a{200, "id: 1\ndata: " + id + "\n\nid: 2\ndata: end\n\n", "text/event-stream", {}};
+    a.headers = {{"Attempt-Id", id}, {"Server-Seal", "s"}};
     co_return a;
   }
   void until(std::function<bool()> const& f) {
-    Moment const end = Clock::now() + Ms(6000);
+    TimePoint const end = Clock::now() + Ms(6000);
     while (!f() && Clock::now() < end) {
       io.restart();
       io.run_one_for(Ms(10));
@@ -81,7 +81,7 @@
     using R = typename Q::Reply;
     std::shared_ptr<std::optional<R>> const got = std::make_shared<std::optional<R>>();
     std::shared_ptr<bool> const done = std::make_shared<bool>(false);
-    asio::co_spawn(io, rpc.ask(to.at, q, Ms(1000)), [got, done](std::exception_ptr p, R r) {
+    asio::co_spawn(io, rpc.call(to.at, q, Ms(1000)), [got, done](std::exception_ptr p, R r) {
       if (!p) *got = std::move(r);
       *done = true;
     });
@@ -89,7 +89,7 @@
     return *got;
   }
   /// Reads the lot at a store under a stamp; false if a position differs from what any reader saw before.
-  bool read(StoreRef const& at, Stamp stamp) {
+  bool read(StoreRef const& at, GenerationStamp stamp) {
     std::optional<SegReadReply> const r = ask(at, SegRead{host, lotId, stamp, 0, 1u << 20, 0});
     if (!r) return true;
     bool same = true;
@@ -104,9 +104,9 @@
     std::array<Settings, 3> a;
     for (std::size_t n = 0; n < 3; ++n) {
       a[n].ip = ip(n);
-      a[n].firstPort = 17720;
-      a[n].bounds.inTouch = 1200;
-      a[n].bounds.step = 40;
+      a[n].firstInternalPort = 17720;
+      a[n].bounds.inTouch = Ms(1200);
+      a[n].bounds.step = Ms(40);
       a[n].surviveMachines = 0;
     }
     return a;
@@ -114,7 +114,7 @@
   RpcServer control;
   UpdatePublisher publisher;
   HttpServer worker;
-  Rpc rpc;
+  RpcClient rpc;
   vector<std::unique_ptr<StoreNode>> stores;
   std::map<string, StoreRef> refs;
   std::map<string, LotRecord> told;
@@ -139,29 +139,29 @@
   l.route = "night";
   l.service = "app";
   l.total = itemCount;
-  l.sentAt = wallMs();
+  l.sentAt = wallClockMs();
   l.dueIn = 300;
   l.keepFor = 60000;
   l.state = static_cast<int>(LotState::accepted);
-  l.stamp = Stamp(1);
+  l.stamp = GenerationStamp(1);
   l.holders = {a, b};
   vector<ItemRecord> items(itemCount);
   for (std::size_t n = 0; n < itemCount; ++n) items[n] = {"item-" + std::to_string(n), "/night/x", "b", {}, 10};
-  SegCreate const create{l, packed(items), {}, true};
+  SegCreate const create{l, serialize(items), {}, true};
   CHECK(rig.ask(a, create).has_value());
   // The very same again is no second lot, and an older one is refused.
   CHECK(rig.ask(a, create).has_value());
   SegCreate older = create;
-  older.lot.stamp = Stamp(0);
+  older.lot.stamp = GenerationStamp(0);
   CHECK_FALSE(rig.ask(a, older).has_value());
   rig.told["store-1"] = rig.told["store-2"] = l;
   bool same = true;
   rig.until([&] {
-    same = rig.read(a, Stamp(1)) && same;
+    same = rig.read(a, GenerationStamp(1)) && same;
     return rig.seen.size() >= 2;
   });
   LotRecord next = l;
-  next.stamp = Stamp(2);
+  next.stamp = GenerationStamp(2);
   std::optional<SegInspectReply> const at = rig.ask(b, SegInspect{host, lotId});
   std::uint64_t cut = at->results;
   bool const moves = course != Course::freshStamp;
@@ -170,30 +170,30 @@
     if (course == Course::broken) {
       LotRecord& apart = rig.told["store-1"];
       apart.holders = {a};
-      apart.stamp = Stamp(3);
-      CHECK(rig.ask(a, SegSettle{host, lotId, Stamp(1), Stamp(3), cut}).has_value());
+      apart.stamp = GenerationStamp(3);
+      CHECK(rig.ask(a, SegSettle{host, lotId, GenerationStamp(1), GenerationStamp(3), cut}).has_value());
     }
   } else {
     cut = std::min(cut, rig.ask(a, SegInspect{host, lotId})->results);
-    CHECK(rig.ask(a, SegSettle{host, lotId, Stamp(1), Stamp(2), cut}).has_value());
+    CHECK(rig.ask(a, SegSettle{host, lotId, GenerationStamp(1), GenerationStamp(2), cut}).has_value());
     rig.told["store-1"] = next;
   }
-  CHECK(rig.ask(b, SegSettle{host, lotId, Stamp(1), Stamp(2), cut}).has_value());
+  CHECK(rig.ask(b, SegSettle{host, lotId, GenerationStamp(1), GenerationStamp(2), cut}).has_value());
   rig.told["store-2"] = next;
   // Whoever still writes under the old stamp is refused.
   SegAppend stale;
-  stale.parts = {{host, lotId, Stamp(1), cut, {packed(ResultRecord{0, true, "stale"})}}};
+  stale.parts = {{host, lotId, GenerationStamp(1), cut, {serialize(ResultRecord{0, true, "stale"})}}};
   CHECK_FALSE(rig.ask(b, stale)->ok.at(0));
   rig.until([&] {
-    same = rig.read(a, course == Course::broken ? Stamp(3) : Stamp(1)) && same;
-    same = rig.read(moves ? b : a, Stamp(2)) && same;
+    same = rig.read(a, course == Course::broken ? GenerationStamp(3) : GenerationStamp(1)) && same;
+    same = rig.read(moves ? b : a, GenerationStamp(2)) && same;
     return rig.seen.size() == itemCount || !same;
   });
   if (moves && same) {
     // The first primary learns of the other at last and serves nothing under either stamp.
     rig.told["store-1"] = next;
-    rig.until([&] { return !rig.ask(a, SegRead{host, lotId, Stamp(1), 0, 1u << 20, 0}); });
-    CHECK_FALSE(rig.ask(a, SegRead{host, lotId, Stamp(2), 0, 1u << 20, 0}).has_value());
+    rig.until([&] { return !rig.ask(a, SegRead{host, lotId, GenerationStamp(1), 0, 1u << 20, 0}); });
+    CHECK_FALSE(rig.ask(a, SegRead{host, lotId, GenerationStamp(2), 0, 1u << 20, 0}).has_value());
   }
   int most = 0;
   for (std::pair<string const, int> const& r : rig.runs) most = std::max(most, r.second);
--- a/tests/updates_sim.hpp
+++ b/tests/updates_sim.hpp
@@ -15,13 +15,13 @@
   };
   struct Server {
     string name;
-    Addr at;
+    Address at;
     bool up = true, frozen = false;
     std::unique_ptr<UpdatePublisher> publisher;
     struct Held {
       UpdateRequest ask;
-      Moment came;
-      Addr from;
+      TimePoint came;
+      Address from;
       std::uint64_t id;
       bool crowded;
     };
@@ -29,7 +29,7 @@
   };
   struct Control : Server {
     Member self;
-    Moment proven;
+    TimePoint proven;
     std::size_t known = 0;  ///< commits taken in
     bool healthy = true;
   };
@@ -38,14 +38,14 @@
     std::unique_ptr<UpdateNode> node;
     std::optional<UpdateNode::Plan> asking;
     std::uint64_t id = 0, version = 0;
-    Moment sent, wake, calmSince;
+    TimePoint sent, wake, calmSince;
     std::map<string, string> workers;
   };
   struct Commit {
     std::uint64_t configuration = 0;
     string key, value;
     bool gone = false;
-    Moment at;
+    TimePoint at;
   };
 
   Fleet(std::uint64_t seed, Config c) : g_(seed), conf_(c), controls_(c.controls), nodes_(c.zones * c.perZone) {
@@ -53,7 +53,7 @@
       Control& x = controls_[i];
       x.name = "c" + std::to_string(i);
       x.at = {"10.9.0." + std::to_string(i), 1};
-      x.self = Member{Identity(i + 1), x.name, x.at.ip, zoneName(i % c.zones), true};
+      x.self = Member{NodeId(i + 1), x.name, x.at.ip, zoneName(i % c.zones), true};
       makePublisher(x, 0);
       Control* const p = &x;
       x.publisher->proof = [p] { return UpdatePublisher::Proof{p->healthy, 0, p->proven}; };
@@ -74,7 +74,7 @@
   std::uint64_t dice(std::uint64_t n) { return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(g_); }
   vector<Control>& controls() { return controls_; }
   vector<Node>& nodes() { return nodes_; }
-  Moment now() const { return now_; }
+  TimePoint now() const { return now_; }
   Bounds const& bounds() const { return settings_.bounds; }
 
   void commitConfiguration() { commits_.push_back({++version_, "", "", false, now_}); }
@@ -96,12 +96,12 @@
     x.up = true;
     x.frozen = false;
     makePublisher(x, 2 * Relays::fanOut);
-    vector<Addr> seeds;
+    vector<Address> seeds;
     for (std::size_t i = 0; i < 3 && i < controls_.size(); ++i) seeds.push_back(controls_[i].at);
     x.node = std::make_unique<UpdateNode>(
         x.row, UpdateNode::Times::of(settings_.bounds), seeds,
         [](string const& ip) {
-          return Addr{ip, 1};
+          return Address{ip, 1};
         },
         *x.publisher);
     UpdateNode* const n = x.node.get();
@@ -180,7 +180,7 @@
         else
           c.publisher->common.put(k.key, k.value);
       }
-      for (Control const& m : controls_) c.publisher->common.put("m/" + hex(m.self.id.v), packed(m.self));
+      for (Control const& m : controls_) c.publisher->common.put("m/" + hex(m.self.id.value), serialize(m.self));
     }
     answerHeld(c, c.name);
   }
@@ -192,7 +192,7 @@
     for (Control& c : controls_) {
       if (!c.up || !c.healthy || c.frozen) continue;
       for (std::pair<string const, NodeRow> const& p : all)
-        c.publisher->zones[p.second.zone].put(p.first, packed(p.second));
+        c.publisher->zones[p.second.zone].put(p.first, serialize(p.second));
       for (std::pair<string const, VersionedTable>& z : c.publisher->zones) {
         vector<string> out;
         for (std::pair<string const, string> const& r : z.second.rows())
@@ -201,7 +201,7 @@
       }
     }
   }
-  Server* at(Addr const& a) {
+  Server* at(Address const& a) {
     for (Control& c : controls_)
       if (c.at == a) return &c;
     for (Node& x : nodes_)
@@ -221,7 +221,7 @@
     if (now_ < x.wake) return;
     if (x.node->resting(now_)) x.wake = now_ + Ms(60);
     if (!x.publisher->configurationVersion()) {
-      vector<Addr> const l = x.node->controls(now_);
+      vector<Address> const l = x.node->controls(now_);
       x.asking = x.node->firstPlan(l[dice(l.size())], now_);
     } else {
       x.asking = x.node->plan(now_);
@@ -231,7 +231,7 @@
     Server* const to = at(x.asking->at);
     if (!to || !passes(x.name, to->name)) return;
     UpdateRequest const q = x.asking->ask;
-    Addr const from = x.at;
+    Address const from = x.at;
     net_.emplace(now_ + Ms(1 + dice(3)), [this, to, q, from, id] {
       if (!to->up) return;
       to->publisher->note(q, now_);
@@ -250,7 +250,7 @@
       }
       tamper(*r, name);
       if (!r->common.empty()) {
-        if (unpacked<TableDelta>(r->common).full)
+        if (deserialize<TableDelta>(r->common).full)
           ++fullDeltas;
         else
           ++deltas;
@@ -258,7 +258,7 @@
       Server* const to = at(h.from);
       if (!to || !passes(name, to->name)) continue;
       std::uint64_t const id = h.id;
-      Addr const from = h.from;
+      Address const from = h.from;
       net_.emplace(now_ + Ms(1 + dice(3)), [this, from, id, r = std::move(*r)] {
         for (Node& x : nodes_) {
           if (x.at != from || !x.up || x.frozen || !x.asking || x.id != id) continue;
@@ -278,12 +278,12 @@
     }
     if (conf_.deltasLoseRows && name[0] == 'n' && !r.common.empty() && dice(10) == 0) {
       VersionedTable b(8);
-      TableDelta d = unpacked<TableDelta>(r.common);
+      TableDelta d = deserialize<TableDelta>(r.common);
       if (!d.full || d.rows.size() < 2) return;
       d.rows.pop_back();
       for (TableRow const& x : d.rows) b.put(x.key, x.value);
       d.to = b.digest();
-      r.common = packed(d);
+      r.common = serialize(d);
     }
   }
   void check() {
@@ -323,8 +323,8 @@
   vector<Node> nodes_;
   vector<Commit> commits_;
   std::uint64_t version_ = 0, lastId_ = 0, turn_ = 0;
-  Moment now_ = Moment() + std::chrono::hours(1);
-  std::multimap<Moment, std::function<void()>> net_;
+  TimePoint now_ = TimePoint() + std::chrono::hours(1);
+  std::multimap<TimePoint, std::function<void()>> net_;
 };
 
 }  // namespace tealshelf::sim
--- a/tests/updates_test.cpp
+++ b/tests/updates_test.cpp
@@ -159,9 +159,9 @@
 
 TEST(updates, aFailedSourceRestsLongerEachTime) {
   Sources s(Ms(100), 7);
-  Addr const a{"10.0.0.1", 1}, b{"10.0.0.2", 1}, c{"10.0.0.3", 1};
+  Address const a{"10.0.0.1", 1}, b{"10.0.0.2", 1}, c{"10.0.0.3", 1};
   s.set({a}, {b, c});
-  Moment const t = Moment() + std::chrono::hours(1);
+  TimePoint const t = TimePoint() + std::chrono::hours(1);
   CHECK(s.next(t) == a);
   s.failed(a, t);
   CHECK(s.next(t) == b);
@@ -180,7 +180,7 @@
   Settings settings;
   UpdatePublisher up(io, settings, 0), publisher(io, settings, 0);
   UpdateCopy copy(publisher, "z", Ms(100));
-  Moment const t = Moment() + std::chrono::hours(1);
+  TimePoint const t = TimePoint() + std::chrono::hours(1);
   up.proof = [&] { return UpdatePublisher::Proof{true, 0, t}; };
   up.common.put("w/a", "1");
   up.setConfiguration(2, "two");
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -19,7 +19,7 @@
   }
   /// Runs until something holds, within a limit.
   bool until(std::function<bool()> const& f) {
-    Moment const end = Clock::now() + Ms(5000);
+    TimePoint const end = Clock::now() + Ms(5000);
     while (!f() && Clock::now() < end) run(Ms(5));
     return f();
   }
@@ -27,14 +27,14 @@
   tcp::socket raw() {
     tcp::socket s(io);
     s.connect({asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
-    string const hello = packed(LinkHello{protocolVersion, at, 1});
+    string const hello = serialize(ConnectionHello{protocolVersion, at, 1});
     asio::write(s, asio::buffer(head(static_cast<std::uint32_t>(hello.size()), 0, 0, 4) + hello));
     return s;
   }
   /// True if an ordinary ask is still answered.
   bool serves() {
     bool ok = false;
-    asio::co_spawn(io, rpc.ask(at, UpdateRequest(), Ms(2000)),
+    asio::co_spawn(io, rpc.call(at, UpdateRequest(), Ms(2000)),
                    [&](std::exception_ptr p, UpdateReply r) { ok = !p && r.configurationVersion == 1; });
     return until([&] { return ok; });
   }
@@ -58,10 +58,10 @@
   }
   asio::io_context io{1};
   Settings settings;
-  Addr at{"127.0.0.77", 17661};
+  Address at{"127.0.0.77", 17661};
   RpcServer server;
   UpdatePublisher publisher;
-  Rpc rpc;
+  RpcClient rpc;
 };
 }  // namespace
 
@@ -86,8 +86,8 @@
 }
 TEST(wire, aMalformedBodyIsAnsweredByNumber) {
   Loop l;
-  for (string const& body : {string("\xc1"), string("\x93\x01"), string(40, '\xff'), string(), packed(string("a text")),
-                             packed(vector<int>{7, 8})}) {
+  for (string const& body : {string("\xc1"), string("\x93\x01"), string(40, '\xff'), string(),
+                             serialize(string("a text")), serialize(vector<int>{7, 8})}) {
     tcp::socket s = l.raw();
     asio::write(s, asio::buffer(Loop::head(static_cast<std::uint32_t>(body.size()), 9, 6, 0) + body));
     string got;
@@ -113,7 +113,7 @@
   UpdateRequest q;
   q.form = updateFormat + 1;
   int code = 0;
-  asio::co_spawn(l.io, l.rpc.ask(l.at, q, Ms(2000)), [&](std::exception_ptr p, UpdateReply) {
+  asio::co_spawn(l.io, l.rpc.call(l.at, q, Ms(2000)), [&](std::exception_ptr p, UpdateReply) {
     try {
       if (p) std::rethrow_exception(p);
     } catch (Error const& x) {
@@ -121,13 +121,14 @@
     }
   });
   CHECK(l.until([&] { return code != 0; }));
-  LONGS_EQUAL(static_cast<int>(Code::badMessage), code);
+  LONGS_EQUAL(static_cast<int>(ErrorCode::badMessage), code);
 }
 TEST(wire, aPeerThatAsksWithoutReadingIsCutOff) {
   Loop l;
   tcp::socket s = l.raw();
   s.non_blocking(true);
-  string const body = packed(UpdateRequest()), f = Loop::head(static_cast<std::uint32_t>(body.size()), 5, 6, 0) + body;
+  string const body = serialize(UpdateRequest()),
+               f = Loop::head(static_cast<std::uint32_t>(body.size()), 5, 6, 0) + body;
   // Each answer has 300 kB; the server may keep 8 MB of them, and the sockets some more.
   bool cut = false;
   for (int k = 0; k < 4000 && !cut; ++k) {
--- a/tests/worst_days_test.cpp
+++ b/tests/worst_days_test.cpp
@@ -14,23 +14,23 @@
 /// Gives how many know the membership after so many rounds of heartbeats.
 std::size_t informed(std::size_t rounds, bool membersCallSeeds) {
   vector<string> const ips{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"};
-  vector<Addr> const seeds{{ips[3], 1}, {ips[4], 1}, {ips[5], 1}};
+  vector<Address> const seeds{{ips[3], 1}, {ips[4], 1}, {ips[5], 1}};
   Membership membership;
   membership.no = MembershipNumber(4);
-  for (std::size_t i = 0; i < 3; ++i) membership.members.push_back(Member{Identity(i + 1), "m", ips[i], "z"});
+  for (std::size_t i = 0; i < 3; ++i) membership.members.push_back(Member{NodeId(i + 1), "m", ips[i], "z"});
   std::map<string, Membership> known;
   for (std::size_t i = 0; i < ips.size(); ++i) known[ips[i]] = i < 3 ? membership : Membership();
   for (std::size_t round = 0; round < rounds; ++round) {
     std::map<string, Membership> const before = known;
     for (string const& ip : ips) {
-      bool const member = before.at(ip).no.v != 0;
-      vector<Addr> const called = member && !membersCallSeeds ? vector<Addr>() : seeds;
+      bool const member = before.at(ip).no.value != 0;
+      vector<Address> const called = member && !membersCallSeeds ? vector<Address>() : seeds;
       for (string const& to : heartbeatTargets(before.at(ip), ip, called))
         if (known[to].no < before.at(ip).no) known[to] = before.at(ip);
     }
   }
   std::size_t count = 0;
-  for (std::pair<string const, Membership> const& node : known) count += node.second.no.v != 0;
+  for (std::pair<string const, Membership> const& node : known) count += node.second.no.value != 0;
   return count;
 }
 }  // namespace
@@ -44,13 +44,13 @@
 
 TEST(worstdays, aStepOfTheTimeOfDayAgesNoLot) {
   LotAges ages;
-  Moment const start = Moment() + std::chrono::hours(1);
+  TimePoint const start = TimePoint() + std::chrono::hours(1);
   ages.learn(lot, start);
   ages.learn(lot, start + Ms(500));
   Ms const due(8000);
   for (Ms const age : {Ms(0), Ms(700), Ms(7000), Ms(30000)})
     for (Ms const step : {Ms(-600000), Ms(-2000), Ms(0), Ms(2000), Ms(600000)}) {
-      Moment const now = start + age;
+      TimePoint const now = start + age;
       LONGS_EQUAL(age.count(), ages.atLeast(lot, now).count());
       Ms const likely = ages.likely(lot, now, age + step, due);
       CHECK(likely >= age);
@@ -61,9 +61,9 @@
 }
 
 TEST(worstdays, aStoreWhoseClockWentBackGetsItsLeaseAtOnce) {
-  Moment now = Moment() + std::chrono::hours(1);
+  TimePoint now = TimePoint() + std::chrono::hours(1);
   LeaseGrants grants(Ms(600), now - Ms(10000));
-  Identity const store(7);
+  NodeId const store(7);
   CHECK(grants.beat(store, 900000, true, now) == LeaseGrants::Word::granted);
   now += Ms(5000);
   CHECK(grants.fence(store, now));
--- a/tools/scale/catch_up.cpp
+++ b/tools/scale/catch_up.cpp
@@ -20,8 +20,7 @@
   Trio() {
     Membership g;
     g.no = MembershipNumber(1);
-    for (std::uint64_t i = 0; i < 3; ++i)
-      g.members.push_back(Member{Identity(i + 1), "n", "10.0.0.1", "z", true, true});
+    for (std::uint64_t i = 0; i < 3; ++i) g.members.push_back(Member{NodeId(i + 1), "n", "10.0.0.1", "z", true, true});
     g.former = g.members;
     for (std::uint64_t i = 0; i < 3; ++i) {
       nodes_.push_back(
@@ -66,7 +65,7 @@
       any = false;
       for (std::size_t i = 0; i < 3; ++i)
         for (Message const& m : nodes_[i]->take().messages) {
-          std::size_t const to = m.to.v - 1;
+          std::size_t const to = m.to.value - 1;
           if (to == away || i == away) continue;
           any = true;
           msgpack::sbuffer b;
@@ -79,7 +78,7 @@
         }
     }
   }
-  Moment now_ = Moment() + std::chrono::hours(1);
+  TimePoint now_ = TimePoint() + std::chrono::hours(1);
   vector<std::unique_ptr<Consensus>> nodes_;
 };
 
--- a/tools/scale/hollow.cpp
+++ b/tools/scale/hollow.cpp
@@ -13,10 +13,10 @@
   Hollow(asio::io_context& io, Settings b)
       : settings(std::move(b)),
         rpc(io, Ms(settings.bounds.inTouch / 2)),
-        server(io, settings.relayAt(settings.ip), Ms(settings.bounds.inTouch / 2)),
-        view(io, settings, rpc, "edge", settings.relayAt(settings.ip)) {}
+        server(io, settings.relayAddress(settings.ip), Ms(settings.bounds.inTouch / 2)),
+        view(io, settings, rpc, "edge", settings.relayAddress(settings.ip)) {}
   Settings settings;
-  Rpc rpc;
+  RpcClient rpc;
   RpcServer server;
   FleetView view;
   std::uint64_t version = 0;
@@ -25,13 +25,13 @@
 /// A worker that beats at a control node, and at the one that the answer names.
 Task<void> beats(asio::io_context& io, Settings settings, string id, string zone, int n, std::uint64_t& sent,
                  std::uint64_t& failed) {
-  Addr to = settings.seeds[static_cast<std::size_t>(n) % settings.seeds.size()];
-  co_await pause(Ms((n * 37) % settings.reportEvery));
+  Address to = settings.seeds[static_cast<std::size_t>(n) % settings.seeds.size()];
+  co_await sleepFor(Ms((n * 37) % settings.reportEvery.count()));
   for (std::uint64_t count = 1;; ++count) {
     bool ok = false;
     tcp::socket s(io);
-    Guard g(io, s);
-    g.until(Clock::now() + Ms(1000));
+    SocketDeadline g(io, s);
+    g.expireAt(Clock::now() + Ms(1000));
     error_code e;
     co_await s.async_connect({asio::ip::make_address(to.ip), static_cast<std::uint16_t>(to.port)},
                              asio::redirect_error(asio::use_awaitable, e));
@@ -50,13 +50,12 @@
     ++(ok ? sent : failed);
     if (ok) {
       std::size_t const p = r.body().find("\"reportTo\":\"");
-      Addr a;
-      if (p != string::npos && readAddr(string_view(r.body()).substr(p + 12, r.body().find('"', p + 12) - p - 12), a))
-        to = a;
+      if (p != string::npos)
+        to = parseAddress(string_view(r.body()).substr(p + 12, r.body().find('"', p + 12) - p - 12)).value_or(to);
     } else {
       to = settings.seeds[randomId() % settings.seeds.size()];
     }
-    co_await pause(Ms(settings.reportEvery));
+    co_await sleepFor(settings.reportEvery);
   }
 }
 }  // namespace
@@ -72,7 +71,7 @@
   app.add_option("--first", first, "number of the first node and worker")->check(CLI::Range(0, 100000));
   app.add_option("--seconds", seconds, "how long")->check(CLI::Range(1, 600));
   CLI11_PARSE(app, argc, argv);
-  startLog(Level::warning);
+  initLogging(LogLevel::warning);
   try {
     Settings const settings = loadSettings(settingsPath);
     asio::io_context io(1);
@@ -91,16 +90,16 @@
       h.view.onUpdate = [&h] {
         if (!h.view.configuration() || h.view.configuration()->version == h.version) return;
         h.version = h.view.configuration()->version;
-        std::cout << "configuration " << h.version << " " << h.settings.nodeName << " " << wallMs() << "\n";
+        std::cout << "configuration " << h.version << " " << h.settings.nodeName << " " << wallClockMs() << "\n";
       };
       h.view.start(h.server);
       h.server.start();
     }
     std::uint64_t sent = 0, failed = 0;
     for (int i = 0; i < workers; ++i)
-      spawn(io, "worker",
-            beats(io, settings, "w-" + std::to_string(first + i),
-                  zones[static_cast<std::size_t>(first + i) % zones.size()], first + i, sent, failed));
+      spawnTask(io, "worker",
+                beats(io, settings, "w-" + std::to_string(first + i),
+                      zones[static_cast<std::size_t>(first + i) % zones.size()], first + i, sent, failed));
     asio::steady_timer end(io, std::chrono::seconds(seconds));
     end.async_wait([&](error_code) { io.stop(); });
     io.run();
--- a/tools/scale/run.sh
+++ b/tools/scale/run.sh
@@ -53,7 +53,7 @@
 for ((n = 0; n < nodes || n < workers; n += each)); do
   h=$((nodes - n)); [ $h -gt $each ] && h=$each; [ $h -lt 0 ] && h=0
   w=$((workers - n)); [ $w -gt $each ] && w=$each; [ $w -lt 0 ] && w=0
-  "$build/tealshelf-hollow" --boot "$dir/hollow-edge.conf" --nodes $h --workers $w --first $n --seconds $((secs + 8)) > "$out/hollow-$n.txt" 2>&1 &
+  "$build/tealshelf-hollow" --settings "$dir/hollow-edge.conf" --nodes $h --workers $w --first $n --seconds $((secs + 8)) > "$out/hollow-$n.txt" 2>&1 &
   hollows+=($!)
   pids+=($!)
 done
--- a/traffic/balance.cpp
+++ b/traffic/balance.cpp
@@ -37,23 +37,23 @@
 void Balance::broke(string const& id, bool hard) {
   Row& r = rows_[id];
   r.breaks = std::min(r.breaks + 1, 5);
-  if (hard || r.breaks >= 2) r.outUntil = Clock::now() + Ms((settings_.bounds.inTouch / 12) << r.breaks);
+  if (hard || r.breaks >= 2) r.outUntil = Clock::now() + (settings_.bounds.inTouch / 12) * (1 << r.breaks);
 }
 void Balance::well(string const& id) {
   rows_[id].breaks = 0;
 }
 
-double Balance::load(Row const& r, Worker const& w, Moment now) const {
+double Balance::load(Row const& r, Worker const& w, TimePoint now) const {
   double base = 0;
   if (now - r.told < Ms(settings_.bounds.inTouch))
     base = static_cast<double>(std::max<std::int64_t>(0, r.base + r.since));
   return std::max(base, static_cast<double>(r.own)) / static_cast<double>(w.capacity);
 }
-double Balance::load(Worker const& w, Moment now) const {
+double Balance::load(Worker const& w, TimePoint now) const {
   std::map<string, Row>::const_iterator const i = rows_.find(w.id);
   return i == rows_.end() ? 0 : load(i->second, w, now);
 }
-double Balance::cost(Row const& r, Worker const& w, Moment now) const {
+double Balance::cost(Row const& r, Worker const& w, TimePoint now) const {
   double c = load(r, w, now) + chunkCost * static_cast<double>(r.unread) / chunkTokens;
   if (now - r.told < Ms(settings_.bounds.step)) c += chunkCost * static_cast<double>(r.waiting);
   return c;
@@ -68,12 +68,12 @@
   if (l.revision == s.revision()) return l;
   l.revision = s.revision();
   l.all.clear();
-  for (Worker const* const w : s.of(service)) l.all.push_back({w, hashOf(w->id), &rows_[w->id]});
+  for (Worker const* const w : s.of(service)) l.all.push_back({w, hash64(w->id), &rows_[w->id]});
   return l;
 }
 
 Worker const* Balance::pick(FleetView const& s, Want const& want, std::set<string> const& tried) {
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   vector<Candidate> const& l = candidates(s, want.service).all;
   if (l.empty()) return nullptr;
   auto const rank = [&](Candidate const& c) {
--- a/traffic/balance.hpp
+++ b/traffic/balance.hpp
@@ -31,13 +31,13 @@
   /// It broke off or couldn't be reached.
   void broke(string const& id, bool hard);
   void well(string const& id);
-  double load(Worker const& w, Moment now) const;
+  double load(Worker const& w, TimePoint now) const;
   void sweep(FleetView const& s);
 
  private:
   struct Row {
     std::int64_t own = 0, base = 0, since = 0, unread = 0, unreadRequests = 0, waiting = 0;
-    Moment told, outUntil, fullUntil;
+    TimePoint told, outUntil, fullUntil;
     int breaks = 0;
   };
   /// The workers of a service with what is known of them, worked out anew only when they change.
@@ -51,9 +51,9 @@
     vector<Candidate> all;
   };
   CandidateList const& candidates(FleetView const& s, string const& service);
-  double load(Row const& r, Worker const& w, Moment now) const;
+  double load(Row const& r, Worker const& w, TimePoint now) const;
   /// Load plus what a new prompt would wait behind, in the same measure.
-  double cost(Row const& r, Worker const& w, Moment now) const;
+  double cost(Row const& r, Worker const& w, TimePoint now) const;
   std::uint64_t dice();
   Settings const& settings_;
   std::map<string, Row> rows_;
--- a/traffic/exchange.cpp
+++ b/traffic/exchange.cpp
@@ -11,14 +11,14 @@
   return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 bool WorkerConnection::failedHere(string_view attempt) const {
-  return std::find(failed.begin(), failed.end(), hashOf(attempt)) != failed.end();
+  return std::find(failed.begin(), failed.end(), hash64(attempt)) != failed.end();
 }
 
 std::unique_ptr<WorkerConnection> Pools::take(Worker const& w, bool mayRepeat, string_view attempt) {
   vector<std::unique_ptr<WorkerConnection>>& v = idle_[w.id];
   // The one given back last lies at the end; before it are only older ones.
   for (std::size_t n = v.size(); n-- > 0;) {
-    Moment const now = Clock::now();
+    TimePoint const now = Clock::now();
     bool const over = now >= v[n]->keepUntil;
     if (!over && !mayRepeat && now - v[n]->idleSince > age_.trusted()) break;
     if (!over && v[n]->failedHere(attempt)) continue;
@@ -34,7 +34,7 @@
 }
 
 void Pools::sweep(FleetView const& view) {
-  Moment const now = Clock::now();
+  TimePoint const now = Clock::now();
   for (std::map<string, vector<std::unique_ptr<WorkerConnection>>>::iterator i = idle_.begin(); i != idle_.end();) {
     std::erase_if(i->second, [&](std::unique_ptr<WorkerConnection> const& p) { return now >= p->keepUntil; });
     if (!view.find(i->first))
@@ -70,7 +70,10 @@
   std::array<std::uint64_t, 3> a{};
   if (p.size() != 3) return std::nullopt;
   for (int i = 0; i < 3; ++i)
-    if (!readNumber(p[static_cast<std::size_t>(i)], a[static_cast<std::size_t>(i)])) return std::nullopt;
+    if (std::optional<std::uint64_t> const n = parseNumber(p[static_cast<std::size_t>(i)]))
+      a[static_cast<std::size_t>(i)] = *n;
+    else
+      return std::nullopt;
   return a;
 }
 
@@ -88,18 +91,18 @@
 }
 
 Verdict Exchange::doubt() {
-  bool const timeUp = guard_ && guard_->fired();
+  bool const timeUp = guard_ && guard_->expired();
   cut();
   return timeUp ? Verdict::timeUp : Verdict::unclear;
 }
 
-Task<Verdict> Exchange::start(Ask const& q, string attempt, Moment until) {
+Task<Verdict> Exchange::start(Ask const& q, string attempt, TimePoint until) {
   // Without an id nothing but an unused connection tells whose an answer is.
   attempt_ = std::move(attempt);
   conn_ = attempt_.empty() ? pools_.create() : pools_.take(worker_, mayRepeat_, attempt_);
   fresh_ = !conn_->sock.is_open();
   if (!fresh_) idle_ = std::chrono::duration_cast<Ms>(Clock::now() - conn_->idleSince);
-  guard_ = std::make_unique<Guard>(pools_.io(), conn_->sock);
+  guard_ = std::make_unique<SocketDeadline>(pools_.io(), conn_->sock);
   if (fresh_) {
     bool const connected = co_await connect(until);
     if (!connected) {
@@ -107,24 +110,24 @@
       co_return Verdict::notSent;
     }
   }
-  guard_->until(until);
+  guard_->expireAt(until);
   Written const w = co_await write(q);
-  if (w == Written::nothing && !guard_->fired()) {
+  if (w == Written::nothing && !guard_->expired()) {
     cut();
     co_return Verdict::notSent;
   }
-  if (w == Written::part && !fresh_ && !guard_->fired()) pools_.age().reset(idle_);
+  if (w == Written::part && !fresh_ && !guard_->expired()) pools_.age().reset(idle_);
   if (w != Written::whole) co_return doubt();
   co_return co_await readAnswer(q, until);
 }
 
-Task<bool> Exchange::connect(Moment until) {
-  guard_->until(std::min(until, Clock::now() + Ms(pools_.settings().bounds.inTouch / 6)));
+Task<bool> Exchange::connect(TimePoint until) {
+  guard_->expireAt(std::min(until, Clock::now() + Ms(pools_.settings().bounds.inTouch / 6)));
   error_code e;
   tcp::endpoint const to(asio::ip::make_address(worker_.at.ip), static_cast<std::uint16_t>(worker_.at.port));
   co_await conn_->sock.async_connect(to, asio::redirect_error(asio::use_awaitable, e));
-  if (e || guard_->fired()) co_return false;
-  tune(conn_->sock, Ms(pools_.settings().bounds.inTouch));
+  if (e || guard_->expired()) co_return false;
+  setSocketOptions(conn_->sock, Ms(pools_.settings().bounds.inTouch));
   co_return true;
 }
 
@@ -153,12 +156,12 @@
 }
 
 /// Reads on to the head that belongs to the attempt, past late answers to others.
-Task<Verdict> Exchange::readAnswer(Ask const& q, Moment until) {
+Task<Verdict> Exchange::readAnswer(Ask const& q, TimePoint until) {
   constexpr int mostSkipped = 3;
   for (int n = 0; n <= mostSkipped; ++n) {
     error_code const e = co_await readHead(q);
     if (e) {
-      if (!fresh_ && !guard_->fired() && n == 0) pools_.age().reset(idle_);
+      if (!fresh_ && !guard_->expired() && n == 0) pools_.age().reset(idle_);
       co_return doubt();
     }
     Owner const owner = ownerOf(head(), attempt_, fresh_ && n == 0);
@@ -180,7 +183,7 @@
 }
 
 /// Reads an answer to its end and lets it go; true if another may follow on the connection.
-Task<bool> Exchange::skipAnswer(Moment until) {
+Task<bool> Exchange::skipAnswer(TimePoint until) {
   constexpr std::size_t mostBytes = 1u << 16;
   bool const goesOn = parser_->get().keep_alive();
   std::size_t bytes = 0;
@@ -194,7 +197,7 @@
   co_return p == Piece::whole&& goesOn;
 }
 
-Task<Piece> Exchange::read(string& out, Moment until) {
+Task<Piece> Exchange::read(string& out, TimePoint until) {
   if (!conn_) co_return Piece::broken;
   if (parser_->is_done()) co_return Piece::whole;
   // The message would call every answer that closes one without an end of its own, chunked ones too.
@@ -203,7 +206,7 @@
     co_return Piece::broken;
   }
   char b[8192];
-  guard_->until(until);
+  guard_->expireAt(until);
   parser_->get().body().data = b;
   parser_->get().body().size = sizeof b;
   parser_->get().body().more = true;
@@ -224,14 +227,14 @@
   if (!conn_ || !parser_ || !parser_->is_done()) return cut();
   guard_.reset();
   if (!parser_->get().keep_alive() || conn_->buf.size() || !conn_->sock.is_open()) return cut();
-  std::int64_t keep = pools_.settings().bounds.inTouch;
+  std::int64_t keep = pools_.settings().bounds.inTouch.count();
   string const k = headText("Keep-Alive");
   std::size_t const t = k.find("timeout=");
   if (t != string::npos) keep = 1000 * std::strtoll(k.c_str() + t + 8, nullptr, 10);
-  keep = std::min(keep - keep / 4, 4 * pools_.settings().bounds.inTouch);
+  keep = std::min(keep - keep / 4, 4 * pools_.settings().bounds.inTouch.count());
   if (keep <= 0) return cut();
   constexpr std::size_t mostFailed = 256;
-  if (status() >= 300) conn_->failed.push_back(hashOf(attempt_));
+  if (status() >= 300) conn_->failed.push_back(hash64(attempt_));
   if (conn_->failed.size() > mostFailed) return cut();
   conn_->keepUntil = Clock::now() + Ms(keep);
   pools_.give(worker_.id, std::move(conn_));
@@ -258,11 +261,10 @@
     string_view l = e.substr(0, p);
     e.remove_prefix(p == string_view::npos ? e.size() : p + 1);
     if (!l.empty() && l.back() == '\r') l.remove_suffix(1);
-    std::uint64_t n = 0;
     if (l.substr(0, 3) == "id:") {
       l.remove_prefix(l.size() > 3 && l[3] == ' ' ? 4 : 3);
-      if (readNumber(l, n)) {
-        last_ = n;
+      if (std::optional<std::uint64_t> const n = parseNumber(l)) {
+        last_ = *n;
         any_ = true;
       }
     } else if (data && l.substr(0, 5) == "data:") {
--- a/traffic/exchange.hpp
+++ b/traffic/exchange.hpp
@@ -15,7 +15,7 @@
   bool failedHere(string_view attempt) const;
   tcp::socket sock;
   beast::flat_buffer buf;
-  Moment keepUntil, idleSince;
+  TimePoint keepUntil, idleSince;
   vector<std::uint64_t> failed;  ///< hashes of attempts that were refused or failed on it and may come again
 };
 
@@ -93,7 +93,7 @@
   ~Exchange();
   /// Sends the request and reads the head of the answer that carries its id. Any doubt closes the
   /// connection and ends as unclear.
-  Task<Verdict> start(Ask const& q, string attempt, Moment until);
+  Task<Verdict> start(Ask const& q, string attempt, TimePoint until);
   http::fields const& head() const { return parser_->get().base(); }
   int status() const { return static_cast<int>(parser_->get().result_int()); }
   string headText(string_view name) const;
@@ -102,7 +102,7 @@
   /// Running, waiting and slots as the worker told them.
   std::optional<std::array<std::uint64_t, 3>> load() const;
   /// Reads some of the body.
-  Task<Piece> read(string& out, Moment until);
+  Task<Piece> read(string& out, TimePoint until);
   Worker const& worker() const { return worker_; }
   /// Ends the request; its connection is not used again.
   void cut();
@@ -113,11 +113,11 @@
  private:
   /// How the write of a request ended.
   enum class Written { whole, nothing, part, doubtful };
-  Task<bool> connect(Moment until);
+  Task<bool> connect(TimePoint until);
   Task<Written> write(Ask const& q);
   Task<error_code> readHead(Ask const& q);
-  Task<Verdict> readAnswer(Ask const& q, Moment until);
-  Task<bool> skipAnswer(Moment until);
+  Task<Verdict> readAnswer(Ask const& q, TimePoint until);
+  Task<bool> skipAnswer(TimePoint until);
   bool refused() const;
   /// Closes the connection; the verdict for a request of which something may have been sent.
   Verdict doubt();
@@ -125,7 +125,7 @@
   Pools& pools_;
   Worker worker_;
   std::unique_ptr<WorkerConnection> conn_;
-  std::unique_ptr<Guard> guard_;
+  std::unique_ptr<SocketDeadline> guard_;
   std::optional<http::response_parser<http::buffer_body>> parser_;
   string attempt_;
   bool mayRepeat_ = false, fresh_ = false;
--- a/updates/fleet_view.cpp
+++ b/updates/fleet_view.cpp
@@ -3,14 +3,14 @@
 namespace tealshelf {
 
 namespace {
-vector<Addr> controlsOf(Settings const& b) {
-  vector<Addr> v;
-  for (Addr const& s : b.seeds) v.push_back(b.controlAt(s.ip));
+vector<Address> controlsOf(Settings const& b) {
+  vector<Address> v;
+  for (Address const& s : b.seeds) v.push_back(b.controlAddress(s.ip));
   return v;
 }
 }  // namespace
 
-FleetView::FleetView(asio::io_context& io, Settings const& settings, Rpc& rpc, string role, Addr at)
+FleetView::FleetView(asio::io_context& io, Settings const& settings, RpcClient& rpc, string role, Address at)
     : io_(io),
       settings_(settings),
       rpc_(rpc),
@@ -19,7 +19,7 @@
           NodeRow{settings.nodeName, settings.zone, std::move(role), std::move(at),
                   static_cast<std::uint32_t>(1000 * settings.cpuFraction * static_cast<double>(settings.cpuCores))},
           UpdateNode::Times::of(settings.bounds), controlsOf(settings),
-          [&settings](string const& ip) { return settings.controlAt(ip); }, publisher_) {
+          [&settings](string const& ip) { return settings.controlAddress(ip); }, publisher_) {
   publisher_.proof = [this] { return node_.proof(Clock::now()); };
   node_.onRow = [this](TableRow const& b) {
     if (b.key[0] != 'w') return;
@@ -27,17 +27,17 @@
     if (b.gone)
       workers_.erase(b.key.substr(2));
     else
-      workers_[b.key.substr(2)] = unpacked<Worker>(b.value);
+      workers_[b.key.substr(2)] = deserialize<Worker>(b.value);
   };
 }
 
 void FleetView::start(RpcServer& server) {
   server.on<UpdateRequest>([this](UpdateRequest q) { return publisher_.serve(std::move(q)); });
-  spawn(io_, "updates", loop());
+  spawnTask(io_, "updates", loop());
 }
 
 Task<bool> FleetView::carryOut(UpdateNode::Plan p) {
-  Moment const sent = Clock::now();
+  TimePoint const sent = Clock::now();
   ++asks_;
   if (sent - tallied_ >= Ms(settings_.bounds.inTouch / 32)) {
     p.ask.tallies = publisher_.takeTallies();
@@ -45,7 +45,7 @@
   }
   UpdateReply r;
   try {
-    r = co_await rpc_.ask(p.at, p.ask, p.limit);
+    r = co_await rpc_.call(p.at, p.ask, p.limit);
   } catch (Error const&) {
     publisher_.addTallies(p.ask.tallies);
     throw;
@@ -56,48 +56,48 @@
     try {
       configuration_ = compileConfiguration(publisher_.configuration());
     } catch (Error const& x) {
-      warn("updates", x.what());
+      logWarning("updates", x.what());
     }
   }
   bool const updates = publisher_.configurationVersion() > had || !r.common.empty() || !r.zone.empty();
   if (good && publisher_.asking() && updates) publisher_.changed(Ms(0));
   if (onUpdate && updates) onUpdate();
   if (good && !updates && !r.wantChildren && Ms(r.heldMs) < p.hold / 2)
-    co_await pause(Ms(settings_.bounds.inTouch / 200));
+    co_await sleepFor(Ms(settings_.bounds.inTouch / 200));
   co_return good;
 }
 
-Task<void> FleetView::askOne(Addr at) {
+Task<void> FleetView::askOne(Address at) {
   asking_.insert(at);
   try {
     co_await carryOut(node_.firstPlan(at, Clock::now()));
   } catch (Error const& x) {
-    say(Level::debug, "updates", x.what());
+    logDebug("updates", x.what());
   }
   asking_.erase(at);
 }
 
 Task<void> FleetView::first() {
   while (!configuration_) {
-    for (Addr const& a : controls()) {
+    for (Address const& a : controls()) {
       if (configuration_) break;
       if (asking_.count(a)) continue;
-      spawn(io_, "first updates", askOne(a));
-      co_await pause(Ms(settings_.bounds.inTouch / 200));
+      spawnTask(io_, "first updates", askOne(a));
+      co_await sleepFor(Ms(settings_.bounds.inTouch / 200));
     }
-    co_await pause(Ms(settings_.bounds.inTouch / 100));
+    co_await sleepFor(Ms(settings_.bounds.inTouch / 100));
   }
 }
 
 Task<void> FleetView::loop() {
   co_await first();
   for (;;) {
-    if (node_.resting(Clock::now())) co_await pause(Ms(settings_.bounds.inTouch / 60));
+    if (node_.resting(Clock::now())) co_await sleepFor(Ms(settings_.bounds.inTouch / 60));
     UpdateNode::Plan const p = node_.plan(Clock::now());
     try {
       co_await carryOut(p);
     } catch (Error const& x) {
-      say(Level::debug, "updates", x.what());
+      logDebug("updates", x.what());
       node_.missed(p.at, Clock::now());
     }
   }
--- a/updates/fleet_view.hpp
+++ b/updates/fleet_view.hpp
@@ -8,7 +8,7 @@
 /// relay or a control node for updates, and relays it to others that ask here.
 class FleetView {
  public:
-  FleetView(asio::io_context& io, Settings const& settings, Rpc& rpc, string role, Addr at);
+  FleetView(asio::io_context& io, Settings const& settings, RpcClient& rpc, string role, Address at);
   void start(RpcServer& server);
   std::shared_ptr<Configuration const> configuration() const { return configuration_; }
   std::map<string, Worker> const& workers() const { return workers_; }
@@ -23,10 +23,10 @@
   /// True if the updates is fresh.
   bool near() const { return configuration_ && Clock::now() - node_.fresh() < Ms(settings_.bounds.inTouch / 3); }
   /// Control nodes to ask, those that failed lately last.
-  vector<Addr> controls() const { return node_.controls(Clock::now()); }
+  vector<Address> controls() const { return node_.controls(Clock::now()); }
   /// Tells how a call at a control node went.
-  void worked(Addr const& a) { node_.worked(a); }
-  void failed(Addr const& a) { node_.missed(a, Clock::now()); }
+  void worked(Address const& a) { node_.worked(a); }
+  void failed(Address const& a) { node_.missed(a, Clock::now()); }
   std::function<void()> onUpdate;
   /// Tells how a request at a worker went; it goes up with the next ask.
   void tally(string const& id, bool ok) { publisher_.addTallies({WorkerTally{id, ok ? 1.0 : 0.0, ok ? 0.0 : 1.0}}); }
@@ -40,20 +40,20 @@
   /// Asks the control nodes that are known, one after the other without waiting, until the first configuration is
   /// there.
   Task<void> first();
-  Task<void> askOne(Addr at);
+  Task<void> askOne(Address at);
   Task<bool> carryOut(UpdateNode::Plan p);
 
   asio::io_context& io_;
   Settings const& settings_;
-  Rpc& rpc_;
+  RpcClient& rpc_;
   UpdatePublisher publisher_;
   UpdateNode node_;
   std::shared_ptr<Configuration const> configuration_;
   std::map<string, Worker> workers_;
   mutable std::map<string, vector<Worker const*>> ready_;
   mutable std::uint64_t readyAt_ = 0;
-  std::set<Addr> asking_;
-  Moment tallied_;
+  std::set<Address> asking_;
+  TimePoint tallied_;
   std::uint64_t revision_ = 1, asks_ = 0;
 };
 
--- a/updates/messages.hpp
+++ b/updates/messages.hpp
@@ -24,7 +24,7 @@
 /// Asks for updates with the versions that the asker has; held until there is some.
 struct UpdateRequest {
   using Reply = UpdateReply;
-  static constexpr Method method = Method::updates;
+  static constexpr RpcMethod method = RpcMethod::updates;
   int form = updateFormat;
   NodeRow self;
   std::int64_t holdMs = 0;
--- a/updates/publisher.cpp
+++ b/updates/publisher.cpp
@@ -12,7 +12,7 @@
   });
 }
 
-void UpdatePublisher::note(UpdateRequest const& q, Moment now) {
+void UpdatePublisher::note(UpdateRequest const& q, TimePoint now) {
   if (q.self.name.empty()) return;
   Asker& a = askers_[q.self.name];
   a.self = q.self;
@@ -27,7 +27,7 @@
   }
   if (askers_.size() > 4 * Relays::fanOut && askers_.size() > held_.size() * 2)
     std::erase_if(askers_, [&](std::pair<string const, Asker> const& p) {
-      return now - p.second.at > Ms(2 * settings_.bounds.inTouch);
+      return now - p.second.at > Ms(2 * settings_.bounds.inTouch.count());
     });
 }
 
@@ -46,7 +46,7 @@
   return v;
 }
 
-vector<NodeRow> UpdatePublisher::heard(Moment now) const {
+vector<NodeRow> UpdatePublisher::heard(TimePoint now) const {
   vector<NodeRow> v;
   std::set<string> seen;
   for (std::pair<string const, Asker> const& p : askers_)
@@ -65,10 +65,11 @@
   std::map<std::pair<std::uint64_t, std::uint64_t>, string>::iterator const i = packed_.find(k);
   if (i != packed_.end()) return i->second;
   if (packed_.size() >= 16) packed_.clear();
-  return packed_[k] = packed(b.since(from));
+  return packed_[k] = serialize(b.since(from));
 }
 
-std::optional<UpdateReply> UpdatePublisher::answer(UpdateRequest const& q, Moment came, Moment now, bool crowded) {
+std::optional<UpdateReply> UpdatePublisher::answer(UpdateRequest const& q, TimePoint came, TimePoint now,
+                                                   bool crowded) {
   Proof const p = proof();
   UpdateReply r;
   r.healthy = p.healthy && !crowded;
@@ -77,7 +78,7 @@
   r.wantChildren = q.children && !q.hasList && askers_[q.self.name].children != q.children;
   bool const updates =
       version_ > q.configurationVersion || common.digest() != q.common || zone.digest() != q.zone || r.wantChildren;
-  bool const late = now >= came + Ms(std::min<std::int64_t>(q.holdMs, settings_.bounds.inTouch));
+  bool const late = now >= came + Ms(std::min<std::int64_t>(q.holdMs, settings_.bounds.inTouch.count()));
   if (!late && !(r.healthy ? updates : !q.first)) return std::nullopt;
   r.ageMs = std::clamp<std::int64_t>(std::chrono::duration_cast<Ms>(now - p.fresh).count(), 0, 1000 * 1000 * 1000);
   r.heldMs = std::chrono::duration_cast<Ms>(now - came).count();
@@ -95,15 +96,15 @@
 }
 
 Task<UpdateReply> UpdatePublisher::serve(UpdateRequest q) {
-  if (q.form != updateFormat) throw Error(Code::badMessage, "form of updates " + std::to_string(q.form));
-  Moment const came = Clock::now();
+  if (q.form != updateFormat) throw Error(ErrorCode::badMessage, "form of updates " + std::to_string(q.form));
+  TimePoint const came = Clock::now();
   note(q, came);
   bool const crowded = most_ && held_.size() >= most_;
   for (;;) {
     std::optional<UpdateReply> r = answer(q, came, Clock::now(), crowded);
     if (r) co_return std::move(*r);
     std::shared_ptr<asio::steady_timer> const t = std::make_shared<asio::steady_timer>(
-        io_, came + Ms(std::min<std::int64_t>(q.holdMs, settings_.bounds.inTouch)));
+        io_, came + Ms(std::min<std::int64_t>(q.holdMs, settings_.bounds.inTouch.count())));
     held_.insert(t);
     error_code e;
     co_await t->async_wait(asio::redirect_error(asio::use_awaitable, e));
--- a/updates/publisher.hpp
+++ b/updates/publisher.hpp
@@ -12,7 +12,7 @@
   struct Proof {
     bool healthy = false;
     int depth = 0;
-    Moment fresh;  ///< when control last had a majority, as far as known here
+    TimePoint fresh;  ///< when control last had a majority, as far as known here
   };
   /// Holds at most so many asks at once; 0: no bound.
   UpdatePublisher(asio::io_context& io, Settings const& settings, std::size_t most)
@@ -29,13 +29,13 @@
   /// Wakes held asks, after a moment in which more updates may come.
   void changed(Ms gather);
   /// Notes who asks.
-  void note(UpdateRequest const& q, Moment now);
+  void note(UpdateRequest const& q, TimePoint now);
   /// The answer to an ask if it is due now: there is updates, or the time is up, or there is no health.
-  std::optional<UpdateReply> answer(UpdateRequest const& q, Moment came, Moment now, bool crowded);
+  std::optional<UpdateReply> answer(UpdateRequest const& q, TimePoint came, TimePoint now, bool crowded);
   /// Answers an ask as soon as there is updates for it.
   Task<UpdateReply> serve(UpdateRequest q);
   /// Nodes that asked here lately, and those that asked at them.
-  vector<NodeRow> heard(Moment now) const;
+  vector<NodeRow> heard(TimePoint now) const;
   /// How requests at workers went, as told by the askers since the last call.
   vector<WorkerTally> takeTallies();
   /// Puts back what couldn't be passed on.
@@ -47,7 +47,7 @@
  private:
   struct Asker {
     NodeRow self;
-    Moment at;
+    TimePoint at;
     std::uint64_t children = 0;
     vector<NodeRow> list;
   };
--- a/updates/relays.cpp
+++ b/updates/relays.cpp
@@ -15,7 +15,7 @@
   if (zone.size() <= fanOut) return {};
   vector<std::tuple<int, std::uint64_t, std::size_t>> order;
   for (std::size_t i = 0; i < zone.size(); ++i)
-    order.emplace_back(-strength(zone[i]), hashOf(zone[i].name, hashOf(zone[i].zone)), i);
+    order.emplace_back(-strength(zone[i]), hash64(zone[i].name, hash64(zone[i].zone)), i);
   std::sort(order.begin(), order.end());
   vector<NodeRow> r;
   for (std::size_t i = 0; i < (zone.size() + fanOut - 1) / fanOut; ++i) r.push_back(zone[std::get<2>(order[i])]);
@@ -32,14 +32,14 @@
   }
   vector<NodeRow> r = relays;
   std::sort(r.begin(), r.end(), [&](NodeRow const& a, NodeRow const& b) {
-    return hashOf(a.name, hashOf(self)) > hashOf(b.name, hashOf(self));
+    return hash64(a.name, hash64(self)) > hash64(b.name, hash64(self));
   });
   return r;
 }
 
 std::uint64_t Relays::digest(vector<NodeRow> const& l) {
   std::uint64_t d = 0;
-  for (NodeRow const& n : l) d += hashOf(n.name + "/" + n.zone + "/" + n.role + "/" + n.at.text(), n.cpu);
+  for (NodeRow const& n : l) d += hash64(n.name + "/" + n.zone + "/" + n.role + "/" + n.at.text(), n.cpu);
   return l.empty() ? 0 : d | 1;
 }
 
--- a/updates/sources.hpp
+++ b/updates/sources.hpp
@@ -8,28 +8,28 @@
 class Sources {
  public:
   Sources(Ms base, std::uint64_t dice) : base_(base), dice_(dice) {}
-  void set(vector<Addr> parents, vector<Addr> controls);
+  void set(vector<Address> parents, vector<Address> controls);
   /// The first that doesn't rest, relays before control nodes; else the one that rests least.
-  Addr next(Moment now) const;
+  Address next(TimePoint now) const;
   /// True if all rest, so that the asker should pause.
-  bool resting(Moment now) const;
-  bool isParent(Addr const& a) const { return std::find(parents_.begin(), parents_.end(), a) != parents_.end(); }
+  bool resting(TimePoint now) const;
+  bool isParent(Address const& a) const { return std::find(parents_.begin(), parents_.end(), a) != parents_.end(); }
   std::size_t parents() const { return parents_.size(); }
-  void worked(Addr const& a) { rows_.erase(a); }
-  void failed(Addr const& a, Moment now);
+  void worked(Address const& a) { rows_.erase(a); }
+  void failed(Address const& a, TimePoint now);
   /// Control nodes, those that rest last.
-  vector<Addr> controls(Moment now) const;
+  vector<Address> controls(TimePoint now) const;
 
  private:
   struct Row {
     int fails = 0;
-    Moment until;
+    TimePoint until;
   };
-  bool rests(Addr const& a, Moment now) const;
+  bool rests(Address const& a, TimePoint now) const;
   Ms base_;
   std::uint64_t dice_;
-  vector<Addr> parents_, controls_;
-  std::map<Addr, Row> rows_;
+  vector<Address> parents_, controls_;
+  std::map<Address, Row> rows_;
 };
 
 /// What a node has of the updates, kept in its publisher so that it can serve it on.
@@ -42,18 +42,18 @@
       : publisher_(publisher), zone_(std::move(zone)), slack_(slack) {}
   /// Takes an answer in whose ask was sent at a moment. Content of an older proof than what is
   /// here, by more than a slack for the network, is refused; a configuration never goes back.
-  Verdict take(UpdateReply const& r, Moment sent, std::function<void(TableRow const&)> const& onCommon,
+  Verdict take(UpdateReply const& r, TimePoint sent, std::function<void(TableRow const&)> const& onCommon,
                std::function<void(TableRow const&)> const& onZone);
   /// The versions to ask with; after a gap a whole copy is asked for.
   void versions(UpdateRequest& q) const;
-  Moment fresh() const { return fresh_; }
+  TimePoint fresh() const { return fresh_; }
   int depth() const { return depth_; }
 
  private:
   UpdatePublisher& publisher_;
   string zone_;
   Ms slack_;
-  Moment fresh_;
+  TimePoint fresh_;
   int depth_ = 0;
   bool gap_ = false;
 };
--- a/updates/update_node.cpp
+++ b/updates/update_node.cpp
@@ -2,7 +2,7 @@
 
 namespace tealshelf {
 
-UpdateNode::UpdateNode(NodeRow self, Times t, vector<Addr> seeds, std::function<Addr(string const&)> controlAt,
+UpdateNode::UpdateNode(NodeRow self, Times t, vector<Address> seeds, std::function<Address(string const&)> controlAt,
                        UpdatePublisher& publisher)
     : self_(std::move(self)),
       times_(t),
@@ -10,7 +10,7 @@
       controlAt_(std::move(controlAt)),
       publisher_(publisher),
       copy_(publisher, self_.zone, t.inTouch / 40),
-      sources_(t.inTouch / 4, hashOf(self_.name)) {
+      sources_(t.inTouch / 4, hash64(self_.name)) {
   arrange();
 }
 
@@ -18,20 +18,20 @@
 void UpdateNode::arrange() {
   vector<NodeRow> zone;
   for (std::pair<string const, string> const& p : publisher_.zones[self_.zone].rows())
-    zone.push_back(unpacked<NodeRow>(p.second));
+    zone.push_back(deserialize<NodeRow>(p.second));
   vector<NodeRow> const relays = Relays::of(zone);
   bool control = false;
-  vector<Addr> near, far, parents;
+  vector<Address> near, far, parents;
   for (std::pair<string const, Member> const& p : members_) {
     control = control || p.second.zone == self_.zone;
     (p.second.zone == self_.zone ? near : far).push_back(controlAt_(p.second.ip));
   }
-  for (vector<Addr>* const l : {&near, &far})
-    std::sort(l->begin(), l->end(), [this](Addr const& a, Addr const& b) {
-      return hashOf(self_.name, hashOf(a.ip)) < hashOf(self_.name, hashOf(b.ip));
+  for (vector<Address>* const l : {&near, &far})
+    std::sort(l->begin(), l->end(), [this](Address const& a, Address const& b) {
+      return hash64(self_.name, hash64(a.ip)) < hash64(self_.name, hash64(b.ip));
     });
   near.insert(near.end(), far.begin(), far.end());
-  for (Addr const& a : seeds_)
+  for (Address const& a : seeds_)
     if (std::find(near.begin(), near.end(), a) == near.end()) near.push_back(a);
   bool relay = false;
   for (NodeRow const& r : relays) relay = relay || r.name == self_.name;
@@ -39,12 +39,12 @@
   for (NodeRow const& r : Relays::parents(self_.name, relays, control))
     if (parents.size() < 2) parents.push_back(r.at);
   if (relay != relay_)
-    say(Level::info, "updates", relay ? "this node relays updates to its zone" : "this node no longer relays updates");
+    logInfo("updates", relay ? "this node relays updates to its zone" : "this node no longer relays updates");
   relay_ = relay;
   sources_.set(std::move(parents), std::move(near));
 }
 
-UpdateRequest UpdateNode::ask(Moment now, Ms hold, bool first) {
+UpdateRequest UpdateNode::ask(TimePoint now, Ms hold, bool first) {
   UpdateRequest q;
   q.self = self_;
   q.holdMs = hold.count();
@@ -57,7 +57,7 @@
   return q;
 }
 
-UpdateNode::Plan UpdateNode::plan(Moment now) {
+UpdateNode::Plan UpdateNode::plan(TimePoint now) {
   Plan p;
   p.at = sources_.next(now);
   p.parent = sources_.isParent(p.at);
@@ -69,7 +69,7 @@
   return p;
 }
 
-UpdateNode::Plan UpdateNode::firstPlan(Addr at, Moment now) {
+UpdateNode::Plan UpdateNode::firstPlan(Address at, TimePoint now) {
   Plan p;
   p.at = std::move(at);
   p.hold = times_.inTouch / 8;
@@ -78,7 +78,7 @@
   return p;
 }
 
-bool UpdateNode::got(Plan const& p, UpdateReply const& r, Moment sent, Moment now) {
+bool UpdateNode::got(Plan const& p, UpdateReply const& r, TimePoint sent, TimePoint now) {
   bool fleet = false;
   wantsList_ = r.wantChildren;
   UpdateCopy::Verdict const v = copy_.take(
@@ -89,13 +89,13 @@
           if (b.gone)
             members_.erase(b.key.substr(2));
           else
-            members_[b.key.substr(2)] = unpacked<Member>(b.value);
+            members_[b.key.substr(2)] = deserialize<Member>(b.value);
         }
         if (onRow) onRow(b);
       },
       [&](TableRow const&) { fleet = true; });
   if (fleet) arrange();
-  if (v == UpdateCopy::Verdict::gap) say(Level::debug, "updates", p.at.text() + " gave a delta for another content");
+  if (v == UpdateCopy::Verdict::gap) logDebug("updates", p.at.text() + " gave a delta for another content");
   bool const good = v == UpdateCopy::Verdict::gap ||
                     (v == UpdateCopy::Verdict::taken && (!p.parent || now - copy_.fresh() <= times_.tooOld));
   // A relay that answers but doesn't hear from control itself is left in time.
--- a/updates/update_node.hpp
+++ b/updates/update_node.hpp
@@ -16,39 +16,39 @@
   };
   /// What shall be asked of whom.
   struct Plan {
-    Addr at;
+    Address at;
     bool parent = false;
     Ms hold{0}, limit{0};
     UpdateRequest ask;
   };
-  UpdateNode(NodeRow self, Times t, vector<Addr> seeds, std::function<Addr(string const&)> controlAt,
+  UpdateNode(NodeRow self, Times t, vector<Address> seeds, std::function<Address(string const&)> controlAt,
              UpdatePublisher& publisher);
   /// A worker changed, or a control node did.
   std::function<void(TableRow const&)> onRow;
-  Plan plan(Moment now);
+  Plan plan(TimePoint now);
   /// The ask with which a node that knows nothing begins, at any control node.
-  Plan firstPlan(Addr at, Moment now);
+  Plan firstPlan(Address at, TimePoint now);
   /// An answer came; true if its sender may be asked on.
-  bool got(Plan const& p, UpdateReply const& r, Moment sent, Moment now);
+  bool got(Plan const& p, UpdateReply const& r, TimePoint sent, TimePoint now);
   /// No answer came in time.
-  void missed(Addr const& at, Moment now) { sources_.failed(at, now); }
-  void worked(Addr const& at) { sources_.worked(at); }
-  bool resting(Moment now) const { return sources_.resting(now); }
-  vector<Addr> controls(Moment now) const { return sources_.controls(now); }
-  Moment fresh() const { return copy_.fresh(); }
+  void missed(Address const& at, TimePoint now) { sources_.failed(at, now); }
+  void worked(Address const& at) { sources_.worked(at); }
+  bool resting(TimePoint now) const { return sources_.resting(now); }
+  vector<Address> controls(TimePoint now) const { return sources_.controls(now); }
+  TimePoint fresh() const { return copy_.fresh(); }
   bool relays() const { return relay_; }
   /// What this node can say for the updates that it relays.
-  UpdatePublisher::Proof proof(Moment now) const {
+  UpdatePublisher::Proof proof(TimePoint now) const {
     return {publisher_.configurationVersion() && now - copy_.fresh() < times_.tooOld, copy_.depth(), copy_.fresh()};
   }
 
  private:
   void arrange();
-  UpdateRequest ask(Moment now, Ms hold, bool first);
+  UpdateRequest ask(TimePoint now, Ms hold, bool first);
   NodeRow self_;
   Times times_;
-  vector<Addr> seeds_;
-  std::function<Addr(string const&)> controlAt_;
+  vector<Address> seeds_;
+  std::function<Address(string const&)> controlAt_;
   UpdatePublisher& publisher_;
   UpdateCopy copy_;
   Sources sources_;
--- a/updates/versioned_table.cpp
+++ b/updates/versioned_table.cpp
@@ -3,7 +3,7 @@
 namespace tealshelf {
 
 std::uint64_t VersionedTable::weigh(string const& key, string const& value) {
-  return hashOf(value, hashOf(key, key.size()));
+  return hash64(value, hash64(key, key.size()));
 }
 
 void VersionedTable::note(string const& key) {
--- a/wire/frames.hpp
+++ b/wire/frames.hpp
@@ -1,14 +1,13 @@
 #pragma once
 #include "wire/rpc.hpp"
 
-/// Frames of the links between the system's own processes, used by both ends.
+/// Frames of the connections between the system's own processes, used by both ends.
 namespace tealshelf::wire {
 
-inline constexpr std::size_t headBytes = 4 + 8 + 2 + 1;
-inline constexpr std::size_t mostBytes = 64u << 20;
-inline constexpr std::size_t mostAtOnce = 1u << 18;  ///< bytes that are written in one go, but for a larger frame
-/// What a frame is.
-enum class Sort : std::uint8_t { call = 0, reply = 1, error = 2, cast = 3, hello = 4, welcome = 5 };
+inline constexpr std::size_t maxFrameBytes = 64u << 20;
+inline constexpr std::size_t maxBatchBytes = 1u << 18;  ///< written in one go, but for a larger frame
+
+enum class FrameKind : std::uint8_t { call = 0, reply = 1, error = 2, message = 3, hello = 4, welcome = 5 };
 
 /// An error as it goes over the wire.
 struct WireError {
@@ -17,78 +16,88 @@
   MSGPACK_DEFINE(code, text)
 };
 
-/// Head of a frame.
-struct Head {
-  std::uint32_t size = 0;
-  std::uint64_t id = 0;
+struct FrameHeader {
+  static constexpr std::size_t bytes = 4 + 8 + 2 + 1;
+  std::uint32_t bodySize = 0;
+  std::uint64_t callId = 0;  ///< 0 in messages without an answer
   std::uint16_t method = 0;
-  Sort sort = Sort::call;
+  FrameKind kind = FrameKind::call;
 };
-/// One frame: a head and a body.
-inline string frame(std::uint64_t id, std::uint16_t m, Sort s, string_view body) {
-  string f(headBytes, '\0');
-  std::uint32_t const n = static_cast<std::uint32_t>(body.size());
-  std::memcpy(&f[0], &n, 4);
-  std::memcpy(&f[4], &id, 8);
-  std::memcpy(&f[12], &m, 2);
-  f[14] = static_cast<char>(s);
-  f.append(body);
-  return f;
+
+/// A frame as it goes over the wire: the header's fields in the order of their declaration, then the body.
+inline string encodeFrame(std::uint64_t callId, RpcMethod method, FrameKind kind, string_view body) {
+  string frame(FrameHeader::bytes, '\0');
+  std::uint32_t const size = static_cast<std::uint32_t>(body.size());
+  std::uint16_t const number = static_cast<std::uint16_t>(method);
+  std::memcpy(&frame[0], &size, 4);
+  std::memcpy(&frame[4], &callId, 8);
+  std::memcpy(&frame[12], &number, 2);
+  frame[14] = static_cast<char>(kind);
+  frame.append(body);
+  return frame;
 }
+
 /// The frame that answers a call with an error.
-inline string errorFrame(std::uint64_t id, Method m, Error const& x) {
-  string const body = packed(WireError{static_cast<int>(x.code()), x.what()});
-  return frame(id, static_cast<std::uint16_t>(m), Sort::error, body);
+inline string encodeError(std::uint64_t callId, RpcMethod method, Error const& error) {
+  string const body = serialize(WireError{static_cast<int>(error.code()), error.what()});
+  return encodeFrame(callId, method, FrameKind::error, body);
 }
-inline Head readHead(char const* p) {
-  Head h;
-  std::memcpy(&h.size, p, 4);
-  std::memcpy(&h.id, p + 4, 8);
-  std::memcpy(&h.method, p + 12, 2);
-  h.sort = static_cast<Sort>(p[14]);
-  return h;
+
+inline FrameHeader decodeHeader(char const* bytes) {
+  FrameHeader header;
+  std::memcpy(&header.bodySize, bytes, 4);
+  std::memcpy(&header.callId, bytes + 4, 8);
+  std::memcpy(&header.method, bytes + 12, 2);
+  header.kind = static_cast<FrameKind>(bytes[14]);
+  return header;
 }
-/// Reads frames off a socket with as few calls as possible.
+
+/// Reads frames off a socket with as few reads as possible.
 class FrameReader {
  public:
-  Task<bool> next(tcp::socket& s, Head& h, string& body) {
-    bool ok = co_await fill(s, headBytes);
-    if (!ok) co_return false;
-    h = readHead(buf_.data() + at_);
-    at_ += headBytes;
-    if (h.size > mostBytes) co_return false;
-    ok = co_await fill(s, h.size);
-    if (!ok) co_return false;
-    body.assign(buf_, at_, h.size);
-    at_ += h.size;
-    if (at_ == buf_.size()) {
-      buf_.clear();
-      at_ = 0;
-      if (buf_.capacity() > (1u << 16)) buf_.shrink_to_fit();
-    }
+  /// False if the connection ended, or the frame is too large.
+  Task<bool> next(tcp::socket& socket, FrameHeader& header, string& body) {
+    bool available = co_await fill(socket, FrameHeader::bytes);
+    if (!available) co_return false;
+    header = decodeHeader(buffer_.data() + position_);
+    position_ += FrameHeader::bytes;
+    if (header.bodySize > maxFrameBytes) co_return false;
+    available = co_await fill(socket, header.bodySize);
+    if (!available) co_return false;
+    body.assign(buffer_, position_, header.bodySize);
+    position_ += header.bodySize;
+    if (position_ == buffer_.size()) releaseBuffer();
     co_return true;
   }
 
  private:
-  Task<bool> fill(tcp::socket& s, std::size_t n) {
-    while (buf_.size() - at_ < n) {
-      if (at_) {
-        buf_.erase(0, at_);
-        at_ = 0;
-      }
-      std::size_t const had = buf_.size();
-      std::size_t const room = std::max<std::size_t>(4096, n - had);
-      buf_.resize(had + room);
-      error_code e;
-      std::size_t const got =
-          co_await s.async_read_some(asio::buffer(&buf_[had], room), asio::redirect_error(asio::use_awaitable, e));
-      buf_.resize(had + got);
-      if (e) co_return false;
+  static constexpr std::size_t minRead = 4096;
+  static constexpr std::size_t maxIdleBuffer = 1u << 16;
+
+  void releaseBuffer() {
+    buffer_.clear();
+    position_ = 0;
+    if (buffer_.capacity() > maxIdleBuffer) buffer_.shrink_to_fit();
+  }
+
+  Task<bool> fill(tcp::socket& socket, std::size_t wanted) {
+    while (buffer_.size() - position_ < wanted) {
+      buffer_.erase(0, position_);
+      position_ = 0;
+      std::size_t const present = buffer_.size();
+      std::size_t const room = std::max(minRead, wanted - present);
+      buffer_.resize(present + room);
+      error_code error;
+      std::size_t const received = co_await socket.async_read_some(asio::buffer(&buffer_[present], room),
+                                                                   asio::redirect_error(asio::use_awaitable, error));
+      buffer_.resize(present + received);
+      if (error) co_return false;
     }
     co_return true;
   }
-  string buf_;
-  std::size_t at_ = 0;
+
+  string buffer_;
+  std::size_t position_ = 0;
 };
 
 }  // namespace tealshelf::wire
--- a/wire/http.hpp
+++ b/wire/http.hpp
@@ -1,72 +1,49 @@
 #pragma once
-#include "base/tealshelf.hpp"
+#include "wire/listener.hpp"
 
 namespace tealshelf {
 
+using HttpRequest = http::request<http::string_body>;
+
 /// A call at a resource of ours.
-struct Call {
+struct HttpCall {
   string verb, path, body;
-  http::fields heads;
-  string head(string_view name) const {
-    beast::string_view const v = heads[beast::string_view(name.data(), name.size())];
-    return string(v.data(), v.size());
-  }
+  http::fields headers;
+  /// A header; "" if there is none of that name.
+  string header(string_view name) const;
 };
-struct CallAnswer {
+
+/// An answer of our own.
+struct HttpReply {
   int status = 200;
-  string body, type = "application/json";
-  vector<std::pair<string, string>> heads;
+  string body, contentType = "application/json";
+  vector<std::pair<string, string>> headers;
 };
-using CallHandler = std::function<Task<CallAnswer>(Call)>;
+using HttpHandler = std::function<Task<HttpReply>(HttpCall)>;
 
 /// Answers an error as JSON with its code.
-CallAnswer answerOf(Error const& x);
+HttpReply errorReply(Error const& error);
+http::response<http::string_body> makeResponse(HttpReply reply, unsigned httpVersion, bool keepAlive);
 
 /// A small server for the calls of workers, operators and the platform.
 class HttpServer {
  public:
-  HttpServer(asio::io_context& io, Addr at, CallHandler h, std::uint64_t bodyLimit, Ms idle);
+  /// Closes connections that are idle, or take to read or write a message, for longer than `idleLimit`.
+  HttpServer(asio::io_context& io, Address const& address, HttpHandler handler, std::uint64_t maxBodyBytes,
+             Ms idleLimit);
   void start();
-  void stop() {
-    error_code e;
-    acceptor_.close(e);
-  }
+  void stop() { listener_.stop(); }
 
  private:
-  Task<void> take();
-  Task<void> serve(std::shared_ptr<tcp::socket> s);
-  asio::io_context& io_;
-  CallHandler handler_;
-  std::uint64_t bodyLimit_;
-  Ms idle_;
-  tcp::acceptor acceptor_;
-};
+  using Parser = http::request_parser<http::string_body>;
+  Task<void> serve(std::shared_ptr<tcp::socket> socket);
+  Task<HttpReply> handle(HttpRequest& request);
 
-/// Closes a socket when the time is up unless it is told to hold.
-class Guard {
- public:
-  Guard(asio::io_context& io, tcp::socket& s) : state_(std::make_shared<State>(io, s)) {}
-  ~Guard() {
-    state_->sock = nullptr;
-    state_->timer.cancel();
-  }
-  Guard(Guard const&) = delete;
-  void until(Moment m);
-  void hold() {
-    state_->timer.cancel();
-    ++state_->turn;
-  }
-  bool fired() const { return state_->fired; }
-
- private:
-  struct State {
-    State(asio::io_context& io, tcp::socket& s) : timer(io), sock(&s) {}
-    asio::steady_timer timer;
-    tcp::socket* sock;
-    bool fired = false;
-    std::uint64_t turn = 0;
-  };
-  std::shared_ptr<State> state_;
+  asio::io_context& io_;
+  HttpHandler handler_;
+  std::uint64_t maxBodyBytes_;
+  Ms idleLimit_;
+  Listener listener_;
 };
 
 }  // namespace tealshelf
--- /dev/null
+++ b/wire/listener.cpp
@@ -0,0 +1,39 @@
+#include "wire/listener.hpp"
+
+namespace tealshelf {
+
+namespace {
+/// The pause after a connection that couldn't be accepted, for example for lack of descriptors.
+constexpr Ms pauseAfterFailure{10};
+}  // namespace
+
+Listener::Listener(asio::io_context& io, Address const& address, int backlog) : io_(io), acceptor_(io) {
+  tcp::endpoint const endpoint = endpointOf(address);
+  acceptor_.open(endpoint.protocol());
+  acceptor_.set_option(tcp::acceptor::reuse_address(true));
+  acceptor_.bind(endpoint);
+  acceptor_.listen(backlog);
+}
+
+void Listener::start(string taskName, ConnectionHandler handler) {
+  spawnTask(io_, std::move(taskName), acceptLoop(std::move(handler)));
+}
+
+void Listener::stop() {
+  error_code ignored;
+  acceptor_.close(ignored);
+}
+
+Task<void> Listener::acceptLoop(ConnectionHandler handler) {
+  while (acceptor_.is_open()) {
+    error_code error;
+    tcp::socket socket = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, error));
+    if (error == asio::error::operation_aborted) co_return;
+    if (error)
+      co_await sleepFor(pauseAfterFailure);
+    else
+      handler(std::move(socket));
+  }
+}
+
+}  // namespace tealshelf
--- a/wire/rpc.hpp
+++ b/wire/rpc.hpp
@@ -1,10 +1,12 @@
 #pragma once
-#include "base/tealshelf.hpp"
+#include "wire/listener.hpp"
+#include "wire/serialization.hpp"
 
+/// Calls between the system's own processes. The protocol: docs/formats.md.
 namespace tealshelf {
 
-/// Messages between the system's own processes; the number is the wire's.
-enum class Method : std::uint16_t {
+/// Calls by their number on the wire. Numbers of calls that are gone (11, 47, 60, 61) are not used again.
+enum class RpcMethod : std::uint16_t {
   consensusMessages = 1,
   heartbeat = 2,
   hello = 3,
@@ -12,51 +14,27 @@
   join = 5,
   updates = 6,
   forwardCall = 10,
-  beatRelay = 11,
-  storeBeat = 20,
-  storeFence = 21,
-  lotOpen = 30,
-  lotAccept = 31,
-  lotFind = 32,
-  lotEnd = 33,
-  relyCount = 34,
-  segCreate = 40,
-  segAppend = 41,
-  segInspect = 42,
-  segSettle = 43,
-  segCopy = 44,
-  segRead = 45,
-  segItem = 46,
-  segDrop = 47,
-  segFetch = 48,
-  lotStart = 49,
-  segConfirm = 50,
-  believe = 60,
-  crowding = 61
+  storeHeartbeat = 20,
+  fenceStore = 21,
+  openLot = 30,
+  acceptLot = 31,
+  findLot = 32,
+  endLot = 33,
+  countRelyingLots = 34,
+  createReplica = 40,
+  appendResults = 41,
+  inspectReplica = 42,
+  settleReplica = 43,
+  copyReplica = 44,
+  readResults = 45,
+  readItem = 46,
+  fetchReplica = 48,
+  startLot = 49,
+  confirmReplicas = 50
 };
 
-/// Packs a value for the wire or the disk.
-template <class T>
-string packed(T const& t) {
-  msgpack::sbuffer b;
-  msgpack::pack(b, t);
-  return string(b.data(), b.size());
-}
-/// Reads a packed value; throws badMessage.
-template <class T>
-T unpacked(string_view s) {
-  try {
-    msgpack::object_handle const h = msgpack::unpack(s.data(), s.size());
-    return h.get().as<T>();
-  } catch (msgpack::unpack_error const&) {
-    throw Error(Code::badMessage);
-  } catch (std::bad_cast const&) {
-    throw Error(Code::badMessage);
-  }
-}
-
 /// A reply without content.
-struct Done {
+struct Acknowledgement {
   bool ok = true;
   MSGPACK_DEFINE(ok)
 };
@@ -64,105 +42,99 @@
 /// Version of what is spoken between the system's own processes; both ends must have the same one.
 constexpr std::uint32_t protocolVersion = 2;
 
-/// First frame of a connection, sent along with the first call: who is wanted. Nothing that follows it is
-/// handled unless it fits.
-struct LinkHello {
+/// First frame of a connection, sent along with the first call: who is wanted. Nothing that follows it is handled
+/// unless it fits.
+struct ConnectionHello {
   std::uint32_t version = protocolVersion;
-  Addr wanted;                    ///< the address that the caller means to reach
-  std::uint64_t incarnation = 0;  ///< of the calling process
-  MSGPACK_DEFINE(version, wanted, incarnation)
+  Address wanted;               ///< the address that the caller means to reach
+  std::uint64_t processId = 0;  ///< of the calling process
+  MSGPACK_DEFINE(version, wanted, processId)
 };
 /// First frame of the way back, sent along with the first answer: who answers.
-struct LinkWelcome {
+struct ConnectionWelcome {
   std::uint32_t version = protocolVersion;
-  Addr self;
-  std::uint64_t incarnation = 0;  ///< drawn anew at each start of the process
-  MSGPACK_DEFINE(version, self, incarnation)
+  Address self;
+  std::uint64_t processId = 0;  ///< drawn anew at each start of the process
+  MSGPACK_DEFINE(version, self, processId)
 };
 
-/// A connection to one other process, opened when first used and again after a breakdown.
-class Link;
+/// A connection to one other process, opened when first used and again after it broke.
+class RpcLink;
 
 /// All connections of this process to others.
-class Rpc {
+///
+/// Errors: an answer of the other side throws the error that the other side threw; notConnected says that nothing was
+/// sent; timedOut and connectionLost leave open whether the call was handled.
+class RpcClient {
  public:
-  Rpc(asio::io_context& io, Ms silence);
-  ~Rpc();
-  /// Sends a call and waits for its answer.
-  Task<string> call(Addr to, Method m, string body, Ms limit);
-  /// Sends a message that has no answer; it may be lost.
-  void cast(Addr const& to, Method m, string body);
-  /// Not a coroutine itself, so that no message has to live in the caller's frame.
-  template <class Q>
-  Task<typename Q::Reply> ask(Addr const& to, Q const& q, Ms limit) {
-    return typed<typename Q::Reply>(to, Q::method, packed(q), limit);
+  /// Connections end after so long a silence of the other side.
+  RpcClient(asio::io_context& io, Ms silenceTimeout);
+  ~RpcClient();
+  /// Sends a call and waits for its answer. Not a coroutine itself, so that no message has to live in the caller's
+  /// frame.
+  template <class Request>
+  Task<typename Request::Reply> call(Address const& to, Request const& request, Ms limit) {
+    return callTyped<typename Request::Reply>(to, Request::method, serialize(request), limit);
   }
-  template <class Q>
-  void tellTo(Addr const& to, Q const& q) {
-    cast(to, Q::method, packed(q));
+  /// Sends a message that has no answer; it may be lost.
+  template <class Request>
+  void send(Address const& to, Request const& message) {
+    sendRaw(to, Request::method, serialize(message));
   }
-  asio::io_context& io() { return io_; }
-  /// Incarnation of the process that answered last at an address; 0 if none did.
-  std::uint64_t incarnationAt(Addr const& to) const;
+  Task<string> callRaw(Address to, RpcMethod method, string body, Ms limit);
+  void sendRaw(Address const& to, RpcMethod method, string body);
+  /// The process that answered last at an address; 0 if none did.
+  std::uint64_t processAt(Address const& to) const;
 
  private:
-  std::shared_ptr<Link> const& linkTo(Addr const& to);
-  template <class R>
-  Task<R> typed(Addr to, Method m, string body, Ms limit) {
-    string const r = co_await call(to, m, std::move(body), limit);
-    co_return unpacked<R>(r);
+  std::shared_ptr<RpcLink> const& linkTo(Address const& to);
+  template <class Reply>
+  Task<Reply> callTyped(Address to, RpcMethod method, string body, Ms limit) {
+    string const reply = co_await callRaw(to, method, std::move(body), limit);
+    co_return deserialize<Reply>(reply);
   }
   asio::io_context& io_;
-  Ms silence_;
-  std::uint64_t incarnation_ = randomId();
-  std::map<Addr, std::shared_ptr<Link>> links_;
+  Ms silenceTimeout_;
+  std::uint64_t processId_ = randomId();
+  std::map<Address, std::shared_ptr<RpcLink>> links_;
 };
 
-/// Handles one message; what it returns is the answer.
-using Handler = std::function<Task<string>(string)>;
-
-/// Takes the messages of other processes. A connection begins with a LinkHello that names this server's
-/// address and the same version; any other is refused by number before anything on it is handled.
+/// Takes the calls of other processes. A connection begins with a ConnectionHello that names this server's address and
+/// the same version; any other is refused by number before anything on it is handled.
 class RpcServer {
  public:
-  RpcServer(asio::io_context& io, Addr at, Ms silence);
-  void on(Method m, Handler h) { handlers_[m] = std::move(h); }
-  template <class Q>
-  void on(std::function<Task<typename Q::Reply>(Q)> f) {
-    handlers_[Q::method] = [f](string b) -> Task<string> {
-      typename Q::Reply const r = co_await f(unpacked<Q>(b));
-      co_return packed(r);
-    };
+  /// Handles one call; what it returns is the answer.
+  using Handler = std::function<Task<string>(string)>;
+
+  RpcServer(asio::io_context& io, Address address, Ms silenceTimeout);
+  template <class Request>
+  void on(std::function<Task<typename Request::Reply>(Request)> handler) {
+    onRaw(Request::method, [handler](string body) -> Task<string> {
+      typename Request::Reply const reply = co_await handler(deserialize<Request>(body));
+      co_return serialize(reply);
+    });
   }
+  void onRaw(RpcMethod method, Handler handler) { handlers_[method] = std::move(handler); }
   void start();
-  void stop() {
-    error_code e;
-    acceptor_.close(e);
-  }
+  void stop() { listener_.stop(); }
 
  private:
   struct Connection;
   using ConnectionPtr = std::shared_ptr<Connection>;
-  Task<void> take();
-  Task<void> serve(ConnectionPtr p);
-  Task<void> readCalls(ConnectionPtr p);
-  Task<void> refuse(ConnectionPtr p, std::uint64_t id, Error x);
-  Task<void> handle(ConnectionPtr p, std::uint64_t id, Method m, bool cast, string body);
-  Task<string> result(Method m, string body);
-  Task<void> flush(ConnectionPtr p);
+  Task<void> serve(ConnectionPtr connection);
+  Task<bool> greet(ConnectionPtr connection);
+  Task<void> readCalls(ConnectionPtr connection);
+  Task<void> refuse(ConnectionPtr connection, std::uint64_t id, Error error);
+  Task<void> handle(ConnectionPtr connection, std::uint64_t id, RpcMethod method, bool wantsReply, string body);
+  Task<string> invoke(RpcMethod method, string body);
+  Task<void> flush(ConnectionPtr connection);
+
   asio::io_context& io_;
-  Addr at_;
-  std::uint64_t incarnation_ = randomId();
-  Ms silence_;
-  tcp::acceptor acceptor_;
-  std::map<Method, Handler> handlers_;
+  Address address_;
+  std::uint64_t processId_ = randomId();
+  Ms silenceTimeout_;
+  Listener listener_;
+  std::map<RpcMethod, Handler> handlers_;
 };
 
-/// Sets the socket options that every connection of ours has.
-void tune(tcp::socket& s, Ms silence);
-/// Waits; returns early when the timer is cancelled.
-Task<void> pause(Ms d);
-/// Starts a duty that runs beside the others; what it throws is logged.
-void spawn(asio::io_context& io, string name, Task<void> t);
-
 }  // namespace tealshelf
--- /dev/null
+++ b/wire/rpc_client.cpp
@@ -0,0 +1,263 @@
+#include "wire/frames.hpp"
+
+namespace tealshelf {
+
+using namespace wire;
+
+namespace {
+/// Calls and messages that wait to be sent to one process.
+constexpr std::size_t maxUnsentBytes = 16u << 20;
+}  // namespace
+
+class RpcLink : public std::enable_shared_from_this<RpcLink> {
+ public:
+  RpcLink(asio::io_context& io, Address to, Ms silenceTimeout, std::uint64_t processId)
+      : io_(io), to_(std::move(to)), silenceTimeout_(silenceTimeout), processId_(processId) {}
+
+  Task<string> call(RpcMethod method, string body, Ms limit) {
+    std::shared_ptr<RpcLink> const self = shared_from_this();
+    std::uint64_t const id = ++lastCall_;
+    string frame = encodeFrame(id, method, FrameKind::call, body);
+    if (!fits(frame)) throw Error(ErrorCode::queueFull, to_.text());
+    std::shared_ptr<PendingCall> const call = std::make_shared<PendingCall>(io_);
+    call->timer.expires_after(limit);
+    calls_[id] = call;
+    std::uint64_t const receivedBefore = receivedFrames_;
+    enqueue(std::move(frame), id);
+    error_code ignored;
+    co_await call->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    calls_.erase(id);
+    if (call->reply) co_return std::move(*call->reply);
+    if (call->error) throw *call->error;
+    // What wasn't sent so far is not sent any more: its caller no longer waits.
+    bool const sent = call->connection != 0;
+    if (!sent) withdraw(id);
+    bool const silent = receivedFrames_ == receivedBefore && limit >= silenceTimeout_ / 4;
+    if (silent) disconnect(Error(ErrorCode::connectionLost, to_.text()));
+    throw Error(sent ? ErrorCode::timedOut : ErrorCode::notConnected, to_.text());
+  }
+
+  void send(RpcMethod method, string const& body) {
+    string frame = encodeFrame(0, method, FrameKind::message, body);
+    if (fits(frame)) enqueue(std::move(frame), 0);
+  }
+
+  std::uint64_t peerProcess() const { return peerProcess_; }
+
+ private:
+  struct PendingCall {
+    explicit PendingCall(asio::io_context& io) : timer(io) {}
+    asio::steady_timer timer;
+    std::optional<string> reply;
+    std::optional<Error> error;
+    std::uint64_t connection = 0;  ///< number of the connection that it was sent on; 0 before
+  };
+  struct UnsentFrame {
+    string bytes;
+    std::uint64_t callId = 0;  ///< 0 for a message without an answer
+  };
+  /// One connection, with a number of its own; calls sent on it are answered on it or not at all.
+  struct Connection {
+    Connection(asio::io_context& io, std::uint64_t connectionNumber) : socket(io), number(connectionNumber) {}
+    tcp::socket socket;
+    std::uint64_t number;
+    bool welcomed = false;
+  };
+  using ConnectionPtr = std::shared_ptr<Connection>;
+
+  bool fits(string const& frame) const {
+    return frame.size() <= maxFrameBytes && (unsent_.empty() || unsentBytes_ + frame.size() <= maxUnsentBytes);
+  }
+
+  void enqueue(string frame, std::uint64_t callId) {
+    unsentBytes_ += frame.size();
+    unsent_.push_back({std::move(frame), callId});
+    if (sending_) return;
+    sending_ = true;
+    spawnTask(io_, "link", sendLoop(shared_from_this()));
+  }
+
+  UnsentFrame dequeue() {
+    UnsentFrame frame = std::move(unsent_.front());
+    unsent_.pop_front();
+    unsentBytes_ -= frame.bytes.size();
+    return frame;
+  }
+
+  void withdraw(std::uint64_t callId) {
+    std::erase_if(unsent_, [this, callId](UnsentFrame const& frame) {
+      if (frame.callId != callId) return false;
+      unsentBytes_ -= frame.bytes.size();
+      return true;
+    });
+  }
+
+  /// Ends the connection and every call: those that were sent with the error, the others as not sent.
+  void disconnect(Error const& error) {
+    if (connection_) {
+      error_code ignored;
+      connection_->socket.close(ignored);
+      connection_.reset();
+    }
+    std::map<std::uint64_t, std::shared_ptr<PendingCall>> const calls = std::exchange(calls_, {});
+    for (auto const& [id, call] : calls) {
+      call->error = call->connection ? error : Error(ErrorCode::notConnected, to_.text());
+      call->timer.cancel();
+    }
+    unsent_.clear();
+    unsentBytes_ = 0;
+  }
+
+  Task<void> sendLoop(std::shared_ptr<RpcLink>) {
+    while (!unsent_.empty()) {
+      try {
+        bool connected = connection_ != nullptr;
+        if (!connected) connected = co_await connect();
+        if (connected)
+          co_await sendBatch(connection_);
+        else
+          disconnect(Error(ErrorCode::notConnected, to_.text()));
+      } catch (std::exception const& error) {
+        logWarning("link", to_.text() + ": " + error.what());
+        disconnect(Error(ErrorCode::connectionLost, to_.text()));
+      }
+    }
+    sending_ = false;
+  }
+
+  Task<void> sendBatch(ConnectionPtr connection) {
+    string batch = std::exchange(greeting_, "");
+    while (!unsent_.empty() && batch.size() < maxBatchBytes) {
+      UnsentFrame frame = dequeue();
+      if (batch.empty())
+        batch = std::move(frame.bytes);
+      else
+        batch += frame.bytes;
+      auto const call = calls_.find(frame.callId);
+      if (call != calls_.end()) call->second->connection = connection->number;
+    }
+    error_code error;
+    co_await asio::async_write(connection->socket, asio::buffer(batch),
+                               asio::redirect_error(asio::use_awaitable, error));
+    if (error && connection == connection_) disconnect(Error(ErrorCode::connectionLost, to_.text()));
+  }
+
+  Task<bool> connect() {
+    ConnectionPtr const connection = std::make_shared<Connection>(io_, ++lastConnection_);
+    SocketDeadline deadline(io_, connection->socket);
+    deadline.expireAt(Clock::now() + silenceTimeout_ / 4);
+    error_code error;
+    co_await connection->socket.async_connect(endpointOf(to_), asio::redirect_error(asio::use_awaitable, error));
+    if (error || !connection->socket.is_open()) co_return false;
+    setSocketOptions(connection->socket, silenceTimeout_);
+    ConnectionHello const hello{protocolVersion, to_, processId_};
+    greeting_ = encodeFrame(0, RpcMethod(), FrameKind::hello, serialize(hello));
+    connection_ = connection;
+    spawnTask(io_, "link reader", readLoop(shared_from_this(), connection));
+    co_return true;
+  }
+
+  /// Reads answers until the connection ends; however it ends, calls sent on it don't wait on.
+  Task<void> readLoop(std::shared_ptr<RpcLink>, ConnectionPtr connection) {
+    Error end(ErrorCode::connectionLost, to_.text());
+    try {
+      FrameReader reader;
+      FrameHeader header;
+      string body;
+      bool more = co_await reader.next(connection->socket, header, body);
+      while (more && connection == connection_) {
+        ++receivedFrames_;
+        receive(*connection, header, std::move(body));
+        more = co_await reader.next(connection->socket, header, body);
+      }
+    } catch (Error const& error) {
+      end = error;
+    } catch (std::exception const& error) {
+      logWarning("link", to_.text() + ": " + error.what());
+    }
+    if (connection == connection_) disconnect(end);
+  }
+
+  void receive(Connection& connection, FrameHeader const& header, string body) {
+    if (!connection.welcomed) return receiveWelcome(connection, header, body);
+    bool const isAnswer = header.kind == FrameKind::reply || header.kind == FrameKind::error;
+    if (!isAnswer) throw Error(ErrorCode::connectionLost, "a malformed frame");
+    auto const found = calls_.find(header.callId);
+    if (found == calls_.end() || found->second->connection != connection.number) return;
+    PendingCall& call = *found->second;
+    if (header.kind == FrameKind::reply)
+      call.reply = std::move(body);
+    else
+      call.error = decodeError(body);
+    call.timer.cancel();
+    calls_.erase(found);
+  }
+
+  /// Whoever answers must be the process that has the address, and speak the same version.
+  void receiveWelcome(Connection& connection, FrameHeader const& header, string const& body) {
+    ConnectionWelcome welcome;
+    std::optional<Error> refusal;
+    if (header.kind == FrameKind::welcome) welcome = deserialize<ConnectionWelcome>(body);
+    if (header.kind != FrameKind::welcome || welcome.version != protocolVersion)
+      refusal = Error(ErrorCode::otherProtocol, to_.text());
+    else if (welcome.self != to_)
+      refusal = Error(ErrorCode::wrongProcess, to_.text() + " is answered by " + welcome.self.text());
+    if (header.kind == FrameKind::error) {
+      Error const error = decodeError(body);
+      if (error.code() == ErrorCode::wrongProcess) refusal = error;
+    }
+    if (refusal) {
+      if (!std::exchange(warned_, true)) logWarning("link", refusal->what());
+      throw *refusal;
+    }
+    if (peerProcess_ && peerProcess_ != welcome.processId) logDebug("link", to_.text() + " has started again");
+    peerProcess_ = welcome.processId;
+    warned_ = false;
+    connection.welcomed = true;
+  }
+
+  static Error decodeError(string const& body) {
+    WireError const error = deserialize<WireError>(body);
+    ErrorCode const code = static_cast<ErrorCode>(error.code);
+    bool const known = errorInfo(code).code == code;
+    return Error(known ? code : ErrorCode::callFailed, error.text);
+  }
+
+  asio::io_context& io_;
+  Address to_;
+  Ms silenceTimeout_;
+  std::uint64_t processId_, peerProcess_ = 0;
+  ConnectionPtr connection_;
+  string greeting_;  ///< goes out along with the first call
+  bool sending_ = false;
+  bool warned_ = false;  ///< that the other side can't be talked to
+  std::uint64_t lastCall_ = 0, lastConnection_ = 0, receivedFrames_ = 0;
+  std::size_t unsentBytes_ = 0;
+  std::deque<UnsentFrame> unsent_;
+  std::map<std::uint64_t, std::shared_ptr<PendingCall>> calls_;
+};
+
+RpcClient::RpcClient(asio::io_context& io, Ms silenceTimeout) : io_(io), silenceTimeout_(silenceTimeout) {}
+RpcClient::~RpcClient() = default;
+
+std::shared_ptr<RpcLink> const& RpcClient::linkTo(Address const& to) {
+  std::shared_ptr<RpcLink>& link = links_[to];
+  if (!link) link = std::make_shared<RpcLink>(io_, to, silenceTimeout_, processId_);
+  return link;
+}
+
+Task<string> RpcClient::callRaw(Address to, RpcMethod method, string body, Ms limit) {
+  std::shared_ptr<RpcLink> const link = linkTo(to);
+  co_return co_await link->call(method, std::move(body), limit);
+}
+
+void RpcClient::sendRaw(Address const& to, RpcMethod method, string body) {
+  linkTo(to)->send(method, body);
+}
+
+std::uint64_t RpcClient::processAt(Address const& to) const {
+  auto const link = links_.find(to);
+  return link == links_.end() ? 0 : link->second->peerProcess();
+}
+
+}  // namespace tealshelf
