--- a/wire/rpc_server.cpp
+++ b/wire/rpc_server.cpp
@@ -1,155 +1,165 @@
 #include "wire/frames.hpp"
-#include "wire/http.hpp"
 
 namespace tealshelf {
 
 using namespace wire;
 
 namespace {
-constexpr std::size_t mostUnread = 8u << 20;  ///< answers that wait for a peer that doesn't read
-constexpr std::size_t mostUnderWay = 1024;    ///< calls of one peer that are handled at once
+constexpr std::size_t maxUnreadBytes = 8u << 20;  ///< answers that wait for a caller that doesn't read
+constexpr std::size_t maxActiveCalls = 1024;      ///< calls of one connection that are handled at once
+constexpr int backlog = 256;
 }  // namespace
 
 struct RpcServer::Connection {
-  explicit Connection(tcp::socket s) : sock(std::move(s)) {}
+  explicit Connection(tcp::socket connected) : socket(std::move(connected)) {}
   void close() {
-    error_code e;
-    sock.close(e);
-    out.clear();
-    queued = 0;
+    error_code ignored;
+    socket.close(ignored);
+    answers.clear();
+    answerBytes = 0;
   }
-  void push(string f) {
-    queued += f.size();
-    out.push_back(std::move(f));
+  void push(string frame) {
+    answerBytes += frame.size();
+    answers.push_back(std::move(frame));
   }
-  tcp::socket sock;
+  tcp::socket socket;
+  FrameReader reader;
   string welcome;  ///< goes out along with the first answer
-  std::deque<string> out;
-  std::size_t queued = 0, underWay = 0;
+  std::deque<string> answers;
+  std::size_t answerBytes = 0, activeCalls = 0;
   bool writing = false;
 };
 
-RpcServer::RpcServer(asio::io_context& io, Addr at, Ms silence)
-    : io_(io), at_(std::move(at)), silence_(silence), acceptor_(io) {
-  tcp::endpoint const p(asio::ip::make_address(at_.ip), static_cast<std::uint16_t>(at_.port));
-  acceptor_.open(p.protocol());
-  acceptor_.set_option(tcp::acceptor::reuse_address(true));
-  acceptor_.bind(p);
-  acceptor_.listen(256);
-}
+RpcServer::RpcServer(asio::io_context& io, Address address, Ms silenceTimeout)
+    : io_(io), address_(std::move(address)), silenceTimeout_(silenceTimeout), listener_(io, address_, backlog) {}
+
 void RpcServer::start() {
-  spawn(io_, "rpc listener", take());
+  listener_.start("rpc listener", [this](tcp::socket socket) {
+    setSocketOptions(socket, silenceTimeout_);
+    spawnTask(io_, "rpc connection", serve(std::make_shared<Connection>(std::move(socket))));
+  });
 }
 
-Task<void> RpcServer::take() {
-  while (acceptor_.is_open()) {
-    error_code e;
-    tcp::socket s = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, e));
-    if (e) {
-      if (e == asio::error::operation_aborted) co_return;
-      co_await pause(Ms(10));
-      continue;
-    }
-    tune(s, silence_);
-    spawn(io_, "rpc connection", serve(std::make_shared<Connection>(std::move(s))));
-  }
-}
 /// Serves one connection; however the reading ends, the connection ends with it.
-Task<void> RpcServer::serve(ConnectionPtr p) {
+Task<void> RpcServer::serve(ConnectionPtr connection) {
   try {
-    co_await readCalls(p);
-  } catch (std::exception const& x) {
-    say(Level::debug, "rpc", x.what());
+    bool const accepted = co_await greet(connection);
+    if (accepted) co_await readCalls(connection);
+  } catch (std::exception const& error) {
+    logDebug("rpc", error.what());
   }
-  p->close();
+  connection->close();
 }
-Task<void> RpcServer::readCalls(ConnectionPtr p) {
-  FrameReader r;
-  Head h;
+
+/// Reads the hello; false if the connection isn't served.
+Task<bool> RpcServer::greet(ConnectionPtr connection) {
+  FrameHeader header;
   string body;
-  bool more = co_await r.next(p->sock, h, body);
-  if (!more) co_return;
-  LinkHello hello;
+  bool const received = co_await connection->reader.next(connection->socket, header, body);
+  if (!received) co_return false;
+  ConnectionHello hello;
   hello.version = 0;
-  if (h.sort == Sort::hello) hello = unpacked<LinkHello>(body);
-  std::optional<Error> refused;
+  if (header.kind == FrameKind::hello) hello = deserialize<ConnectionHello>(body);
+  std::optional<Error> refusal;
   if (hello.version != protocolVersion)
-    refused = Error(Code::otherProtocol, at_.text());
-  else if (hello.wanted != at_)
-    refused = Error(Code::wrongProcess, at_.text() + " is not " + hello.wanted.text());
-  if (refused) co_return co_await refuse(p, h.id, *refused);
-  p->welcome = frame(0, 0, Sort::welcome, packed(LinkWelcome{protocolVersion, at_, incarnation_}));
+    refusal = Error(ErrorCode::otherProtocol, address_.text());
+  else if (hello.wanted != address_)
+    refusal = Error(ErrorCode::wrongProcess, address_.text() + " is not " + hello.wanted.text());
+  if (refusal) {
+    co_await refuse(connection, header.callId, *refusal);
+    co_return false;
+  }
+  ConnectionWelcome const welcome{protocolVersion, address_, processId_};
+  connection->welcome = encodeFrame(0, RpcMethod(), FrameKind::welcome, serialize(welcome));
+  co_return true;
+}
+
+Task<void> RpcServer::readCalls(ConnectionPtr connection) {
+  FrameHeader header;
+  string body;
   for (;;) {
-    more = co_await r.next(p->sock, h, body);
-    if (!more || (h.sort != Sort::call && h.sort != Sort::cast)) co_return;
-    bool const cast = h.sort == Sort::cast;
-    Method const m = static_cast<Method>(h.method);
-    if (p->underWay < mostUnderWay) {
-      ++p->underWay;
-      spawn(io_, "rpc call", handle(p, h.id, m, cast, std::move(body)));
-    } else if (!cast) {
-      p->push(errorFrame(h.id, m, Error(Code::queueFull, at_.text())));
-      spawn(io_, "rpc answers", flush(p));
+    bool const received = co_await connection->reader.next(connection->socket, header, body);
+    bool const isCall = header.kind == FrameKind::call || header.kind == FrameKind::message;
+    if (!received || !isCall) co_return;
+    bool const wantsReply = header.kind == FrameKind::call;
+    RpcMethod const method = static_cast<RpcMethod>(header.method);
+    if (connection->activeCalls < maxActiveCalls) {
+      ++connection->activeCalls;
+      spawnTask(io_, "rpc call", handle(connection, header.callId, method, wantsReply, std::move(body)));
+    } else if (wantsReply) {
+      connection->push(encodeError(header.callId, method, Error(ErrorCode::queueFull, address_.text())));
+      spawnTask(io_, "rpc answers", flush(connection));
     }
   }
 }
+
 /// Tells why a connection isn't served; waits a moment for its end, so that the answer isn't lost in a reset.
-Task<void> RpcServer::refuse(ConnectionPtr p, std::uint64_t id, Error x) {
-  Guard g(io_, p->sock);
-  g.until(Clock::now() + silence_ / 4);
-  string const all = errorFrame(id, Method(), x);
-  error_code e;
-  co_await asio::async_write(p->sock, asio::buffer(all), asio::redirect_error(asio::use_awaitable, e));
-  p->sock.shutdown(tcp::socket::shutdown_send, e);
+Task<void> RpcServer::refuse(ConnectionPtr connection, std::uint64_t id, Error reason) {
+  SocketDeadline deadline(io_, connection->socket);
+  deadline.expireAt(Clock::now() + silenceTimeout_ / 4);
+  string const frame = encodeError(id, RpcMethod(), reason);
+  error_code error;
+  co_await asio::async_write(connection->socket, asio::buffer(frame), asio::redirect_error(asio::use_awaitable, error));
+  connection->socket.shutdown(tcp::socket::shutdown_send, error);
   char rest[4096];
-  while (!e) co_await p->sock.async_read_some(asio::buffer(rest), asio::redirect_error(asio::use_awaitable, e));
+  while (!error)
+    co_await connection->socket.async_read_some(asio::buffer(rest), asio::redirect_error(asio::use_awaitable, error));
 }
+
 /// A handler's answer as a frame's body; what isn't an Error of ours becomes one, so that no caller waits on.
-Task<string> RpcServer::result(Method m, string body) {
-  std::map<Method, Handler>::const_iterator const f = handlers_.find(m);
-  if (f == handlers_.end()) throw Error(Code::badMessage);
+Task<string> RpcServer::invoke(RpcMethod method, string body) {
+  auto const handler = handlers_.find(method);
+  if (handler == handlers_.end()) throw Error(ErrorCode::badMessage);
   try {
-    co_return co_await f->second(std::move(body));
+    co_return co_await handler->second(std::move(body));
   } catch (Error const&) {
     throw;
-  } catch (std::exception const& x) {
-    warn("rpc", "call " + std::to_string(static_cast<int>(m)) + ": " + x.what());
-    throw Error(Code::callFailed, x.what());
+  } catch (std::exception const& error) {
+    logWarning("rpc", "call " + std::to_string(static_cast<int>(method)) + ": " + error.what());
+    throw Error(ErrorCode::callFailed, error.what());
   }
 }
-Task<void> RpcServer::handle(ConnectionPtr p, std::uint64_t id, Method m, bool cast, string body) {
-  string f;
+
+Task<void> RpcServer::handle(ConnectionPtr connection, std::uint64_t id, RpcMethod method, bool wantsReply,
+                             string body) {
+  string frame;
   try {
-    string const r = co_await result(m, std::move(body));
-    f = frame(id, static_cast<std::uint16_t>(m), Sort::reply, r);
-  } catch (Error const& x) {
-    f = errorFrame(id, m, x);
+    string const reply = co_await invoke(method, std::move(body));
+    frame = encodeFrame(id, method, FrameKind::reply, reply);
+  } catch (Error const& error) {
+    frame = encodeError(id, method, error);
+  }
+  --connection->activeCalls;
+  if (!wantsReply || !connection->socket.is_open()) co_return;
+  // One answer always fits; a caller that asks on without reading is cut off.
+  bool const fits = connection->answers.empty() || connection->answerBytes + frame.size() <= maxUnreadBytes;
+  if (!fits) {
+    connection->close();
+    co_return;
   }
-  --p->underWay;
-  if (cast || !p->sock.is_open()) co_return;
-  // One answer always fits; a peer that asks on without reading is cut off.
-  if (!p->out.empty() && p->queued + f.size() > mostUnread) co_return p->close();
-  p->push(std::move(f));
-  co_await flush(p);
+  connection->push(std::move(frame));
+  co_await flush(connection);
 }
-Task<void> RpcServer::flush(ConnectionPtr p) {
-  if (p->writing) co_return;
-  p->writing = true;
-  while (!p->out.empty() && p->sock.is_open()) {
-    string all = std::exchange(p->welcome, "");
-    while (!p->out.empty() && all.size() < mostAtOnce) {
-      if (all.empty())
-        all = std::move(p->out.front());
+
+Task<void> RpcServer::flush(ConnectionPtr connection) {
+  if (connection->writing) co_return;
+  connection->writing = true;
+  while (!connection->answers.empty() && connection->socket.is_open()) {
+    string batch = std::exchange(connection->welcome, "");
+    while (!connection->answers.empty() && batch.size() < maxBatchBytes) {
+      if (batch.empty())
+        batch = std::move(connection->answers.front());
       else
-        all += p->out.front();
-      p->out.pop_front();
+        batch += connection->answers.front();
+      connection->answers.pop_front();
     }
-    p->queued -= std::min(p->queued, all.size());
-    error_code e;
-    co_await asio::async_write(p->sock, asio::buffer(all), asio::redirect_error(asio::use_awaitable, e));
-    if (e) p->close();
+    connection->answerBytes -= std::min(connection->answerBytes, batch.size());
+    error_code error;
+    co_await asio::async_write(connection->socket, asio::buffer(batch),
+                               asio::redirect_error(asio::use_awaitable, error));
+    if (error) connection->close();
   }
-  p->writing = false;
+  connection->writing = false;
 }
 
 }  // namespace tealshelf
--- a/workers/worker_health.cpp
+++ b/workers/worker_health.cpp
@@ -11,8 +11,8 @@
 constexpr int forgetTurns = 8;        ///< after so many spans without a rest the next one is short again
 }  // namespace
 
-void WorkerHealth::fade(Tally& tally, Moment now) const {
-  if (tally.at == Moment()) {
+void WorkerHealth::fade(Tally& tally, TimePoint now) const {
+  if (tally.at == TimePoint()) {
     tally.at = now;
     return;
   }
@@ -23,7 +23,7 @@
   tally.at = now;
 }
 
-void WorkerHealth::note(vector<WorkerTally> const& tallies, Moment now) {
+void WorkerHealth::note(vector<WorkerTally> const& tallies, TimePoint now) {
   for (WorkerTally const& told : tallies) {
     bool const sound = told.ok >= 0 && told.bad >= 0 && told.ok <= mostTold && told.bad <= mostTold;
     if (!sound) continue;
@@ -34,14 +34,14 @@
   }
 }
 
-void WorkerHealth::heard(Identity from, vector<WorkerTally> const& tallies, Moment now) {
+void WorkerHealth::heard(NodeId from, vector<WorkerTally> const& tallies, TimePoint now) {
   PeerReport& report = peers_[from];
   report.at = now;
   report.tallies.clear();
   for (WorkerTally const& told : tallies) report.tallies[told.id] = Tally{told.ok, told.bad, now};
 }
 
-vector<WorkerTally> WorkerHealth::report(Moment now) const {
+vector<WorkerTally> WorkerHealth::report(TimePoint now) const {
   vector<WorkerTally> out;
   for (std::pair<string const, Tally> const& entry : own_) {
     Tally tally = entry.second;
@@ -51,13 +51,13 @@
   return out;
 }
 
-WorkerHealth::Tally WorkerHealth::totalOf(string const& worker, Moment now) {
+WorkerHealth::Tally WorkerHealth::totalOf(string const& worker, TimePoint now) {
   Tally total;
   if (std::map<string, Tally>::iterator const own = own_.find(worker); own != own_.end()) {
     fade(own->second, now);
     total = own->second;
   }
-  for (std::pair<Identity const, PeerReport> const& peer : peers_) {
+  for (std::pair<NodeId const, PeerReport> const& peer : peers_) {
     std::map<string, Tally>::const_iterator const told = peer.second.tallies.find(worker);
     if (told == peer.second.tallies.end()) continue;
     total.ok += told->second.ok;
@@ -75,7 +75,7 @@
   return tally.bad / tally.total() >= bound;
 }
 
-vector<WorkerHealth::RestChange> WorkerHealth::judge(vector<Worker> const& workers, Identity self, Moment now) {
+vector<WorkerHealth::RestChange> WorkerHealth::judge(vector<Worker> const& workers, NodeId self, TimePoint now) {
   std::erase_if(peers_, [&](auto const& peer) { return now - peer.second.at > span_; });
   std::map<string, ServiceTotal> services;
   std::map<string, Tally> tallies;
--- a/workers/worker_health.hpp
+++ b/workers/worker_health.hpp
@@ -24,24 +24,24 @@
   /// Tallies halve in a span; a first rest lasts a span, the next ones longer.
   WorkerHealth(Ms span, Rule rule) : span_(span), rule_(rule) {}
   /// How requests went at nodes that ask here.
-  void note(vector<WorkerTally> const& tallies, Moment now);
+  void note(vector<WorkerTally> const& tallies, TimePoint now);
   /// What another control node says of its askers; the last word counts.
-  void heard(Identity from, vector<WorkerTally> const& tallies, Moment now);
+  void heard(NodeId from, vector<WorkerTally> const& tallies, TimePoint now);
   /// What is told to the others: the tallies of workers that failed something lately.
-  vector<WorkerTally> report(Moment now) const;
+  vector<WorkerTally> report(TimePoint now) const;
   /// Workers whose rest begins or ends, among those whose beats this node hears. All live ones are given.
-  vector<RestChange> judge(vector<Worker> const& workers, Identity self, Moment now);
+  vector<RestChange> judge(vector<Worker> const& workers, NodeId self, TimePoint now);
 
  private:
   struct Tally {
     double ok = 0, bad = 0;  ///< requests that went well and that failed, decayed
-    Moment at;
+    TimePoint at;
     double total() const { return ok + bad; }
   };
   /// The last word of another control node.
   struct PeerReport {
     std::map<string, Tally> tallies;
-    Moment at;
+    TimePoint at;
   };
   /// What the workers of one service add up to.
   struct ServiceTotal {
@@ -50,16 +50,16 @@
   };
   struct Rest {
     int turns = 0;
-    Moment until, ended;
+    TimePoint until, ended;
   };
-  void fade(Tally& tally, Moment now) const;
+  void fade(Tally& tally, TimePoint now) const;
   /// What all nodes together saw of a worker.
-  Tally totalOf(string const& worker, Moment now);
+  Tally totalOf(string const& worker, TimePoint now);
   bool failsTooMuch(Tally const& tally, Tally const& service) const;
   Ms span_;
   Rule rule_;
   std::map<string, Tally> own_;
-  std::map<Identity, PeerReport> peers_;
+  std::map<NodeId, PeerReport> peers_;
   std::map<string, Rest> rests_;
 };
 
--- a/workers/worker_registry.cpp
+++ b/workers/worker_registry.cpp
@@ -9,7 +9,7 @@
   return i != rows_.end() && (i->second.worker.gone ? !w.gone : i->second.worker.callCount > w.callCount);
 }
 
-bool WorkerRegistry::merge(Worker const& w, Moment now) {
+bool WorkerRegistry::merge(Worker const& w, TimePoint now) {
   std::map<string, Row>::iterator const i = rows_.find(w.id);
   if (i == rows_.end()) {
     if (w.lost) return false;
@@ -50,7 +50,7 @@
   return updated;
 }
 
-bool WorkerRegistry::mergeAll(vector<Worker> const& workers, Identity from, Moment now) {
+bool WorkerRegistry::mergeAll(vector<Worker> const& workers, NodeId from, TimePoint now) {
   bool updated = false;
   std::set<string> named;
   for (Worker const& w : workers) {
@@ -76,12 +76,12 @@
   fresh_.push_back(i->second.worker);
 }
 
-void WorkerRegistry::alive(Identity registrar, Moment now) {
+void WorkerRegistry::alive(NodeId registrar, TimePoint now) {
   for (std::pair<string const, Row>& p : rows_)
     if (p.second.worker.registrar == registrar) p.second.heardAt = now;
 }
 
-bool WorkerRegistry::sweep(Moment now) {
+bool WorkerRegistry::sweep(TimePoint now) {
   bool any = false;
   for (std::map<string, Row>::iterator i = rows_.begin(); i != rows_.end();) {
     Row& row = i->second;
@@ -127,20 +127,23 @@
 Worker readBeat(string const& id, string const& body) {
   rapidjson::Document d;
   d.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
-  if (d.HasParseError() || !d.IsObject()) throw Error(Code::badBeat);
+  if (d.HasParseError() || !d.IsObject()) throw Error(ErrorCode::badHeartbeat);
   Worker w;
   w.id = id;
   std::function<string(char const*)> const text = [&](char const* k) {
-    if (!d.HasMember(k) || !d[k].IsString()) throw Error(Code::badBeat, k);
+    if (!d.HasMember(k) || !d[k].IsString()) throw Error(ErrorCode::badHeartbeat, k);
     return string(d[k].GetString(), d[k].GetStringLength());
   };
   std::function<std::uint64_t(char const*)> const num = [&](char const* k) -> std::uint64_t {
     if (!d.HasMember(k)) return 0;
-    if (!d[k].IsNumber() || d[k].GetDouble() < 0 || d[k].GetDouble() > mostNumber) throw Error(Code::badBeat, k);
+    if (!d[k].IsNumber() || d[k].GetDouble() < 0 || d[k].GetDouble() > mostNumber)
+      throw Error(ErrorCode::badHeartbeat, k);
     return static_cast<std::uint64_t>(d[k].GetDouble());
   };
   w.service = text("service");
-  if (!readAddr(text("address"), w.at)) throw Error(Code::badBeat, "address");
+  std::optional<Address> const address = parseAddress(text("address"));
+  if (!address) throw Error(ErrorCode::badHeartbeat, "address");
+  w.at = *address;
   if (d.HasMember("zone")) w.zone = text("zone");
   if (d.HasMember("version")) w.version = text("version");
   w.capacity = std::max<std::uint64_t>(1, num("capacity"));
--- a/workers/worker_registry.hpp
+++ b/workers/worker_registry.hpp
@@ -8,19 +8,19 @@
 /// for alive as long as its registrar is alive and doesn't say that it lost it.
 class WorkerRegistry {
  public:
-  explicit WorkerRegistry(Ms forgetAfter, Identity self = Identity()) : forget_(forgetAfter), self_(self) {}
+  explicit WorkerRegistry(Ms forgetAfter, NodeId self = NodeId()) : forget_(forgetAfter), self_(self) {}
   /// Takes a row in, own beat or another's word; true if data-plane nodes should hear of it.
-  bool merge(Worker const& w, Moment now);
+  bool merge(Worker const& w, TimePoint now);
   /// Takes the whole registry of another control node in: what it should hear but doesn't name is lost.
-  bool mergeAll(vector<Worker> const& workers, Identity from, Moment now);
+  bool mergeAll(vector<Worker> const& workers, NodeId from, TimePoint now);
   /// A worker heard here begins or ends a rest.
   void rest(string const& id, bool resting);
   /// Another control node lives, and so do the workers that it hears.
-  void alive(Identity registrar, Moment now);
+  void alive(NodeId registrar, TimePoint now);
   /// True if the beat is late: a newer one of this life was taken.
   bool late(Worker const& w) const;
   /// Marks workers as lost whose beats are missing, and forgets ended ones in time; true if any was lost.
-  bool sweep(Moment now);
+  bool sweep(TimePoint now);
   vector<Worker> since(std::uint64_t revision) const;
   /// The registry without the lost ones; the gone ones stand in it so that they don't come back.
   vector<Worker> all(std::uint64_t since = 0) const;
@@ -33,12 +33,12 @@
  private:
   struct Row {
     Worker worker;
-    Moment heardAt;
+    TimePoint heardAt;
     std::uint64_t revision = 0;
     bool lost = false;
   };
   Ms forget_;
-  Identity self_;
+  NodeId self_;
   std::map<string, Row> rows_;
   vector<Worker> fresh_;
   std::uint64_t revision_ = 0;
