--- a/configuration/configuration.hpp
+++ b/configuration/configuration.hpp
@@ -1,50 +1,70 @@
 #pragma once
 #include "base/tealshelf.hpp"
 
+/// The operator's configuration: routes, services and limits.
 namespace tealshelf {
 
-enum class RouteKind { repeatable, oneShot, streaming, bulk };
+/// What may be done with a request whose worker fails.
+enum class RouteKind {
+  repeatable,  ///< may run more than once
+  oneShot,     ///< at most once for each try of a client
+  streaming,   ///< as oneShot, unless it may be resumed
+  bulk         ///< lots
+};
 
 /// One part of a route's traffic.
-struct Share {
+struct TrafficShare {
   string service;
   std::uint64_t weight = 1;
 };
-/// A route as the operator states it.
+
 struct Route {
-  string name, host, prefix;
+  string name, host;
+  string prefix;  ///< of the path; begins and ends with a slash
   RouteKind kind = RouteKind::oneShot;
-  std::int64_t timeLimit = 0, aim = 0, gapAim = 0, dueIn = 0, keepFor = 0;
-  std::uint64_t priority = 0, tries = 1, mostQueued = 0;
+  Ms timeLimit{0};  ///< the longest that a request is held
+  Ms target{0};     ///< within which an answer, or a stream's first event, is in time
+  Ms gapTarget{0};  ///< the longest pause between events that is in time
+  Ms dueIn{0};      ///< of lots: from the submission to the last result
+  Ms keepFor{0};    ///< of lots: from the submission until items may be given up
+  std::uint64_t priority = 0;
+  std::uint64_t tries = 1;  ///< workers that one request is sent to, at the most
+  std::uint64_t maxQueuedTokens = 0;
   bool sticky = false, resumable = false;
-  vector<Share> shares;
-  std::uint64_t weights = 0;
+  vector<TrafficShare> shares;
+  std::uint64_t totalWeight = 0;
+
   /// True if a request may run more than once.
   bool mayRepeat() const { return kind == RouteKind::repeatable || (kind == RouteKind::streaming && resumable); }
-  /// The service for a request, by its hash.
-  string const& serviceFor(std::uint64_t h) const;
+  /// The service for a request, by a hash of the request.
+  string const& serviceFor(std::uint64_t hash) const;
 };
-struct ServiceLine {
+
+struct ServiceSettings {
   string name, healthPath;
   std::uint64_t maxConnections = 0, capacity = 0, cacheTokens = 0;
 };
-struct Limits {
-  std::uint64_t headerBytes = 16384, bodyBytes = 4u << 20;
-  std::int64_t headerWait = 3000, idleLimit = 15000;
+
+/// What a client may send, and how long it may take or stay idle.
+struct ClientLimits {
+  std::uint64_t maxHeaderBytes = 16384, maxBodyBytes = 4u << 20;
+  Ms headerWait{3000}, idleLimit{15000};
 };
+
 /// A whole configuration, checked; immutable once compiled.
 struct Configuration {
   std::uint64_t version = 0;
   vector<Route> routes;
-  std::map<string, ServiceLine> services;
-  Limits limits;
-  std::map<string, vector<std::uint32_t>, std::less<>> table;  ///< host to routes, longest prefix first
+  std::map<string, ServiceSettings> services;
+  ClientLimits limits;
+  /// Indexes of the routes of each host, longest prefix first.
+  std::map<string, vector<std::uint32_t>, std::less<>> routesByHost;
 
-  /// The route of a request, or null.
-  Route const* find(string_view host, string_view path) const;
-  Route const* byName(string_view name) const;
+  /// The route of a request, or null. The path may have a query.
+  Route const* findRoute(string_view host, string_view path) const;
+  Route const* findByName(string_view name) const;
 };
-/// A fault found in a configuration.
+
 struct ConfigurationFault {
   ErrorCode code;
   string text;
--- /dev/null
+++ b/configuration/configuration_reader.cpp
@@ -0,0 +1,228 @@
+// Reads and checks the operator's configurations.
+#include "configuration/configuration.hpp"
+
+#include <boost/property_tree/json_parser.hpp>
+#include <sstream>
+
+namespace tealshelf {
+
+namespace {
+using Tree = boost::property_tree::ptree;
+
+/// Three years in milliseconds.
+constexpr std::uint64_t maxDurationMs = 3ull * 366 * 24 * 3600 * 1000;
+/// The largest weight of one part of a route's traffic, so that sums don't overflow.
+constexpr std::uint64_t maxWeight = 1000000000;
+/// The largest number that is taken as a real one.
+constexpr double maxReal = 1e15;
+
+enum class Presence { required, optional };
+
+/// Reads fields and collects their faults; a faulty field gets its default. `where` names the object in faults.
+class FieldReader {
+ public:
+  explicit FieldReader(vector<ConfigurationFault>& faults) : faults_(faults) {}
+  void fault(ErrorCode code, string const& text) { faults_.push_back({code, text}); }
+
+  string text(Tree const& object, char const* name, string const& where, Presence presence) {
+    boost::optional<Tree const&> const field = find(object, name, where, presence);
+    if (!field) return "";
+    if (!field->empty()) fault(ErrorCode::wrongType, where + "." + name);
+    return field->data();
+  }
+
+  std::uint64_t number(Tree const& object, char const* name, string const& where, std::uint64_t fallback,
+                       Presence presence = Presence::optional) {
+    boost::optional<Tree const&> const field = find(object, name, where, presence);
+    if (!field) return fallback;
+    string const& value = field->data();
+    bool const isLeaf = field->empty();
+    if (std::optional<std::uint64_t> const whole = parseNumber(value); isLeaf && whole) return *whole;
+    char* end = nullptr;
+    double const real = std::strtod(value.c_str(), &end);
+    bool const isReal = isLeaf && !value.empty() && end && !*end;
+    if (isReal && real >= 0 && real < maxReal) return static_cast<std::uint64_t>(real);
+    fault(isReal ? ErrorCode::outOfRange : ErrorCode::wrongType,
+          where + "." + name + " can't be " + value.substr(0, 40));
+    return fallback;
+  }
+
+  /// A time small enough to be added to a time point; the text holds it in a unit.
+  Ms duration(Tree const& object, char const* name, string const& where, Ms fallback,
+              Presence presence = Presence::optional, Ms unit = Ms(1)) {
+    std::uint64_t const unitMs = static_cast<std::uint64_t>(unit.count());
+    std::uint64_t const count = number(object, name, where, static_cast<std::uint64_t>(fallback.count()), presence);
+    if (count <= maxDurationMs / unitMs) return Ms(static_cast<std::int64_t>(count * unitMs));
+    fault(ErrorCode::outOfRange, where + "." + name + " is too long");
+    return fallback;
+  }
+
+  bool flag(Tree const& object, char const* name, string const& where) {
+    boost::optional<Tree const&> const field = object.get_child_optional(name);
+    if (!field) return false;
+    if (field->data() != "true" && field->data() != "false") fault(ErrorCode::wrongType, where + "." + name);
+    return field->data() == "true";
+  }
+
+ private:
+  boost::optional<Tree const&> find(Tree const& object, char const* name, string const& where, Presence presence) {
+    boost::optional<Tree const&> const field = object.get_child_optional(name);
+    if (!field && presence == Presence::required) fault(ErrorCode::unreadable, where + " has no " + name);
+    return field;
+  }
+
+  vector<ConfigurationFault>& faults_;
+};
+
+struct KindName {
+  string_view name;
+  RouteKind kind;
+};
+constexpr KindName kindNames[] = {{"repeatable", RouteKind::repeatable},
+                                  {"one_shot", RouteKind::oneShot},
+                                  {"streaming", RouteKind::streaming},
+                                  {"bulk", RouteKind::bulk}};
+
+RouteKind readKind(FieldReader& reader, Tree const& object, string const& where) {
+  string const name = reader.text(object, "kind", where, Presence::required);
+  for (KindName const& known : kindNames)
+    if (known.name == name) return known.kind;
+  reader.fault(ErrorCode::wrongType, where + ".kind");
+  return RouteKind::oneShot;
+}
+
+vector<TrafficShare> readShares(FieldReader& reader, Tree const& route, string const& where) {
+  boost::optional<Tree const&> const split = route.get_child_optional("split");
+  if (!split) return {{reader.text(route, "service", where, Presence::required), 1}};
+  vector<TrafficShare> shares;
+  for (Tree::value_type const& element : *split) {
+    string const service = reader.text(element.second, "service", where + ".split", Presence::required);
+    std::uint64_t const weight = reader.number(element.second, "share", where + ".split", 0, Presence::required);
+    shares.push_back({service, weight});
+  }
+  return shares;
+}
+
+void checkShares(FieldReader& reader, Route& route, Configuration const& configuration, string const& where) {
+  for (TrafficShare const& share : route.shares) {
+    route.totalWeight += share.weight;
+    if (share.weight > maxWeight) reader.fault(ErrorCode::outOfRange, where + " has a weight that is too large");
+    if (!configuration.services.count(share.service))
+      reader.fault(ErrorCode::unknownService, where + " names " + share.service);
+  }
+  if (!route.totalWeight) reader.fault(ErrorCode::zeroWeights, where);
+}
+
+Route readRoute(FieldReader& reader, Tree const& object, Configuration const& configuration) {
+  Route route;
+  route.name = reader.text(object, "name", "route", Presence::required);
+  string const where = "route " + route.name;
+  route.host = reader.text(object, "host", where, Presence::required);
+  route.prefix = reader.text(object, "pathStart", where, Presence::required);
+  bool const validPrefix = !route.prefix.empty() && route.prefix.front() == '/' && route.prefix.back() == '/';
+  if (!validPrefix) reader.fault(ErrorCode::badPrefix, where);
+  route.kind = readKind(reader, object, where);
+  route.timeLimit = reader.duration(object, "timeLimitMs", where, Ms(0), Presence::required);
+  if (route.timeLimit == Ms(0)) reader.fault(ErrorCode::zeroTimeLimit, where);
+  route.target = reader.duration(object, "targetMs", where, Ms(0));
+  route.gapTarget = reader.duration(object, "gapTargetMs", where, Ms(0));
+  route.dueIn = reader.duration(object, "dueInMs", where, Ms(0));
+  route.keepFor = reader.duration(object, "keepForS", where, Ms(0), Presence::optional, std::chrono::seconds(1));
+  route.priority = reader.number(object, "priority", where, 0);
+  route.tries = std::max<std::uint64_t>(1, reader.number(object, "tries", where, 1));
+  route.maxQueuedTokens = reader.number(object, "maxQueuedTokens", where, 0);
+  route.sticky = reader.flag(object, "sticky", where);
+  route.resumable = reader.flag(object, "resumable", where);
+  route.shares = readShares(reader, object, where);
+  checkShares(reader, route, configuration, where);
+  return route;
+}
+
+ServiceSettings readService(FieldReader& reader, Tree const& object) {
+  ServiceSettings service;
+  service.name = reader.text(object, "name", "service", Presence::required);
+  string const where = "service " + service.name;
+  service.healthPath = reader.text(object, "healthPath", where, Presence::optional);
+  service.maxConnections = reader.number(object, "maxConnections", where, 0);
+  if (boost::optional<Tree const&> const runtime = object.get_child_optional("runtime")) {
+    string const whereRuntime = "runtime of " + service.name;
+    service.capacity = reader.number(*runtime, "capacity", whereRuntime, 0);
+    service.cacheTokens = reader.number(*runtime, "cacheTokens", whereRuntime, 0);
+  }
+  return service;
+}
+
+void readRoutes(FieldReader& reader, Tree const& list, Configuration& configuration) {
+  std::set<std::pair<string, string>> places;
+  for (Tree::value_type const& element : list) {
+    configuration.routes.push_back(readRoute(reader, element.second, configuration));
+    Route const& route = configuration.routes.back();
+    if (!places.insert({route.host, route.prefix}).second)
+      reader.fault(ErrorCode::duplicateRoute, route.host + route.prefix);
+    configuration.routesByHost[route.host].push_back(static_cast<std::uint32_t>(configuration.routes.size() - 1));
+  }
+  for (auto& [host, indexes] : configuration.routesByHost)
+    std::stable_sort(indexes.begin(), indexes.end(), [&configuration](std::uint32_t left, std::uint32_t right) {
+      return configuration.routes[left].prefix.size() > configuration.routes[right].prefix.size();
+    });
+}
+
+ClientLimits readLimits(FieldReader& reader, Tree const& object) {
+  ClientLimits limits;
+  limits.maxHeaderBytes = reader.number(object, "maxHeaderBytes", "limits", limits.maxHeaderBytes);
+  limits.maxBodyBytes = reader.number(object, "maxBodyBytes", "limits", limits.maxBodyBytes);
+  limits.headerWait = reader.duration(object, "headerWaitMs", "limits", limits.headerWait);
+  limits.idleLimit = reader.duration(object, "idleLimitMs", "limits", limits.idleLimit);
+  return limits;
+}
+
+/// The JSON document; nothing if the text is no JSON, or more than one document.
+std::optional<Tree> parseJson(string const& text) {
+  Tree document;
+  try {
+    std::istringstream input(text);
+    boost::property_tree::read_json(input, document);
+    input >> std::ws;
+    if (!input.eof()) return std::nullopt;
+  } catch (std::exception const&) {
+    return std::nullopt;
+  }
+  return document;
+}
+}  // namespace
+
+std::shared_ptr<Configuration const> readConfiguration(string const& text, vector<ConfigurationFault>& faults) {
+  std::shared_ptr<Configuration> const configuration = std::make_shared<Configuration>();
+  FieldReader reader(faults);
+  std::optional<Tree> const parsed = parseJson(text);
+  if (!parsed) {
+    reader.fault(ErrorCode::unreadable, "not JSON");
+    return configuration;
+  }
+  Tree const& document = *parsed;
+  configuration->version = reader.number(document, "version", "configuration", 0, Presence::required);
+  boost::optional<Tree const&> const services = document.get_child_optional("services");
+  boost::optional<Tree const&> const routes = document.get_child_optional("routes");
+  boost::optional<Tree const&> const limits = document.get_child_optional("limits");
+  if (!services || !routes) reader.fault(ErrorCode::unreadable, "routes or services are missing");
+  if ((services && !services->data().empty()) || (routes && !routes->data().empty()))
+    reader.fault(ErrorCode::wrongType, "routes or services are no lists");
+  if (services)
+    for (Tree::value_type const& element : *services) {
+      ServiceSettings service = readService(reader, element.second);
+      string const name = service.name;
+      configuration->services[name] = std::move(service);
+    }
+  if (routes) readRoutes(reader, *routes, *configuration);
+  if (limits) configuration->limits = readLimits(reader, *limits);
+  return configuration;
+}
+
+std::shared_ptr<Configuration const> compileConfiguration(string const& text) {
+  vector<ConfigurationFault> faults;
+  std::shared_ptr<Configuration const> const configuration = readConfiguration(text, faults);
+  if (!faults.empty()) throw Error(faults[0].code, faults[0].text);
+  return configuration;
+}
+
+}  // namespace tealshelf
--- a/consensus/catch_up.cpp
+++ b/consensus/catch_up.cpp
@@ -1,164 +1,159 @@
-// Members that lag are brought up to what is committed, in pieces, while writes go on.
+// Members that lag are brought up to what is committed, in chunks, while writes go on.
 #include "consensus/consensus.hpp"
 
 namespace tealshelf {
 
 namespace {
-constexpr std::size_t pieceBytes = 64u << 10;
-constexpr std::size_t recentMost = 256u << 10;
-
-std::size_t bytesOf(std::pair<string const, Entry> const& p) {
-  return p.first.size() + p.second.value.size() + sizeof(Entry);
-}
-std::size_t bytesOf(Entries const& es) {
-  std::size_t n = 0;
-  for (std::pair<string const, Entry> const& p : es) n += bytesOf(p);
-  return n;
-}
+constexpr std::size_t chunkBytes = 64u << 10;
+constexpr std::size_t maxRecentBytes = 256u << 10;
+/// A member lags if it hasn't reached its target after so many resend timeouts.
+constexpr int lagResends = 2;
+/// A chunk is sent again after so many resend timeouts.
+constexpr int chunkResends = 4;
 }  // namespace
 
-/// A member lags if it doesn't reach what was committed when it was last looked at; under steady writes it
-/// is always a little behind.
-void Consensus::checkLag(KeyspaceProgress const& k, NodeId member, Keyspace& s, TimePoint now) {
-  Lag& l = s.lags[member];
-  bool const follows = k.epoch == s.epoch;
-  if (l.since == TimePoint() || (follows && k.upTo >= l.target)) {
-    l.since = now;
-    l.target = s.committed;
-    s.transfers.erase(member);
+/// A member lags if it doesn't reach what was committed when it was last looked at; under steady writes it is always
+/// a little behind.
+void Consensus::checkLag(KeyspaceProgress const& progress, NodeId member, KeyspaceState& keyspace, TimePoint now) {
+  MemberLag& lag = keyspace.lags[member];
+  bool const reached = progress.epoch == keyspace.epoch && progress.applied >= lag.target;
+  if (lag.since == TimePoint() || reached) {
+    lag.since = now;
+    lag.target = keyspace.committedSequence;
+    keyspace.transfers.erase(member);
     return;
   }
-  if (now - l.since < 2 * times_.again) return;
-  std::map<NodeId, Transfer>::iterator const t = s.transfers.find(member);
-  if (t == s.transfers.end())
-    startTransfer(k.keyspace, s, k, member, now);
-  else if (now - t->second.sent > 4 * times_.again)
-    sendPiece(k.keyspace, s, t->second, member, now);
+  if (now - lag.since < lagResends * timeouts_.resend) return;
+  auto const transfer = keyspace.transfers.find(member);
+  if (transfer == keyspace.transfers.end())
+    startTransfer(progress, member, keyspace, now);
+  else if (now - transfer->second.sentAt > chunkResends * timeouts_.resend)
+    sendChunk(progress.keyspace, keyspace, transfer->second, member, now);
 }
 
 /// Keeps a committed write for members that come back, as far as the bound allows.
-void Consensus::remember(Keyspace& s, Write w) {
-  if (w.full) return;
-  s.recentBytes += bytesOf(w.entries);
-  s.recent.push_back(std::move(w));
-  while (s.recentBytes > recentMost) {
-    s.recentBytes -= bytesOf(s.recent.front().entries);
-    s.recent.pop_front();
+void Consensus::remember(KeyspaceState& keyspace, PendingWrite write) {
+  if (write.full) return;
+  keyspace.recentBytes += byteSize(write.entries);
+  keyspace.recentWrites.push_back(std::move(write));
+  while (keyspace.recentBytes > maxRecentBytes) {
+    keyspace.recentBytes -= byteSize(keyspace.recentWrites.front().entries);
+    keyspace.recentWrites.pop_front();
   }
 }
 
-/// What was committed after a position, if the writes are still known without a gap.
-std::optional<Entries> Consensus::changesAfter(Keyspace const& s, std::uint64_t upTo) const {
-  Entries es;
-  std::uint64_t reached = upTo;
-  for (std::deque<Write> const* const writes : {&s.recent, &s.writes})
-    for (Write const& w : *writes) {
-      if (!w.done || w.full || w.last <= reached) continue;
-      if (w.first - 1 > reached) return std::nullopt;
-      for (std::pair<string const, Entry> const& p : w.entries) es[p.first] = p.second;
-      reached = w.last;
+/// What was committed after a sequence number; nothing if the writes are no longer known without a gap.
+std::optional<Entries> Consensus::changesAfter(KeyspaceState const& keyspace, std::uint64_t sequence) const {
+  Entries changes;
+  std::uint64_t reached = sequence;
+  for (std::deque<PendingWrite> const* const writes : {&keyspace.recentWrites, &keyspace.writes})
+    for (PendingWrite const& write : *writes) {
+      if (!write.committed || write.full || write.last <= reached) continue;
+      if (write.first - 1 > reached) return std::nullopt;
+      for (auto const& [key, entry] : write.entries) changes[key] = entry;
+      reached = write.last;
     }
-  if (reached < s.committed) return std::nullopt;
-  return es;
+  if (reached < keyspace.committedSequence) return std::nullopt;
+  return changes;
 }
 
-/// The committed state with the epoch and the tombstones; nothing while this node's own disk lags itself.
-std::optional<Entries> Consensus::committedEntries(Keyspace const& s) const {
-  if (s.applied != s.epoch || s.upTo < s.committed) return std::nullopt;
-  Entries es;
-  for (std::pair<string const, Entry> const& p : s.entries) {
-    if (p.second.seq <= s.committed) {
-      es.insert(p);
+/// The committed state with versions and tombstones; nothing while this node's own disk lags itself.
+std::optional<Entries> Consensus::committedEntries(KeyspaceState const& keyspace) const {
+  Position const committed{keyspace.epoch, keyspace.committedSequence};
+  Position const applied = keyspace.replica.applied();
+  if (applied.epoch != committed.epoch || applied.sequence < committed.sequence) return std::nullopt;
+  Values const& values = keyspace.replica.committedValues();
+  Entries entries;
+  for (auto const& [key, entry] : keyspace.replica.entries()) {
+    if (entry.sequence <= committed.sequence) {
+      entries.emplace(key, entry);
       continue;
     }
-    // A later write of the key is under way. Where the key isn't there, a tombstone says so: left out,
-    // it could come back from a disk that missed its removal.
-    std::map<string, string>::const_iterator const v = s.view.find(p.first);
-    bool const gone = v == s.view.end();
-    es[p.first] = Entry{s.epoch, s.committed, gone ? "" : v->second, gone};
+    // A later write of the key is under way. Where the committed state has no value, a tombstone says so: without
+    // it the key could come back from a disk that missed its deletion.
+    auto const value = values.find(key);
+    bool const deleted = value == values.end();
+    entries[key] = Entry{committed.epoch, committed.sequence, deleted ? "" : value->second, deleted};
   }
-  return es;
+  return entries;
 }
 
-void Consensus::startTransfer(string const& name, Keyspace& s, KeyspaceProgress const& k, NodeId to, TimePoint now) {
-  std::optional<Entries> es;
-  if (k.epoch == s.epoch && k.upTo) es = changesAfter(s, k.upTo);
-  bool const full = !es;
-  if (full) es = committedEntries(s);
-  if (!es) return;
-  Transfer& t = s.transfers[to];
-  t.id = ++lastRound_;
-  t.full = full;
-  t.prev = full ? 0 : k.upTo;
-  t.upTo = s.committed;
-  t.state = std::move(*es);
-  sendPiece(name, s, t, to, now);
+void Consensus::startTransfer(KeyspaceProgress const& progress, NodeId to, KeyspaceState& keyspace, TimePoint now) {
+  std::optional<Entries> entries;
+  if (progress.epoch == keyspace.epoch && progress.applied) entries = changesAfter(keyspace, progress.applied);
+  bool const full = !entries;
+  if (full) entries = committedEntries(keyspace);
+  if (!entries) return;
+  OutgoingTransfer& transfer = keyspace.transfers[to];
+  transfer.id = ++lastRound_;
+  transfer.full = full;
+  transfer.previous = full ? 0 : progress.applied;
+  transfer.last = keyspace.committedSequence;
+  transfer.entries = std::move(*entries);
+  sendChunk(progress.keyspace, keyspace, transfer, to, now);
 }
 
-void Consensus::sendPiece(string const& name, Keyspace& s, Transfer& t, NodeId to, TimePoint now) {
-  Message m;
-  m.sort = Message::piece;
-  m.membership = membership_.no;
-  m.from = self_.id;
-  m.to = to;
-  m.keyspace = name;
-  m.epoch = s.epoch;
-  m.transfer = t.id;
-  m.round = t.piece;
-  m.full = t.full;
-  m.prev = t.prev;
-  m.upTo = t.upTo;
-  m.committed = s.committed;
-  Entries::const_iterator i = t.state.lower_bound(t.from);
-  for (std::size_t n = 0; i != t.state.end() && n < pieceBytes; ++i) {
-    m.entries.insert(*i);
-    n += bytesOf(*i);
+void Consensus::sendChunk(string const& name, KeyspaceState& keyspace, OutgoingTransfer& transfer, NodeId to,
+                          TimePoint now) {
+  TransferChunk chunk;
+  chunk.transfer = transfer.id;
+  chunk.index = transfer.chunk;
+  chunk.writes.previous = transfer.previous;
+  chunk.writes.last = transfer.last;
+  chunk.writes.full = transfer.full;
+  chunk.committed = keyspace.committedSequence;
+  auto next = transfer.entries.lower_bound(transfer.firstKey);
+  for (std::size_t bytes = 0; next != transfer.entries.end() && bytes < chunkBytes; ++next) {
+    chunk.writes.entries.insert(*next);
+    bytes += byteSize(next->first, next->second);
   }
-  t.last = i == t.state.end();
-  if (!t.last) t.next = i->first;
-  t.sent = now;
-  m.last = t.last;
-  post(std::move(m));
+  chunk.isLast = next == transfer.entries.end();
+  transfer.sentLast = chunk.isLast;
+  if (!chunk.isLast) transfer.nextFirstKey = next->first;
+  transfer.sentAt = now;
+  send(to, name, keyspace.epoch, std::move(chunk));
 }
 
-/// Pieces are gathered in memory; the last one makes them one accepted state, on the disk as a whole.
-void Consensus::onPiece(Message const& m, Keyspace& s) {
-  Message r = reply(m, Message::pieceTaken);
-  if (m.epoch >= s.votedEpoch) {
-    Incoming& in = s.incoming;
-    bool const same = in.id == m.transfer && in.epoch == m.epoch;
-    if (!same && m.round == 0) in = Incoming{m.transfer, 0, m.epoch, {}};
-    bool const next = in.id == m.transfer && in.epoch == m.epoch && in.next == m.round;
-    if (next) {
-      ++in.next;
-      in.entries.insert(m.entries.begin(), m.entries.end());
+/// Gathers chunks in memory; the last one makes them one stored range, on the disk as a whole.
+void Consensus::handle(Message const& message, TransferChunk const& chunk, KeyspaceState& keyspace, TimePoint) {
+  bool accepted = false;
+  if (message.epoch >= keyspace.votedEpoch) {
+    IncomingTransfer& incoming = keyspace.incoming;
+    bool const known = incoming.id == chunk.transfer && incoming.epoch == message.epoch;
+    if (!known && chunk.index == 0) incoming = IncomingTransfer{chunk.transfer, 0, message.epoch, {}};
+    bool const isNext =
+        incoming.id == chunk.transfer && incoming.epoch == message.epoch && incoming.nextChunk == chunk.index;
+    accepted = isNext || (known && chunk.index < incoming.nextChunk);
+    if (isNext) {
+      ++incoming.nextChunk;
+      incoming.entries.insert(chunk.writes.entries.begin(), chunk.writes.entries.end());
     }
-    r.ok = next || (same && m.round < in.next);
-    if (next && m.last) {
-      Message whole = m;
-      whole.entries = std::move(in.entries);
-      in.entries.clear();
-      acceptWrites(whole, s);
+    if (isNext && chunk.isLast) {
+      WriteRange whole = chunk.writes;
+      whole.entries = std::exchange(incoming.entries, {});
+      storeWrites(message, whole, chunk.committed, keyspace);
     }
   }
-  r.votedEpoch = s.votedEpoch;
-  post(std::move(r));
+  reply(message, TransferChunkReply{accepted, keyspace.votedEpoch, chunk.transfer, chunk.index, chunk.writes.last});
 }
 
-/// The next piece goes out once the one before was taken; a member that has lost its pieces gets a new transfer.
-void Consensus::onPieceTaken(Message const& m, Keyspace& s, TimePoint now) {
-  if (m.epoch != s.epoch || s.phase != Phase::owning) return;
-  if (!m.ok) refused(m, s);
-  std::map<NodeId, Transfer>::iterator const t = s.transfers.find(m.from);
-  if (t == s.transfers.end() || t->second.id != m.transfer || t->second.piece != m.round) return;
-  if (!m.ok || t->second.last) {
-    s.transfers.erase(t);
-    s.lags.erase(m.from);
+/// Sends the next chunk once the one before was taken. A member that has lost its chunks gets a new transfer.
+void Consensus::handle(Message const& message, TransferChunkReply const& answer, KeyspaceState& keyspace,
+                       TimePoint now) {
+  if (message.epoch != keyspace.epoch || keyspace.phase != OwnershipPhase::owner) return;
+  if (!answer.accepted) onRefusal(answer.votedEpoch, keyspace);
+  auto const found = keyspace.transfers.find(message.from);
+  if (found == keyspace.transfers.end()) return;
+  OutgoingTransfer& transfer = found->second;
+  if (transfer.id != answer.transfer || transfer.chunk != answer.index) return;
+  if (!answer.accepted || transfer.sentLast) {
+    keyspace.transfers.erase(found);
+    keyspace.lags.erase(message.from);
     return;
   }
-  ++t->second.piece;
-  t->second.from = t->second.next;
-  sendPiece(m.keyspace, s, t->second, m.from, now);
+  ++transfer.chunk;
+  transfer.firstKey = transfer.nextFirstKey;
+  sendChunk(message.keyspace, keyspace, transfer, message.from, now);
 }
 
 }  // namespace tealshelf
--- a/consensus/heartbeat_targets.hpp
+++ b/consensus/heartbeat_targets.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "consensus/consensus.hpp"
+#include "consensus/membership.hpp"
 
 namespace tealshelf {
 
--- /dev/null
+++ b/consensus/keyspace_names.hpp
@@ -0,0 +1,9 @@
+#pragma once
+
+/// Names of the keyspaces of the control state. There is one more for each host that has lots (`lots/HOST`).
+namespace tealshelf {
+
+inline constexpr char const* configurationKeyspace = "configuration";
+inline constexpr char const* membersKeyspace = "members";
+
+}  // namespace tealshelf
--- a/consensus/membership.hpp
+++ b/consensus/membership.hpp
@@ -1,38 +1,53 @@
 #pragma once
-#include "consensus/consensus.hpp"
+#include "base/tealshelf.hpp"
 
+/// The nodes that hold and vote on the control state.
 namespace tealshelf {
 
-/// A wish to change the membership: a disk wants in, or (with leave) is to go.
-struct MembershipWish {
-  Member who;
-  bool leave = false;
-  MembershipNumber copiedUnder;  ///< the learner copied all keys from a majority under this membership
+/// A node of the membership.
+struct Member {
+  NodeId id;
+  string name, ip, zone;
+  /// Belongs to the first membership, so that its disk has seen every write.
+  bool founder = false;
+  /// Keeps its state on a disk.
+  bool hasDisk = true;
+  /// Number of one uninterrupted membership of this disk. A disk that was removed, or that lost its vote, comes back
+  /// under another incarnation and is a newcomer then.
+  std::uint64_t incarnation = 0;
+  bool operator==(Member const&) const = default;
+  MSGPACK_DEFINE(id, name, ip, zone, founder, hasDisk, incarnation)
 };
 
-/// Decides the next membership on a wish; nothing if it can't change now.
-///
-/// A disk that wants in is a learner first: it copies all keys from a majority of the voters and is
-/// promoted only then. It takes the place of the member at its address, else of one without a disk,
-/// else of the one that was silent longest and for longer than deadAfter; while a member is silent for
-/// a shorter time the learner waits, and it is added only if every member is in touch. One change at a
-/// time: none while the newcomer of the last change is in touch but has no vote yet, and none by an
-/// owner that has not committed a write of its own epoch. Those who stay and vote must be a majority
-/// of the next membership. A member is taken out without replacement only once every keyspace was
-/// written anew in the present membership (docs/design.md, "Control under failure").
-struct MembershipPolicy {
-  Ms deadAfter;
-  std::size_t least = 3;  ///< a membership never shrinks below this
-  std::optional<Membership> next(Consensus const& consensus, MembershipWish const& wish, TimePoint now) const;
-  /// How many members a membership needs that bears so many losses at once.
-  static std::size_t needed(std::int64_t survive) { return static_cast<std::size_t>(2 * survive + 1); }
-  /// True if a membership bears so many losses: enough members, all with disks.
-  static bool bears(Membership const& g, std::int64_t survive);
-  /// True if the members in touch, without one, don't bear so many losses as long as that one counts.
-  static bool isTight(Consensus const& consensus, NodeId without, std::int64_t survive, TimePoint now);
-  /// For how long a member must be silent before another may have its place: as long as the deployment
-  /// gives a successor to catch up, less what it takes to promote one.
-  static Ms deadAfterFor(Bounds const& b) { return Ms(std::max(b.inTouch / 2, b.catchUp - b.inTouch / 2)); }
+/// The members of one moment. A membership changes by one member at a time, under a rising number.
+struct Membership {
+  MembershipNumber number;
+  vector<Member> members;
+  /// Members of the membership before this one; a newcomer copies all keys from a majority of them.
+  vector<Member> formerMembers;
+
+  /// False for a node that knows of no membership yet.
+  bool exists() const { return number.value != 0; }
+  /// The member with an id, or null.
+  Member const* find(NodeId id) const;
+  /// How many members are a majority.
+  std::size_t quorum() const { return members.size() / 2 + 1; }
+  /// How many former members are a majority of them.
+  std::size_t formerQuorum() const { return formerMembers.size() / 2 + 1; }
+  MSGPACK_DEFINE(number, members, formerMembers)
+};
+
+/// What a node stores of the membership and of its own part in it.
+struct MembershipRecord {
+  Membership membership;
+  /// The disk holds all keys, and the node votes if it is a member.
+  bool holdsAllKeys = false;
+  /// The disk was a member under its incarnation and is one no more.
+  bool retired = false;
+  std::uint64_t incarnation = 0;
+  /// This node as it voted in the membership before: one member or none.
+  vector<Member> formerVoter;
+  MSGPACK_DEFINE(membership, holdsAllKeys, retired, incarnation, formerVoter)
 };
 
 }  // namespace tealshelf
--- /dev/null
+++ b/consensus/membership_manager.cpp
@@ -0,0 +1,305 @@
+#include "consensus/membership_manager.hpp"
+
+#include "consensus/consensus_driver.hpp"
+
+namespace tealshelf {
+
+namespace {
+/// A request to join is handed on so often at the most.
+constexpr int maxJoinHops = 2;
+/// Pauses of the join loop, as parts of inTouch: right after a promotion, since the membership comes at once and this
+/// node has no vote until it copied what is missing; as a voting member; otherwise.
+constexpr int pausePartPromoted = 300, pausePartVoter = 10, pausePartOther = 30;
+
+/// Adds to a copy the keyspaces that the asker held already.
+DiskCopy completed(DiskCopy copy, DiskCopy const& held) {
+  for (KeyspaceCopy& keyspace : copy) {
+    if (!keyspace.unchanged) continue;
+    for (KeyspaceCopy const& known : held)
+      if (known.keyspace == keyspace.keyspace) keyspace.entries = known.entries;
+    keyspace.unchanged = false;
+  }
+  return copy;
+}
+}  // namespace
+
+MembershipManager::MembershipManager(asio::io_context& io, Settings const& settings, RpcClient& rpc,
+                                     ConsensusDriver& driver)
+    : io_(io), settings_(settings), rpc_(rpc), driver_(driver), consensus_(driver.consensus()) {}
+
+void MembershipManager::start(RpcServer& server) {
+  server.on<Hello>([this](Hello) -> Task<HelloReply> {
+    co_return HelloReply{consensus_.self(), consensus_.membership(), settings_.firstBoot, !settings_.dataFolder.empty(),
+                         consensus_.holdsAllKeys()};
+  });
+  server.on<CopyAll>([this](CopyAll request) -> Task<CopyReply> { co_return co_await answerCopy(request); });
+  server.on<JoinRequest>([this](JoinRequest request) -> Task<Acknowledgement> {
+    co_return Acknowledgement{co_await handleJoin(request)};
+  });
+  spawnTask(io_, "membership join", joinLoop());
+  spawnTask(io_, "membership maintenance", maintenanceLoop());
+}
+
+std::size_t MembershipManager::minMembers() const {
+  return std::max<std::size_t>(3, MembershipPolicy::membersToSurvive(settings_.surviveMachines));
+}
+
+void MembershipManager::publish() {
+  driver_.flush();
+  driver_.sendHeartbeats();
+}
+
+Task<void> MembershipManager::joinLoop() {
+  for (;;) {
+    bool const promoted = co_await joinStep();
+    warnIfTooSmall();
+    bool const voter = consensus_.isMember() && consensus_.holdsAllKeys();
+    int const part = promoted ? pausePartPromoted : voter ? pausePartVoter : pausePartOther;
+    co_await sleepFor(settings_.bounds.inTouch / part);
+  }
+}
+
+Task<bool> MembershipManager::joinStep() {
+  bool const member = consensus_.isMember();
+  bool promoted = false;
+  if (!consensus_.membership().exists()) {
+    co_await findOrFound();
+    publish();
+  } else if (!member && !driver_.isLeaving() && mayJoin()) {
+    promoted = co_await askToJoin();
+    driver_.flush();
+  } else if (member && driver_.isLeaving()) {
+    co_await askToLeave();
+  } else if (member && !consensus_.holdsAllKeys()) {
+    co_await copyAll();
+    publish();
+  }
+  co_return promoted;
+}
+
+Task<void> MembershipManager::findOrFound() {
+  Ms const limit = settings_.bounds.inTouch / 6;
+  Membership founded;
+  founded.number = MembershipNumber(1);
+  bool isSeed = false;
+  for (Address const& seed : settings_.seeds) {
+    if (seed.ip == settings_.ip) {
+      founded.members.push_back(consensus_.self());
+      isSeed = true;
+      continue;
+    }
+    HelloReply answer;
+    try {
+      Hello const request{consensus_.self()};
+      answer = co_await rpc_.call(settings_.controlAddress(seed.ip), request, limit);
+    } catch (Error const& error) {
+      logDebug("membership", seed.text() + ": " + error.what());
+      co_return;
+    }
+    if (answer.membership.exists()) {
+      consensus_.installMembership(answer.membership, false);
+      co_return;
+    }
+    if (!answer.mayFound) co_return;
+    founded.members.push_back(answer.self);
+  }
+  if (!isSeed || !settings_.firstBoot) co_return;
+  std::sort(founded.members.begin(), founded.members.end(),
+            [](Member const& left, Member const& right) { return left.ip < right.ip; });
+  for (Member& member : founded.members) member.founder = true;
+  founded.formerMembers = founded.members;
+  consensus_.installMembership(founded, true);
+  logInfo("membership", "founded with " + std::to_string(founded.members.size()) + " members");
+}
+
+/// A process without a disk is a member only where no member has one; else it forwards and keeps soft state.
+bool MembershipManager::mayJoin() const {
+  if (!settings_.dataFolder.empty()) return true;
+  vector<Member> const& members = consensus_.membership().members;
+  return std::none_of(members.begin(), members.end(), [](Member const& member) { return member.hasDisk; });
+}
+
+Task<bool> MembershipManager::askToJoin() {
+  if (consensus_.isRetired()) consensus_.rejoin(randomId());
+  if (prefetchedUnder_ != consensus_.membership().number) co_await copyAll();
+  JoinRequest request;
+  request.who = consensus_.self();
+  request.copiedUnder = prefetchedUnder_;
+  vector<string> ips;
+  for (Member const& member : consensus_.membership().members) ips.push_back(member.ip);
+  for (Address const& seed : settings_.seeds) ips.push_back(seed.ip);
+  for (string const& ip : ips) {
+    if (ip == settings_.ip) continue;
+    try {
+      Address const to = settings_.controlAddress(ip);
+      Acknowledgement const answer = co_await rpc_.call(to, request, settings_.bounds.inTouch / 2);
+      if (answer.ok) co_return true;
+    } catch (Error const&) {
+      // The next one is asked.
+    }
+  }
+  co_return false;
+}
+
+Task<void> MembershipManager::askToLeave() {
+  if (consensus_.membership().members.size() <= minMembers()) co_return;
+  NodeId const self = consensus_.self().id;
+  if (!MembershipPolicy::isTight(consensus_, self, settings_.surviveMachines, Clock::now())) co_return;
+  std::optional<Address> const owner = driver_.ownerAddress(membersKeyspace);
+  if (!owner || owner->ip == settings_.ip) co_return;
+  JoinRequest request;
+  request.who = consensus_.self();
+  request.leaves = true;
+  try {
+    co_await rpc_.call(*owner, request, settings_.bounds.inTouch / 2);
+  } catch (Error const&) {
+    // It is asked again at the next turn.
+  }
+}
+
+void MembershipManager::warnIfTooSmall() {
+  bool const due = consensus_.membership().exists() && Clock::now() - startedAt_ > settings_.bounds.confirmWithin;
+  if (checkedSize_ || !due) return;
+  checkedSize_ = true;
+  if (driver_.survivesRequiredLosses()) return;
+  logWarning("membership", "the membership of " + std::to_string(consensus_.membership().members.size()) +
+                               " is too small to survive the loss of " + std::to_string(settings_.surviveMachines) +
+                               " machines");
+}
+
+Task<CopyReply> MembershipManager::answerCopy(CopyAll const& request) {
+  std::optional<Member> const source = consensus_.copySource();
+  if (request.membership != consensus_.membership().number || !source) throw Error(ErrorCode::notMember);
+  CopyReply answer;
+  answer.source = *source;
+  answer.keyspaces = consensus_.exportKeyspaces();
+  for (KeyspaceCopy& copy : answer.keyspaces) {
+    auto const digest = request.digests.find(copy.keyspace);
+    copy.unchanged = digest != request.digests.end() && digest->second == copy.digest();
+    if (copy.unchanged) copy.entries.clear();
+  }
+  // The membership must be durable here before the copy counts, as this disk acknowledges nothing under an older one
+  // from then on.
+  co_await driver_.waitSynced();
+  co_return answer;
+}
+
+void MembershipManager::requestCopy(Member const& source, MembershipNumber membership,
+                                    std::shared_ptr<PendingCopies> copies, std::size_t needed) {
+  CopyAll request;
+  request.membership = membership;
+  for (KeyspaceCopy const& held : prefetched_[source.id]) request.digests[held.keyspace] = held.digest();
+  ++copies->outstanding;
+  asio::co_spawn(io_, rpc_.call(settings_.controlAddress(source.ip), request, settings_.bounds.inTouch / 2),
+                 [copies, needed, source](std::exception_ptr failure, CopyReply answer) {
+                   --copies->outstanding;
+                   bool const sameDisk =
+                       answer.source.id == source.id && answer.source.incarnation == source.incarnation;
+                   if (!failure && sameDisk) copies->received[source.id] = std::move(answer.keyspaces);
+                   if (!copies->outstanding || copies->received.size() >= needed) copies->timer.cancel();
+                 });
+}
+
+Task<void> MembershipManager::copyAll() {
+  Membership const membership = consensus_.membership();
+  bool const member = consensus_.isMember();
+  vector<Member> const sources = member ? membership.formerMembers : membership.members;
+  std::size_t const needed = member ? membership.formerQuorum() : membership.quorum();
+  std::shared_ptr<PendingCopies> const copies = std::make_shared<PendingCopies>(io_);
+  for (Member const& source : sources)
+    if (source.ip != settings_.ip) requestCopy(source, membership.number, copies, needed);
+  error_code ignored;
+  if (copies->outstanding) co_await copies->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+  // Later answers must not change what is installed.
+  std::map<NodeId, DiskCopy> const received = copies->received;
+  bool const unchanged = consensus_.membership().number == membership.number && consensus_.isMember() == member;
+  if (received.size() < needed || !unchanged) co_return;
+  std::map<NodeId, DiskCopy> whole;
+  for (auto const& [source, copy] : received) whole[source] = completed(copy, prefetched_[source]);
+  if (member) {
+    installCopies(std::move(whole));
+  } else {
+    prefetched_ = std::move(whole);
+    prefetchedUnder_ = membership.number;
+  }
+}
+
+void MembershipManager::installCopies(std::map<NodeId, DiskCopy> copies) {
+  vector<DiskCopy> disks;
+  for (auto& [source, copy] : copies) disks.push_back(std::move(copy));
+  consensus_.installCopies(disks);
+  prefetched_.clear();
+  logInfo("membership", "all keys are copied from " + std::to_string(disks.size()) + " nodes");
+}
+
+Task<bool> MembershipManager::handleJoin(JoinRequest request) {
+  Member const* const known = consensus_.membership().find(request.who.id);
+  if (!request.leaves && known && known->incarnation == request.who.incarnation) co_return true;
+  if (!consensus_.owns(membersKeyspace)) {
+    std::optional<Address> const owner = driver_.ownerAddress(membersKeyspace);
+    if (!owner || request.hops >= maxJoinHops || owner->ip == settings_.ip) co_return false;
+    ++request.hops;
+    Acknowledgement const answer = co_await rpc_.call(*owner, request, settings_.bounds.inTouch / 2);
+    co_return answer.ok;
+  }
+  if (changing_) co_return false;
+  changing_ = true;
+  bool changed = false;
+  try {
+    changed = co_await changeMembership(request);
+  } catch (Error const&) {
+    // Not changed; whoever asked asks again.
+  }
+  changing_ = false;
+  publish();
+  co_return changed;
+}
+
+Task<bool> MembershipManager::changeMembership(JoinRequest const& request) {
+  MembershipNumber const previous = consensus_.membership().number;
+  MembershipPolicy const policy{MembershipPolicy::deadAfterFor(settings_.bounds), minMembers()};
+  MembershipChange const change{request.who, request.leaves, request.copiedUnder};
+  std::optional<Membership> const next = policy.next(consensus_, change, Clock::now());
+  if (!next) co_return false;
+  vector<KeyChange> changes(1, KeyChange{membershipKey, serialize(*next), false});
+  OperationResult const result = co_await driver_.propose(membersKeyspace, std::move(changes));
+  if (result != OperationResult::committed || consensus_.membership().number != previous) co_return false;
+  consensus_.installMembership(*next, false);
+  logInfo("membership", "number " + std::to_string(next->number.value) + " has " +
+                            std::to_string(next->members.size()) + " members; " + request.who.name +
+                            (request.leaves ? " left" : " joined"));
+  co_return true;
+}
+
+Task<void> MembershipManager::maintenanceLoop() {
+  for (;;) {
+    co_await sleepFor(settings_.bounds.inTouch / 3);
+    if (!consensus_.owns(membersKeyspace)) continue;
+    Membership const newest = committedMembership(consensus_);
+    if (newest.number > consensus_.membership().number) {
+      consensus_.installMembership(newest, false);
+      publish();
+      continue;
+    }
+    co_await removeSilent();
+  }
+}
+
+Task<void> MembershipManager::removeSilent() {
+  TimePoint const now = Clock::now();
+  if (consensus_.membership().members.size() <= minMembers() || changing_) co_return;
+  vector<Member> const members = consensus_.membership().members;
+  for (Member const& member : members) {
+    bool const tight = MembershipPolicy::isTight(consensus_, member.id, settings_.surviveMachines, now);
+    Ms const limit = tight ? MembershipPolicy::deadAfterFor(settings_.bounds) : Ms(2 * settings_.bounds.catchUp);
+    if (consensus_.silentFor(member.id, now) <= limit) continue;
+    JoinRequest request;
+    request.who = member;
+    request.hops = maxJoinHops;  // not handed on if this node has lost the keyspace meanwhile
+    request.leaves = true;
+    co_await handleJoin(request);
+    co_return;
+  }
+}
+
+}  // namespace tealshelf
--- /dev/null
+++ b/consensus/membership_policy.cpp
@@ -0,0 +1,125 @@
+#include "consensus/membership_policy.hpp"
+
+#include "wire/serialization.hpp"
+
+namespace tealshelf {
+
+namespace {
+bool isNewcomer(Membership const& membership, Member const& member) {
+  return std::none_of(
+      membership.formerMembers.begin(), membership.formerMembers.end(),
+      [&member](Member const& former) { return former.id == member.id && former.incarnation == member.incarnation; });
+}
+
+/// The last change is open while its newcomer is alive and has no vote yet.
+bool lastChangeIsOpen(Consensus const& consensus, TimePoint now) {
+  Membership const& membership = consensus.membership();
+  return std::any_of(membership.members.begin(), membership.members.end(), [&](Member const& member) {
+    return isNewcomer(membership, member) && consensus.isAlive(member.id, now) && !consensus.isReady(member.id, now);
+  });
+}
+
+bool anyHasDisk(Membership const& membership) {
+  return std::any_of(membership.members.begin(), membership.members.end(),
+                     [](Member const& member) { return member.hasDisk; });
+}
+
+/// What becomes of the members when a learner is promoted.
+struct Promotion {
+  enum class Kind { replace, add, wait } kind = Kind::wait;
+  NodeId replaced;  ///< whose place it takes, with replace
+};
+
+Promotion promotionFor(Consensus const& consensus, Member const& learner, Ms deadAfter, TimePoint now) {
+  vector<Member> const& members = consensus.membership().members;
+  for (Member const& member : members)
+    if (member.ip == learner.ip) return {Promotion::Kind::replace, member.id};
+  for (Member const& member : members)
+    if (learner.hasDisk && !member.hasDisk && member.id != consensus.self().id)
+      return {Promotion::Kind::replace, member.id};
+  Member const* longestSilent = nullptr;
+  Ms longestSilence{0};
+  bool anySilent = false;
+  for (Member const& member : members) {
+    anySilent = anySilent || !consensus.isAlive(member.id, now);
+    Ms const silence = consensus.silentFor(member.id, now);
+    if (longestSilent && silence <= longestSilence) continue;
+    longestSilent = &member;
+    longestSilence = silence;
+  }
+  if (longestSilent && longestSilence > deadAfter) return {Promotion::Kind::replace, longestSilent->id};
+  return {anySilent ? Promotion::Kind::wait : Promotion::Kind::add, NodeId()};
+}
+
+/// True if those who stay and vote are a majority of the next membership.
+bool stayingVotersSuffice(Consensus const& consensus, Membership const& next, TimePoint now) {
+  std::size_t voters = 0;
+  for (Member const& member : next.members) {
+    Member const* const present = consensus.membership().find(member.id);
+    bool const stays = present && present->incarnation == member.incarnation;
+    if (stays && consensus.isReady(member.id, now)) ++voters;
+  }
+  return voters >= next.quorum();
+}
+
+bool remove(Membership& next, MembershipPolicy const& policy, Consensus const& consensus, Member const& who,
+            TimePoint now) {
+  if (next.members.size() <= policy.minMembers || who.id == consensus.self().id) return false;
+  if (!consensus.allKeyspacesRewritten(now)) return false;
+  return std::erase_if(next.members, [&who](Member const& member) { return member.id == who.id; }) > 0;
+}
+
+bool promote(Membership& next, MembershipPolicy const& policy, Consensus const& consensus,
+             MembershipChange const& change, TimePoint now) {
+  Membership const& present = consensus.membership();
+  if (change.copiedUnder != present.number || (!change.who.hasDisk && anyHasDisk(present))) return false;
+  Promotion const promotion = promotionFor(consensus, change.who, policy.deadAfter, now);
+  if (promotion.kind == Promotion::Kind::wait || promotion.replaced == consensus.self().id) return false;
+  if (promotion.kind == Promotion::Kind::add) {
+    next.members.push_back(change.who);
+    return true;
+  }
+  for (Member& member : next.members)
+    if (member.id == promotion.replaced) member = change.who;
+  return true;
+}
+}  // namespace
+
+Membership committedMembership(Consensus const& consensus) {
+  Values const& values = consensus.committedValues(membersKeyspace);
+  auto const value = values.find(membershipKey);
+  if (value == values.end()) return Membership();
+  return deserialize<Membership>(value->second);
+}
+
+bool MembershipPolicy::survives(Membership const& membership, std::int64_t losses) {
+  std::size_t disks = 0;
+  for (Member const& member : membership.members) disks += member.hasDisk;
+  return disks == membership.members.size() && disks >= membersToSurvive(losses);
+}
+
+bool MembershipPolicy::isTight(Consensus const& consensus, NodeId without, std::int64_t losses, TimePoint now) {
+  Membership const& membership = consensus.membership();
+  std::size_t alive = 0;
+  for (Member const& member : membership.members) alive += member.id != without && consensus.isAlive(member.id, now);
+  return alive < membership.quorum() + static_cast<std::size_t>(losses);
+}
+
+std::optional<Membership> MembershipPolicy::next(Consensus const& consensus, MembershipChange const& change,
+                                                 TimePoint now) const {
+  Membership const& present = consensus.membership();
+  if (!present.exists() || !consensus.owns(membersKeyspace)) return std::nullopt;
+  // One that is committed and not installed yet comes first: two memberships must not share a number.
+  if (committedMembership(consensus).number > present.number) return std::nullopt;
+  if (lastChangeIsOpen(consensus, now)) return std::nullopt;
+  Membership next;
+  next.number = MembershipNumber(present.number.value + 1);
+  next.members = present.members;
+  next.formerMembers = present.members;
+  bool const changed =
+      change.leaves ? remove(next, *this, consensus, change.who, now) : promote(next, *this, consensus, change, now);
+  if (!changed || !stayingVotersSuffice(consensus, next, now)) return std::nullopt;
+  return next;
+}
+
+}  // namespace tealshelf
--- /dev/null
+++ b/consensus/ownership.cpp
@@ -0,0 +1,126 @@
+// How a node becomes the owner of a keyspace, and how it stops being one.
+#include "consensus/consensus.hpp"
+
+namespace tealshelf {
+
+namespace {
+/// After so many resends a takeover is given up if another node should own the keyspace, or has a higher epoch.
+constexpr int takeoverResends = 20;
+}  // namespace
+
+void Consensus::updateOwnership(string const& name, KeyspaceState& keyspace, TimePoint now) {
+  if (keyspace.phase == OwnershipPhase::owner) return;
+  Member const* const preferred = preferredOwner(name, now);
+  bool const shouldOwn = preferred && preferred->id == self_.id && inContactWithMajority(now);
+  if (keyspace.phase == OwnershipPhase::notOwner) {
+    if (shouldOwn) startTakeover(name, keyspace, now);
+    return;
+  }
+  bool const overdue = now - keyspace.takeoverStartedAt > takeoverResends * timeouts_.resend;
+  bool const overtaken = !shouldOwn || keyspace.highestSeenEpoch > keyspace.epoch;
+  if (overdue && overtaken)
+    stepDown(keyspace);
+  else if (keyspace.phase == OwnershipPhase::collectingVotes && now - keyspace.voteRequestsSentAt > timeouts_.resend)
+    sendVoteRequests(name, keyspace, now);
+}
+
+void Consensus::startTakeover(string const& name, KeyspaceState& keyspace, TimePoint now) {
+  stepDown(keyspace);
+  keyspace.phase = OwnershipPhase::collectingVotes;
+  keyspace.takeoverStartedAt = now;
+  std::uint64_t const highest = std::max(keyspace.highestSeenEpoch.number, keyspace.votedEpoch.number);
+  keyspace.epoch = Epoch{highest + 1, self_.id};
+  keyspace.highestSeenEpoch = keyspace.epoch;
+  keyspace.votes.clear();
+  keyspace.votedEntries.clear();
+  sendVoteRequests(name, keyspace, now);
+}
+
+void Consensus::sendVoteRequests(string const& name, KeyspaceState& keyspace, TimePoint now) {
+  keyspace.voteRequestsSentAt = now;
+  for (Member const& member : membership_.members)
+    if (!keyspace.votes.count(member.id)) send(member.id, name, keyspace.epoch, VoteRequest{});
+}
+
+void Consensus::handle(Message const& message, VoteRequest const&, KeyspaceState& keyspace, TimePoint) {
+  VoteReply answer;
+  bool const repeated = message.epoch == keyspace.votedEpoch;
+  // An equal number of another owner is refused: a vote is for one owner of each number.
+  if (repeated || message.epoch.number > keyspace.votedEpoch.number) {
+    if (message.epoch > keyspace.votedEpoch) {
+      keyspace.votedEpoch = message.epoch;
+      record(LogRecord::vote(message.keyspace, message.epoch));
+      if (keyspace.epoch < message.epoch) stepDown(keyspace);
+    }
+    output_.needsSync = true;
+    answer.granted = true;
+    answer.entries = keyspace.replica.entries();
+  }
+  answer.votedEpoch = keyspace.votedEpoch;
+  reply(message, std::move(answer));
+}
+
+void Consensus::handle(Message const& message, VoteReply const& answer, KeyspaceState& keyspace, TimePoint now) {
+  if (keyspace.phase != OwnershipPhase::collectingVotes || message.epoch != keyspace.epoch) return;
+  if (!answer.granted) return onRefusal(answer.votedEpoch, keyspace);
+  keyspace.votes.insert(message.from);
+  mergeNewer(keyspace.votedEntries, answer.entries);
+  if (keyspace.votes.size() < membership_.quorum()) return;
+  rewriteUnderOwnEpoch(message.keyspace, keyspace, now);
+}
+
+/// Writes the newest entry of each key again, under the new epoch. Once a majority has stored that, this node owns
+/// the keyspace.
+void Consensus::rewriteUnderOwnEpoch(string const& name, KeyspaceState& keyspace, TimePoint now) {
+  keyspace.phase = OwnershipPhase::rewriting;
+  keyspace.nextSequence = 1;
+  keyspace.committedSequence = 0;
+  PendingWrite write;
+  write.full = true;
+  write.first = 1;
+  for (auto& [key, entry] : keyspace.votedEntries)
+    write.entries[key] = Entry{keyspace.epoch, keyspace.nextSequence++, std::move(entry.value), entry.deleted};
+  // An empty keyspace takes one number too, so that its takeover has a position.
+  if (keyspace.nextSequence == 1) keyspace.nextSequence = 2;
+  write.last = keyspace.nextSequence - 1;
+  keyspace.votedEntries.clear();
+  keyspace.writes.push_back(std::move(write));
+  sendWrite(name, keyspace, keyspace.writes.back(), now);
+}
+
+void Consensus::stepDown(KeyspaceState& keyspace) {
+  for (PendingWrite const& write : keyspace.writes)
+    if (!write.committed) finish(write.operation, OperationResult::unknown);
+  for (PendingRead const& read : keyspace.reads) finish(read.operation, OperationResult::unknown);
+  keyspace.writes.clear();
+  keyspace.reads.clear();
+  keyspace.lags.clear();
+  keyspace.transfers.clear();
+  keyspace.recentWrites.clear();
+  keyspace.recentBytes = 0;
+  keyspace.phase = OwnershipPhase::notOwner;
+}
+
+void Consensus::stepDownEverywhere() {
+  for (auto& [name, keyspace] : keyspaces_) stepDown(keyspace);
+}
+
+void Consensus::relinquish(string const& keyspace) {
+  stepDown(keyspaces_[keyspace]);
+}
+
+bool Consensus::setAbstaining(bool abstains) {
+  if (abstains_ == abstains) return false;
+  abstains_ = abstains;
+  if (abstains_) stepDownEverywhere();
+  return true;
+}
+
+/// A member refused something, as it voted for another epoch.
+void Consensus::onRefusal(Epoch votedEpoch, KeyspaceState& keyspace) {
+  // A vote under the same number but for another owner refuses just as a higher one does.
+  bool const overtaken = votedEpoch != keyspace.epoch && votedEpoch.number >= keyspace.epoch.number;
+  if (overtaken && keyspace.phase != OwnershipPhase::notOwner) stepDown(keyspace);
+}
+
+}  // namespace tealshelf
--- /dev/null
+++ b/consensus/voting_rights.cpp
@@ -0,0 +1,109 @@
+// How a node becomes a member that votes, and how it stops being one.
+#include "consensus/consensus.hpp"
+
+namespace tealshelf {
+
+std::uint64_t KeyspaceCopy::digest() const {
+  msgpack::sbuffer buffer;
+  msgpack::pack(buffer, votedEpoch);
+  msgpack::pack(buffer, entries);
+  return hash64(string(buffer.data(), buffer.size()));
+}
+
+bool Consensus::isMember() const {
+  Member const* const member = membership_.find(self_.id);
+  return member && member->incarnation == self_.incarnation;
+}
+
+MembershipRecord Consensus::membershipRecord() const {
+  MembershipRecord record;
+  record.membership = membership_;
+  record.holdsAllKeys = holdsAllKeys_;
+  record.retired = retired_;
+  record.incarnation = self_.incarnation;
+  record.formerVoter = formerVoter_;
+  return record;
+}
+
+void Consensus::installMembership(Membership const& membership, bool holdsAllKeys) {
+  if (membership.number <= membership_.number && membership_.exists()) return;
+  bool const wasMember = isMember();
+  bool const voted = mayVote();
+  membership_ = membership;
+  bool const isMemberNow = isMember();
+  retired_ = retired_ || (wasMember && !isMemberNow);
+  bool const founder = isMemberNow && membership_.find(self_.id)->founder;
+  holdsAllKeys_ = isMemberNow && (holdsAllKeys_ || holdsAllKeys || founder);
+  formerVoter_.clear();
+  for (Member const& former : membership_.formerMembers)
+    if (voted && former.id == self_.id && former.incarnation == self_.incarnation) formerVoter_.push_back(former);
+  record(LogRecord::membershipChange(membershipRecord()));
+  stepDownEverywhere();
+}
+
+void Consensus::surrenderVote(std::uint64_t newIncarnation) {
+  self_.incarnation = newIncarnation;
+  self_.founder = false;
+  holdsAllKeys_ = false;
+  retired_ = false;
+  formerVoter_.clear();
+  record(LogRecord::membershipChange(membershipRecord()));
+  stepDownEverywhere();
+}
+
+void Consensus::rejoin(std::uint64_t newIncarnation) {
+  if (!retired_) return;
+  self_.incarnation = newIncarnation;
+  self_.founder = false;
+  retired_ = false;
+  record(LogRecord::membershipChange(membershipRecord()));
+}
+
+void Consensus::installCopies(vector<DiskCopy> const& copies) {
+  // What was copied earlier goes: it could bring back a key that all members have dropped since.
+  std::map<string, Entries> merged;
+  for (DiskCopy const& disk : copies)
+    for (KeyspaceCopy const& copy : disk) {
+      KeyspaceState& keyspace = keyspaces_[copy.keyspace];
+      keyspace.votedEpoch = std::max(keyspace.votedEpoch, copy.votedEpoch);
+      keyspace.highestSeenEpoch = std::max(keyspace.highestSeenEpoch, keyspace.votedEpoch);
+      mergeNewer(merged[copy.keyspace], copy.entries);
+    }
+  for (auto& [name, keyspace] : keyspaces_) {
+    keyspace.replica.reset(Position(), merged[name]);
+    record(LogRecord::wholeKeyspace(name, keyspace.votedEpoch, keyspace.replica.entries(), Position()));
+  }
+  holdsAllKeys_ = true;
+  record(LogRecord::membershipChange(membershipRecord()));
+}
+
+DiskCopy Consensus::exportKeyspaces() const {
+  DiskCopy disk;
+  for (auto const& [name, keyspace] : keyspaces_)
+    disk.push_back(KeyspaceCopy{name, keyspace.votedEpoch, keyspace.replica.entries(), false});
+  return disk;
+}
+
+std::optional<Member> Consensus::copySource() const {
+  if (mayVote()) return *membership_.find(self_.id);
+  if (!formerVoter_.empty()) return formerVoter_.front();
+  return std::nullopt;
+}
+
+bool Consensus::allKeyspacesRewritten(TimePoint now) const {
+  std::size_t voters = 0;
+  std::set<string> known;
+  std::set<string> owned;
+  for (Member const& member : membership_.members) {
+    if (!isReady(member.id, now)) continue;
+    ++voters;
+    Heartbeat const latest = member.id == self_.id ? heartbeat(now) : *contacts_.lastHeartbeat(member.id);
+    for (KeyspaceProgress const& progress : latest.keyspaces) {
+      known.insert(progress.keyspace);
+      if (progress.owned) owned.insert(progress.keyspace);
+    }
+  }
+  return voters >= membership_.quorum() && known == owned;
+}
+
+}  // namespace tealshelf
--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -35,33 +35,33 @@
     log_->releaseRecovered();
   }
   publisher_.proof = [this] {
-    return UpdatePublisher::Proof{driver_.healthy() && tableWhole() && !stopping_, 0,
-                                  driver_.consensus().provenAt(Clock::now())};
+    return UpdatePublisher::Proof{driver_.inContactWithMajority() && tableWhole() && !stopping_, 0,
+                                  driver_.consensus().majorityContact(Clock::now())};
   };
   driver_.onHeartbeat = [this](HeartbeatMessage const& m) { return onHeartbeat(m); };
   driver_.fillHeartbeat = [this](HeartbeatMessage& m, bool full) { fillHeartbeat(m, full); };
   driver_.onChange = [this] {
     bool updated = false;
-    if (std::optional<std::map<string, string>> const v = driver_.consensus().settled("configuration")) {
+    if (std::optional<std::map<string, string>> const v = driver_.consensus().lastKnownValues("configuration")) {
       std::map<string, string>::const_iterator const i = v->find("current");
       if (i != v->end() && i->second != publisher_.configuration()) {
         std::shared_ptr<Configuration const> const c = compileConfiguration(i->second);
         if (c->version > publisher_.configurationVersion()) {
           publisher_.setConfiguration(c->version, i->second);
           for (Route const& m : c->routes)
-            if (m.kind == RouteKind::bulk) driver_.consensus().know(LotCoordinator::keyspaceOf(m.host));
+            if (m.kind == RouteKind::bulk) driver_.consensus().addKeyspace(LotCoordinator::keyspaceOf(m.host));
           logInfo("configuration", "version " + std::to_string(c->version) + " is in force");
           updated = true;
         }
       }
     }
     bool const healthy = publisher_.proof().healthy;
-    if (updated || healthy != wasHealthy_ || driver_.consensus().membership().no != membershipNumber_) changed();
+    if (updated || healthy != wasHealthy_ || driver_.consensus().membership().number != membershipNumber_) changed();
     wasHealthy_ = healthy;
   };
   coordinator_.retiring = [this] {
     std::set<string> s;
-    std::optional<std::map<string, string>> const v = driver_.consensus().settled("members");
+    std::optional<std::map<string, string>> const v = driver_.consensus().lastKnownValues("members");
     if (v)
       for (std::pair<string const, string> const& p : *v)
         if (p.first.rfind("retire/", 0) == 0) s.insert(p.first.substr(7));
@@ -112,7 +112,7 @@
   }
   publishedRevision_ = table_.revision();
   Membership const& g = driver_.consensus().membership();
-  membershipNumber_ = g.no;
+  membershipNumber_ = g.number;
   std::set<string> named;
   for (Member const& m : g.members) {
     publisher_.common.put("m/" + hex(m.id.value), serialize(m));
@@ -128,23 +128,23 @@
 
 /// A register is whole once a majority's registers are in it, or all live workers have sent a beat.
 bool ControlNode::tableWhole() const {
-  return (table_.size() && tables_.size() + 1 >= driver_.consensus().membership().most()) ||
+  return (table_.size() && tables_.size() + 1 >= driver_.consensus().membership().quorum()) ||
          Clock::now() - started_ > Ms(settings_.reportEvery * 3 / 2);
 }
 
 Task<void> ControlNode::sweepLoop() {
   for (;;) {
     co_await sleepFor(Ms(settings_.reportEvery / 4));
-    if (driver_.healthy() && table_.sweep(Clock::now())) changed();
+    if (driver_.inContactWithMajority() && table_.sweep(Clock::now())) changed();
     listNodes();
-    if (driver_.healthy()) judge();
+    if (driver_.inContactWithMajority()) judge();
   }
 }
 
 Task<CallReply> ControlNode::servers(ForwardCall q) {
   string const id = idInPath(q.path, "/servers/");
   if (q.verb != "PUT" && q.verb != "DELETE") throw Error(ErrorCode::methodNotAllowed);
-  if (!driver_.healthy()) throw Error(ErrorCode::notReady);
+  if (!driver_.inContactWithMajority()) throw Error(ErrorCode::notReady);
   Worker w;
   if (q.verb == "PUT")
     w = readBeat(id, q.body);
@@ -159,13 +159,13 @@
     changed();
     HeartbeatMessage m;
     m.heartbeat = driver_.consensus().heartbeat(Clock::now());
-    m.heartbeat.copied = m.heartbeat.copied && !stopping_;
+    m.heartbeat.holdsAllKeys = m.heartbeat.holdsAllKeys && !stopping_;
     m.workers = {*table_.find(id)};
     std::shared_ptr<std::size_t> const left = std::make_shared<std::size_t>(0);
     std::shared_ptr<asio::steady_timer> const t =
         std::make_shared<asio::steady_timer>(io_, Ms(settings_.bounds.drain / 5));
     for (Member const& x : driver_.consensus().membership().members) {
-      if (x.id == driver_.consensus().self().id || !driver_.consensus().alive(x.id, Clock::now())) continue;
+      if (x.id == driver_.consensus().self().id || !driver_.consensus().isAlive(x.id, Clock::now())) continue;
       ++*left;
       asio::co_spawn(io_, rpc_.call(settings_.controlAddress(x.ip), m, Ms(settings_.bounds.drain / 5)),
                      [left, t](std::exception_ptr, HeartbeatReply) {
--- a/control/control_node.hpp
+++ b/control/control_node.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include "base/async_mutex.hpp"
+#include "configuration/change_decision.hpp"
 #include "configuration/configuration.hpp"
-#include "configuration/order_decision.hpp"
 #include "control/messages.hpp"
 #include "lots/lot_coordinator.hpp"
 #include "updates/publisher.hpp"
@@ -33,7 +33,7 @@
   /// Makes sure that this node owns a keyspace; throws Code::noQuorum otherwise.
   Task<Epoch> confirmOwner(string keyspace, TimePoint end);
   /// Has the configuration that an order brings on a majority; throws Code::orderOpen if that isn't known.
-  Task<void> commit(Decision decision, Epoch epoch);
+  Task<void> commit(ChangeDecision decision, Epoch epoch);
   Task<CallReply> retire(ForwardCall q);
   Task<std::optional<CallReply>> elsewhere(string const& keyspace, ForwardCall q);
   Task<void> sweepLoop();
@@ -54,7 +54,7 @@
   asio::io_context& io_;
   Settings const& settings_;
   RpcClient rpc_;
-  Driver driver_;
+  ConsensusDriver driver_;
   LotCoordinator coordinator_;
   WorkerRegistry table_;
   RpcServer server_;
@@ -64,7 +64,7 @@
   std::set<NodeId> tables_;  ///< nodes whose whole register was taken in
   bool stopping_ = false;
   AsyncMutex orders_;  ///< one order is judged and written at a time
-  UnsettledOrder unsettled_;
+  UndecidedChange unsettled_;
   struct Part {
     std::uint64_t digest = 0;
     vector<NodeRow> nodes;
--- a/control/operator_calls.cpp
+++ b/control/operator_calls.cpp
@@ -45,7 +45,7 @@
   Consensus const& consensus = driver_.consensus();
   Epoch const epoch = consensus.epochOf(keyspace);
   Ms const limit = std::min(Ms(settings_.bounds.inTouch / 3), Ms(remainingMs(end)));
-  bool const sure = co_await driver_.confirm(keyspace, limit);
+  bool const sure = co_await driver_.confirmOwnership(keyspace, limit);
   if (!sure || !consensus.owns(keyspace) || consensus.epochOf(keyspace) != epoch) throw Error(ErrorCode::noQuorum);
   co_return epoch;
 }
@@ -57,15 +57,16 @@
   q.budgetMs = remainingMs(end);
   if (q.verb == "PUT") co_return co_await putConfiguration(std::move(q));
   co_await confirmOwner("configuration", end);
-  std::map<string, string> const& rows = driver_.consensus().view("configuration");
-  std::map<string, string>::const_iterator const current = rows.find(currentKey);
+  std::map<string, string> const& rows = driver_.consensus().committedValues("configuration");
+  std::map<string, string>::const_iterator const current = rows.find(currentConfigurationKey);
   if (current == rows.end()) co_return CallReply{404, "{}"};
   co_return CallReply{200, current->second};
 }
 
 Task<void> ControlNode::awaitFirstMembership(TimePoint end) {
   TimePoint const until = started_ + Ms(settings_.bounds.inTouch);
-  while (!driver_.wide() && Clock::now() < until && !driver_.consensus().view("configuration").count(currentKey)) {
+  while (!driver_.survivesRequiredLosses() && Clock::now() < until &&
+         !driver_.consensus().committedValues("configuration").count(currentConfigurationKey)) {
     if (Clock::now() >= end) throw Error(ErrorCode::notReady, "the membership is still too small");
     co_await sleepFor(Ms(settings_.bounds.inTouch / 60));
   }
@@ -76,25 +77,25 @@
   AsyncMutex::Lock const turn = co_await orders_.lock(Ms(q.budgetMs / 2));
   co_await awaitFirstMembership(end);
   Epoch const epoch = co_await confirmOwner("configuration", end);
-  std::map<string, string> const& rows = driver_.consensus().view("configuration");
-  if (unsettled_.open(epoch.n, rows)) throw Error(ErrorCode::changeUndecided, "an order before it is open");
-  Order const order{q.ifMatch, std::move(q.body)};
-  Decision const decision = decide(rows, order);
-  if (decision.verdict == OrderVerdict::apply)
+  std::map<string, string> const& rows = driver_.consensus().committedValues("configuration");
+  if (unsettled_.isOpen(epoch.number, rows)) throw Error(ErrorCode::changeUndecided, "an order before it is open");
+  ChangeRequest const order{q.ifMatch, std::move(q.body)};
+  ChangeDecision const decision = decideChange(rows, order);
+  if (decision.verdict == ChangeVerdict::apply)
     co_await commit(decision, epoch);
-  else if (decision.verdict != OrderVerdict::acknowledgeAgain) {
+  else if (decision.verdict != ChangeVerdict::acknowledgeAgain) {
     logInfo("configuration", string("an order was refused: ") + Error(decision.code, decision.detail).what());
     throw Error(decision.code, decision.detail);
   }
   co_return CallReply{200, "{}"};
 }
 
-Task<void> ControlNode::commit(Decision decision, Epoch epoch) {
-  vector<Consensus::Change> changes;
-  for (OrderHistory::Row const& row : decision.rows) changes.push_back(Consensus::Change{row.key, row.value, false});
-  unsettled_.begin(decision.identity, epoch.n);
-  Result const result = co_await driver_.propose("configuration", std::move(changes));
-  if (result != Result::committed) throw Error(ErrorCode::changeUndecided);
+Task<void> ControlNode::commit(ChangeDecision decision, Epoch epoch) {
+  vector<KeyChange> changes;
+  for (ChangeHistory::Row const& row : decision.rows) changes.push_back(KeyChange{row.key, row.value, false});
+  unsettled_.begin(decision.id, epoch.number);
+  OperationResult const result = co_await driver_.propose("configuration", std::move(changes));
+  if (result != OperationResult::committed) throw Error(ErrorCode::changeUndecided);
   unsettled_.settle();
   driver_.onChange();
 }
@@ -106,7 +107,7 @@
   TimePoint const end = Clock::now() + Ms(q.budgetMs);
   if (std::optional<CallReply> r = co_await elsewhere("members", q)) co_return *r;
   co_await confirmOwner("members", end);
-  bool const asked = driver_.consensus().view("members").count("retire/" + node) != 0;
+  bool const asked = driver_.consensus().committedValues("members").count("retire/" + node) != 0;
   if (!asked && !coordinator_.knownStore(node)) throw Error(ErrorCode::unknownNode, node);
   if (q.verb == "POST" && !asked) {
     std::size_t left = 0;
@@ -114,9 +115,9 @@
     for (StoreRef const& s : coordinator_.liveStores(Clock::now()))
       if (s.name != node && !going.count(s.name)) ++left;
     if (left < static_cast<std::size_t>(settings_.surviveMachines) + 1) throw Error(ErrorCode::tooFewStores);
-    vector<Consensus::Change> changes(1, Consensus::Change{"retire/" + node, "1", false});
-    Result const result = co_await driver_.propose("members", std::move(changes));
-    if (result != Result::committed) throw Error(ErrorCode::changeUndecided);
+    vector<KeyChange> changes(1, KeyChange{"retire/" + node, "1", false});
+    OperationResult const result = co_await driver_.propose("members", std::move(changes));
+    if (result != OperationResult::committed) throw Error(ErrorCode::changeUndecided);
     logInfo("control", node + " is to be emptied");
   }
   if (q.verb == "POST") co_return CallReply{200, "{}"};
--- a/control/worker_exchange.cpp
+++ b/control/worker_exchange.cpp
@@ -5,35 +5,36 @@
 /// What the control nodes tell each other of workers and data-plane nodes.
 bool ControlNode::onHeartbeat(HeartbeatMessage const& m) {
   TimePoint const now = Clock::now();
-  NodeId const from = m.heartbeat.self.id;
+  NodeId const from = m.heartbeat.sender.id;
   bool updated = false;
   table_.alive(from, now);
-  if (m.full)
+  if (m.wholeRegistry)
     updated = table_.mergeAll(m.workers, from, now);
   else
     for (Worker const& w : m.workers) updated = table_.merge(w, now) || updated;
-  if ((m.full || m.digest == publisher_.common.digest()) && tables_.insert(from).second) updated = true;
+  if ((m.wholeRegistry || m.registryDigest == publisher_.common.digest()) && tables_.insert(from).second)
+    updated = true;
   health_.heard(from, m.tallies, now);
   Part& p = parts_[from];
   p.at = now;
-  if (m.hasNodes) {
+  if (m.carriesNodes) {
     p.nodes = m.nodes;
     p.digest = m.nodesDigest;
   }
   if (updated) changed();
-  return !m.full && m.digest != publisher_.common.digest();
+  return !m.wholeRegistry && m.registryDigest != publisher_.common.digest();
 }
 
 void ControlNode::fillHeartbeat(HeartbeatMessage& m, bool full) {
   // Before its own register can be whole, a node doesn't call it so.
-  m.full = full && (table_.size() || tableWhole());
-  if (m.full)
+  m.wholeRegistry = full && (table_.size() || tableWhole());
+  if (m.wholeRegistry)
     m.workers = table_.all();
   else if (!full)
     m.workers = table_.fresh();
   health_.note(publisher_.takeTallies(), Clock::now());
   m.tallies = health_.report(Clock::now());
-  m.digest = publisher_.common.digest();
+  m.registryDigest = publisher_.common.digest();
   vector<NodeRow> const here = publisher_.heard(Clock::now());
   m.nodesDigest = Relays::digest(here);
   if (m.nodesDigest != nodesDigest_) {
@@ -41,9 +42,9 @@
     nodesTurns_ = 0;
   }
   // A list that changed goes with three heartbeats, and now and then again.
-  m.hasNodes = full || nodesTurns_ < 3 || nodesTurns_ % 16 == 0;
+  m.carriesNodes = full || nodesTurns_ < 3 || nodesTurns_ % 16 == 0;
   if (!full) ++nodesTurns_;
-  if (m.hasNodes) m.nodes = here;
+  if (m.carriesNodes) m.nodes = here;
 }
 
 void ControlNode::judge() {
@@ -84,7 +85,7 @@
   std::optional<Address> best;
   std::pair<bool, std::uint64_t> top;
   for (Member const& m : driver_.consensus().membership().members) {
-    if (m.id != driver_.consensus().self().id && !driver_.consensus().ready(m.id, now)) continue;
+    if (m.id != driver_.consensus().self().id && !driver_.consensus().isReady(m.id, now)) continue;
     std::pair<bool, std::uint64_t> const rank(m.zone == w.zone, hash64(hex(m.id.value), hash64(w.id)));
     if (best && rank <= top) continue;
     best = Address{m.ip, settings_.control.port};
--- a/edge/carry_out.cpp
+++ b/edge/carry_out.cpp
@@ -33,9 +33,9 @@
     Worker const* w = balance_.pick(view_, l.want, tried);
     if (!w && rounds == 0 && !p->headSent) {
       // Everyone was tried; a short wait, then one more round, while there is time inside the aim.
-      if (++rounds > 1 || Clock::now() - l.came > Ms(l.route->aim / 4)) break;
+      if (++rounds > 1 || Clock::now() - l.came > Ms(l.route->target / 4)) break;
       tried.clear();
-      co_await sleepFor(Ms(std::max<std::int64_t>(1, l.route->aim / 20)));
+      co_await sleepFor(std::max(Ms(1), l.route->target / 20));
       continue;
     }
     if (!w) break;
@@ -76,7 +76,7 @@
         over = !l.mayRepeat;
         break;
       case Verdict::timeUp:
-        if (l.deadline - l.came > Ms(4 * l.route->aim)) view_.tally(id, false);
+        if (l.deadline - l.came > Ms(4 * l.route->target)) view_.tally(id, false);
         mayHaveRun = true;
         why = ErrorCode::deadlineExceeded;
         over = true;
--- a/edge/edge_node.cpp
+++ b/edge/edge_node.cpp
@@ -70,10 +70,10 @@
   error_code e;
   while (p->keep && p->sock.is_open()) {
     std::shared_ptr<Configuration const> const c = view_.configuration();
-    Limits const lim = c ? c->limits : Limits();
+    ClientLimits const lim = c ? c->limits : ClientLimits();
     http::request_parser<http::string_body> parser;
-    parser.header_limit(static_cast<std::uint32_t>(lim.headerBytes));
-    parser.body_limit(lim.bodyBytes);
+    parser.header_limit(static_cast<std::uint32_t>(lim.maxHeaderBytes));
+    parser.body_limit(lim.maxBodyBytes);
     bool timeUp = false;
     {
       SocketDeadline g(io_, p->sock);
@@ -149,13 +149,13 @@
   string host(h.data(), h.size());
   if (std::size_t const c = host.find(':'); c != string::npos) host.resize(c);
   beast::string_view const t = q.target();
-  l.route = l.configuration ? l.configuration->find(host, string_view(t.data(), t.size())) : nullptr;
+  l.route = l.configuration ? l.configuration->findRoute(host, string_view(t.data(), t.size())) : nullptr;
   beast::string_view const id = q["Attempt-Id"];
   l.attempt = string(id.data(), id.size());
   if (!l.route) return l;
   Route const& m = *l.route;
   beast::string_view const tl = q["Time-Left-Ms"];
-  std::int64_t span = m.timeLimit;
+  std::int64_t span = m.timeLimit.count();
   if (std::optional<std::uint64_t> const given = parseNumber(string_view(tl.data(), tl.size())))
     span = std::min<std::int64_t>(span, static_cast<std::int64_t>(*given));
   l.deadline = now + Ms(span);
@@ -184,7 +184,7 @@
 }
 
 double EdgeNode::retryAfter(Plan const& l) const {
-  double const aim = static_cast<double>(l.route ? l.route->aim : settings_.bounds.step.count());
+  double const aim = static_cast<double>(l.route ? l.route->target.count() : settings_.bounds.step.count());
   return std::max(0.02, aim / 4000.0);
 }
 
--- a/lots/lot_api.cpp
+++ b/lots/lot_api.cpp
@@ -108,7 +108,7 @@
   if (!(list && (verb == "GET" || verb == "DELETE")) && !(one && verb == "GET")) return false;
   for (Route const& m : c.routes)
     if (m.kind == RouteKind::bulk && m.host == host) return true;
-  return c.find(host, path) == nullptr;
+  return c.findRoute(host, path) == nullptr;
 }
 
 /// Asks the control node in use, then the others.
@@ -143,12 +143,12 @@
   q.lot.id = id;
   q.lot.host = m.host;
   q.lot.route = m.name;
-  q.lot.keepFor = m.keepFor;
-  q.lot.dueIn = m.dueIn;
+  q.lot.keepFor = m.keepFor.count();
+  q.lot.dueIn = m.dueIn.count();
   q.lot.total = items.size();
   q.lot.tries = m.tries;
   for (ItemRecord const& r : items) q.lot.tokens += r.tokens;
-  q.most = m.mostQueued;
+  q.most = m.maxQueuedTokens;
   string const packedItems = serialize(items);
   items.clear();
   Ms const limit(settings_.bounds.inTouch / 5);
--- a/lots/lot_coordinator.cpp
+++ b/lots/lot_coordinator.cpp
@@ -7,7 +7,7 @@
 constexpr std::size_t mostWaiting = 16;
 }  // namespace
 
-LotCoordinator::LotCoordinator(asio::io_context& io, Settings const& settings, RpcClient& rpc, Driver& driver)
+LotCoordinator::LotCoordinator(asio::io_context& io, Settings const& settings, RpcClient& rpc, ConsensusDriver& driver)
     : io_(io), settings_(settings), rpc_(rpc), driver_(driver) {}
 
 void LotCoordinator::start(RpcServer& s) {
@@ -28,24 +28,24 @@
 /// Hands a call to the owner of the keyspace if that is another node.
 template <class Q>
 Task<std::optional<typename Q::Reply>> LotCoordinator::elsewhere(string const& host, Q q) {
-  driver_.consensus().know(keyspaceOf(host));
+  driver_.consensus().addKeyspace(keyspaceOf(host));
   Ms const half(settings_.bounds.inTouch / 2);
   return forwardToOwner(driver_, rpc_, settings_.ip, keyspaceOf(host), std::move(q),
                         ForwardLimits{half, half, 2 * half});
 }
 
 std::optional<LotRecord> LotCoordinator::load(string const& host, string const& id) const {
-  std::map<string, string> const& v = driver_.consensus().view(keyspaceOf(host));
+  std::map<string, string> const& v = driver_.consensus().committedValues(keyspaceOf(host));
   std::map<string, string>::const_iterator const i = v.find(id);
   if (i == v.end()) return std::nullopt;
   return deserialize<LotRecord>(i->second);
 }
 Task<bool> LotCoordinator::save(LotRecord const& r) {
   string const host = r.host, id = r.id, body = serialize(r);
-  vector<Consensus::Change> cs(1, Consensus::Change{id, body, false});
+  vector<KeyChange> cs(1, KeyChange{id, body, false});
   // An unknown end is reported like none: the callers answer with a status that promises nothing.
-  Result const end = co_await driver_.propose(keyspaceOf(host), std::move(cs));
-  bool const ok = end == Result::committed;
+  OperationResult const end = co_await driver_.propose(keyspaceOf(host), std::move(cs));
+  bool const ok = end == OperationResult::committed;
   if (ok) soft_[{host, id}].rev = ++rev_;
   co_return ok;
 }
@@ -55,7 +55,7 @@
   return soft.mutex->lock(Ms(settings_.bounds.inTouch / 2));
 }
 GenerationStamp LotCoordinator::fresh(string const& host) {
-  return GenerationStamp((driver_.consensus().epochOf(keyspaceOf(host)).n << 32) | (++counter_ & 0xffffffffu));
+  return GenerationStamp((driver_.consensus().epochOf(keyspaceOf(host)).number << 32) | (++counter_ & 0xffffffffu));
 }
 
 bool LotCoordinator::dead(NodeId id, TimePoint now) const {
@@ -113,7 +113,7 @@
   AsyncMutex::Lock const held = co_await lock(k);
   std::optional<LotRecord> const had = load(q.lot.host, q.lot.id);
   if (had && had->state != static_cast<int>(LotState::taking)) {
-    if (!co_await driver_.confirm(keyspaceOf(q.lot.host), Ms(settings_.bounds.inTouch / 3)))
+    if (!co_await driver_.confirmOwnership(keyspaceOf(q.lot.host), Ms(settings_.bounds.inTouch / 3)))
       throw Error(ErrorCode::noQuorum);
     co_return LotOpenReply{true, *had};
   }
@@ -122,7 +122,7 @@
   r.sentAt = had ? had->sentAt : wall;
   if (q.most) {
     std::uint64_t waiting = 0;
-    for (std::pair<string const, string> const& p : driver_.consensus().view(keyspaceOf(r.host))) {
+    for (std::pair<string const, string> const& p : driver_.consensus().committedValues(keyspaceOf(r.host))) {
       LotRecord const o = deserialize<LotRecord>(p.second);
       if (o.id == r.id || o.route != r.route || o.state == static_cast<int>(LotState::ended)) continue;
       // A lot that was never accepted stops counting only when it can't be accepted any more.
@@ -164,7 +164,8 @@
 
 Task<LotFindReply> LotCoordinator::find(LotFind q) {
   if (std::optional<LotFindReply> r = co_await elsewhere(q.host, q)) co_return *r;
-  if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3))) throw Error(ErrorCode::noQuorum);
+  if (!co_await driver_.confirmOwnership(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3)))
+    throw Error(ErrorCode::noQuorum);
   std::optional<LotRecord> const r = load(q.host, q.id);
   if (!r || r->state == static_cast<int>(LotState::taking)) co_return LotFindReply{false, {}};
   co_return LotFindReply{true, *r};
@@ -176,7 +177,7 @@
   AsyncMutex::Lock const held = co_await lock(k);
   std::optional<LotRecord> r = load(q.host, q.id);
   if (!r || r->state == static_cast<int>(LotState::taking)) {
-    if (!co_await driver_.confirm(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3)))
+    if (!co_await driver_.confirmOwnership(keyspaceOf(q.host), Ms(settings_.bounds.inTouch / 3)))
       throw Error(ErrorCode::noQuorum);
     co_return LotFindReply{false, {}};
   }
@@ -196,7 +197,7 @@
   StoreBeatReply r;
   // A store with a refusing disk serves reads on, unless others can take its lots over.
   bool const replaced = s.refusing && liveStores(now).size() >= needed();
-  LeaseGrants::Word const w = grants_.beat(q.self.id, q.lease, driver_.healthy() && !replaced, now);
+  LeaseGrants::Word const w = grants_.beat(q.self.id, q.lease, driver_.inContactWithMajority() && !replaced, now);
   r.ok = w == LeaseGrants::Word::granted;
   r.fenced = w == LeaseGrants::Word::fenced;
   r.fencedUpTo = grants_.fencedUpTo(q.self.id);
@@ -227,11 +228,11 @@
       ownedSince_[keyspace] = driver_.consensus().epochOf(keyspace);
       ownedAt_[keyspace] = now;
       ++rev_;
-      for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace))
+      for (std::pair<string const, string> const& p : driver_.consensus().committedValues(keyspace))
         soft_[{keyspace.substr(5), p.first}].rev = rev_;
       r.rev = rev_;
     }
-    for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace)) {
+    for (std::pair<string const, string> const& p : driver_.consensus().committedValues(keyspace)) {
       Soft const& x = soft_[{keyspace.substr(5), p.first}];
       if (x.rev <= since) continue;
       r.lots.push_back(deserialize<LotRecord>(p.second));
@@ -249,7 +250,7 @@
   std::set<string> asked;
   for (ReplicaMark const& m : vector<ReplicaMark>(r.drops)) {
     if (!asked.insert(m.host).second) continue;
-    bool const sure = co_await driver_.confirm(keyspaceOf(m.host), Ms(settings_.bounds.inTouch / 15));
+    bool const sure = co_await driver_.confirmOwnership(keyspaceOf(m.host), Ms(settings_.bounds.inTouch / 15));
     if (!sure) std::erase_if(r.drops, [&](ReplicaMark const& d) { return d.host == m.host; });
   }
   co_return r;
--- a/lots/lot_coordinator.hpp
+++ b/lots/lot_coordinator.hpp
@@ -10,7 +10,7 @@
 /// Keeps the records and stamps of lots for the keyspaces that this control node owns.
 class LotCoordinator {
  public:
-  LotCoordinator(asio::io_context& io, Settings const& settings, RpcClient& rpc, Driver& driver);
+  LotCoordinator(asio::io_context& io, Settings const& settings, RpcClient& rpc, ConsensusDriver& driver);
   void start(RpcServer& server);
   /// Names of stores that shall be emptied, from the members keyspace.
   std::function<std::set<string>()> retiring;
@@ -71,7 +71,7 @@
   asio::io_context& io_;
   Settings const& settings_;
   RpcClient& rpc_;
-  Driver& driver_;
+  ConsensusDriver& driver_;
   TimePoint started_ = Clock::now();
   std::uint64_t life_ = randomId(), rev_ = 0, counter_ = 0;
   LeaseGrants grants_{Ms(settings_.bounds.inTouch / 5), started_};
--- a/lots/reshape.cpp
+++ b/lots/reshape.cpp
@@ -17,7 +17,7 @@
     } catch (Error const&) {
     }
   }
-  co_return ok >= driver_.consensus().membership().most();
+  co_return ok >= driver_.consensus().membership().quorum();
 }
 
 /// True if a lot's holders are not what they should be.
@@ -39,9 +39,9 @@
     TimePoint const now = Clock::now();
     for (string const& keyspace : driver_.consensus().keyspaces()) {
       if (keyspace.rfind("lots/", 0) != 0 || !driver_.consensus().owns(keyspace)) continue;
-      vector<Consensus::Change> old;
+      vector<KeyChange> old;
       vector<LotRecord> todo;
-      for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace)) {
+      for (std::pair<string const, string> const& p : driver_.consensus().committedValues(keyspace)) {
         LotRecord l = deserialize<LotRecord>(p.second);
         Soft& s = soft_[{l.host, l.id}];
         ages_.learn({l.host, l.id}, now);
--- a/lots/retirement.cpp
+++ b/lots/retirement.cpp
@@ -8,13 +8,13 @@
 Task<std::uint64_t> LotCoordinator::relying(string host, string store) {
   string const keyspace = keyspaceOf(host);
   TimePoint const barred = barred_.try_emplace(store, Clock::now()).first->second;
-  if (!co_await driver_.confirm(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(ErrorCode::noQuorum);
+  if (!co_await driver_.confirmOwnership(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(ErrorCode::noQuorum);
   std::uint64_t count = 0;
   std::map<NodeId, SegConfirm> questions;
   std::map<NodeId, Address> places;
   for (std::pair<Key const, Opening> const& p : opening_)
     if (p.first.first == host) count += p.second.began <= barred;
-  for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace)) {
+  for (std::pair<string const, string> const& p : driver_.consensus().committedValues(keyspace)) {
     LotRecord const lot = deserialize<LotRecord>(p.second);
     // A recovery that began before may still name the store.
     Soft const& soft = soft_[{host, lot.id}];
@@ -35,8 +35,8 @@
     }
   }
   // Records may have changed while the stores were asked.
-  if (!co_await driver_.confirm(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(ErrorCode::noQuorum);
-  for (std::pair<string const, string> const& p : driver_.consensus().view(keyspace))
+  if (!co_await driver_.confirmOwnership(keyspace, Ms(settings_.bounds.inTouch / 3))) throw Error(ErrorCode::noQuorum);
+  for (std::pair<string const, string> const& p : driver_.consensus().committedValues(keyspace))
     count += !freeOf(deserialize<LotRecord>(p.second), store, confirmed, needed());
   co_return count;
 }
@@ -50,7 +50,7 @@
       count += co_await relying(host, store);
       continue;
     }
-    std::optional<Address> const owner = driver_.ownerOf(keyspace);
+    std::optional<Address> const owner = driver_.ownerAddress(keyspace);
     if (!owner) throw Error(ErrorCode::noOwner);
     RelyCount const question{host, store, 0};
     RelyCountReply const answer = co_await rpc_.call(*owner, question, Ms(settings_.bounds.inTouch));
--- a/lots/run_items.cpp
+++ b/lots/run_items.cpp
@@ -36,7 +36,7 @@
   }
   if (!best) return false;
   std::uint64_t slots = 0;
-  Route const* const m = view_.configuration()->byName(best->lot.route);
+  Route const* const m = view_.configuration()->findByName(best->lot.route);
   if (m)
     for (Worker const* const w : view_.of(m->serviceFor(0))) slots += w->capacity;
   // So many items run at once that each lot would be done by two fifths of its time.
@@ -79,7 +79,7 @@
 Task<bool> StoreNode::tryItem(RunPtr run, std::size_t n, EventReader& ev) {
   ItemRecord const& it = run->items[n];
   std::shared_ptr<Configuration const> const c = view_.configuration();
-  Route const* const m = c->byName(run->lot.route);
+  Route const* const m = c->findByName(run->lot.route);
   if (!m || m->kind != RouteKind::bulk || m->host != run->lot.host) {
     finish(run, n, false, "");
     co_return true;
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -27,11 +27,11 @@
 TEST(configuration, longestPrefixWins) {
   std::shared_ptr<Configuration const> const c =
       compileConfiguration(configuration(route("one", fine, "/a/") + "," + route("two", fine, "/a/b/")));
-  STRCMP_EQUAL("two", c->find("h.example", "/a/b/x?q=/a/")->name.c_str());
-  STRCMP_EQUAL("one", c->find("h.example", "/a/bx")->name.c_str());
-  POINTERS_EQUAL(nullptr, c->find("h.example", "/ab/"));
-  POINTERS_EQUAL(nullptr, c->find("other.example", "/a/"));
-  LONGS_EQUAL(4096, c->limits.bodyBytes);
+  STRCMP_EQUAL("two", c->findRoute("h.example", "/a/b/x?q=/a/")->name.c_str());
+  STRCMP_EQUAL("one", c->findRoute("h.example", "/a/bx")->name.c_str());
+  POINTERS_EQUAL(nullptr, c->findRoute("h.example", "/ab/"));
+  POINTERS_EQUAL(nullptr, c->findRoute("other.example", "/a/"));
+  LONGS_EQUAL(4096, c->limits.maxBodyBytes);
 }
 TEST(configuration, everyFaultHasItsNumber) {
   LONGS_EQUAL(0, firstFault(configuration(route("r", fine))));
--- a/tests/consensus_sim.cpp
+++ b/tests/consensus_sim.cpp
@@ -8,7 +8,7 @@
   x.disk.erase(x.disk.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(1, x.disk.size())), x.disk.end());
   start(i);
   if (votesOn) return;
-  x.consensus->loseVote(++lastIdentity_);
+  x.consensus->surrenderVote(++lastIdentity_);
   x.whole = false;
   pump(x);
 }
@@ -67,7 +67,7 @@
   vector<string>& disk = nodes_[i].disk;
   disk.resize(disk.size() - std::min(disk.size(), 1 + dice(4)));
   start(i);
-  if (!votesOn) nodes_[i].consensus->loseVote(++lastIdentity_);
+  if (!votesOn) nodes_[i].consensus->surrenderVote(++lastIdentity_);
   pump(nodes_[i]);
 }
 
@@ -92,12 +92,12 @@
   std::size_t const i = dice(nodes_.size());
   Node& x = nodes_[i];
   if (!x.up || x.frozen || !x.consensus->owns("configuration") || writing_.count(i)) return;
-  std::map<string, string> const& v = x.consensus->view("configuration");
+  std::map<string, string> const& v = x.consensus->committedValues("configuration");
   std::map<string, string>::const_iterator const c = v.find("current");
   std::uint64_t const value = (c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10)) + 1;
   string const mark = std::to_string(++lastMark_);
-  vector<Consensus::Change> const changes{{"current", std::to_string(value), false},
-                                          {"k" + std::to_string(value % 7), mark, false}};
+  vector<KeyChange> const changes{{"current", std::to_string(value), false},
+                                  {"k" + std::to_string(value % 7), mark, false}};
   Op const o{true, value, acked, i, x.life, x.consensus->propose("configuration", changes, now_), lastMark_};
   writing_.insert(i);
   ops_.push_back(o);
@@ -108,16 +108,16 @@
   std::size_t const i = dice(nodes_.size());
   Node& x = nodes_[i];
   if (!x.up || x.frozen || !x.consensus->owns("configuration")) return;
-  ops_.push_back(Op{false, 0, acked, i, x.life, x.consensus->confirm("configuration", now_)});
+  ops_.push_back(Op{false, 0, acked, i, x.life, x.consensus->confirmOwnership("configuration", now_)});
   pump(x);
 }
 
 void Cluster::check() {
   for (Node& x : nodes_) {
     if (!x.up) continue;
-    if (x.consensus->copied() && x.unsynced.empty()) x.whole = true;
+    if (x.consensus->holdsAllKeys() && x.unsynced.empty()) x.whole = true;
     if (!x.frozen) checkContact(x);
-    std::optional<std::map<string, string>> const v = x.consensus->settled("configuration");
+    std::optional<std::map<string, string>> const v = x.consensus->lastKnownValues("configuration");
     if (!v || !v->count("current")) continue;
     std::uint64_t const n = std::strtoull(v->at("current").c_str(), nullptr, 10);
     for (std::pair<string const, string> const& p : *v)
@@ -131,38 +131,38 @@
 void Cluster::join(std::size_t i) {
   Node& x = nodes_[i];
   tealshelf::Membership const& g = x.consensus->membership();
-  if (g.no.value && x.consensus->isMember()) {
-    if (!x.consensus->copied()) copy(x, i);
+  if (g.number.value && x.consensus->isMember()) {
+    if (!x.consensus->holdsAllKeys()) copy(x, i);
     if (x.consensus->owns("members")) {
-      std::map<string, string> const& v = x.consensus->view("members");
+      std::map<string, string> const& v = x.consensus->committedValues("members");
       std::map<string, string>::const_iterator const c = v.find("membership");
       if (c != v.end()) {
         tealshelf::Membership const y =
             msgpack::unpack(c->second.data(), c->second.size()).get().as<tealshelf::Membership>();
-        if (y.no > g.no) {
-          x.consensus->install(y, false);
+        if (y.number > g.number) {
+          x.consensus->installMembership(y, false);
           pump(x);
         }
       }
     }
     return;
   }
-  if (!g.no.value && i < founders_ && x.self.founder) return;
+  if (!g.number.value && i < founders_ && x.self.founder) return;
   bool anyDisk = false;
-  for (Member const& m : g.members) anyDisk = anyDisk || m.disk;
-  if (!x.lasting && (anyDisk || !g.no.value)) {
-    if (g.no.value) return;
+  for (Member const& m : g.members) anyDisk = anyDisk || m.hasDisk;
+  if (!x.lasting && (anyDisk || !g.number.value)) {
+    if (g.number.value) return;
   }
-  if (g.no.value && x.consensus->isRetired()) {
-    x.consensus->comeBack(++lastIdentity_);
+  if (g.number.value && x.consensus->isRetired()) {
+    x.consensus->rejoin(++lastIdentity_);
     pump(x);
   }
-  if (!g.no.value || x.learnedUnder != g.no) return copy(x, i);
+  if (!g.number.value || x.learnedUnder != g.number) return copy(x, i);
   std::size_t const j = dice(nodes_.size());
   Node& y = nodes_[j];
   if (!reaches(i, j) || !y.consensus->owns("members") || !y.changes.empty()) return;
-  MembershipPolicy const rule{deadAfter, std::max<std::size_t>(3, MembershipPolicy::needed(survive))};
-  MembershipWish const wish{x.consensus->self(), false, x.learnedUnder};
+  MembershipPolicy const rule{deadAfter, std::max<std::size_t>(3, MembershipPolicy::membersToSurvive(survive))};
+  MembershipChange const wish{x.consensus->self(), false, x.learnedUnder};
   std::optional<tealshelf::Membership> const n = rule.next(*y.consensus, wish, now_);
   if (!n) return;
   msgpack::sbuffer b;
@@ -175,57 +175,60 @@
 void Cluster::copy(Node& x, std::size_t i) {
   tealshelf::Membership const g = x.consensus->membership();
   bool const member = x.consensus->isMember();
-  if (x.copyNo != g.no || x.copiesAsMember != member) {
-    x.copyNo = g.no;
+  if (x.copyNo != g.number || x.copiesAsMember != member) {
+    x.copyNo = g.number;
     x.copiesAsMember = member;
     x.copies.clear();
     x.copied.clear();
   }
-  vector<Member> const& sources = member ? g.former : g.members;
+  vector<Member> const& sources = member ? g.formerMembers : g.members;
   std::size_t const need = sources.size() / 2 + 1;
   for (int k = 0; k < 3 && x.copies.size() < need; ++k) {
     std::size_t const j = dice(nodes_.size());
     Node& y = nodes_[j];
-    if (!reaches(i, j) || y.consensus->membership().no != g.no || !y.unsynced.empty() || x.copies.count(j)) continue;
+    if (!reaches(i, j) || y.consensus->membership().number != g.number || !y.unsynced.empty() || x.copies.count(j))
+      continue;
     std::optional<Member> const source = y.consensus->copySource();
     if (!source || std::find(sources.begin(), sources.end(), *source) == sources.end()) continue;
     x.copies.insert(j);
-    x.copied.push_back(y.consensus->dump());
+    x.copied.push_back(y.consensus->exportKeyspaces());
   }
   bool const trusted = member && trustLearner && !x.learned.empty();
-  if (!trusted && (!g.no.value || x.copies.size() < need)) return;
+  if (!trusted && (!g.number.value || x.copies.size() < need)) return;
   if (member) {
-    x.consensus->adopt(trusted ? x.learned : x.copied);
+    x.consensus->installCopies(trusted ? x.learned : x.copied);
     pump(x);
   } else {
     x.learned = x.copied;
-    x.learnedUnder = g.no;
+    x.learnedUnder = g.number;
   }
   x.copies.clear();
   x.copied.clear();
 }
 
-void Cluster::outcome(std::size_t node, Outcome const& o) {
+void Cluster::outcome(std::size_t node, OperationOutcome const& o) {
   Node& m = nodes_[node];
-  if (std::function<void(bool)> const end = std::exchange(begun_[{node, m.life, o.op}], nullptr))
-    return end(o.result == Result::committed);
-  if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.op); c != m.changes.end()) {
+  if (std::function<void(bool)> const end = std::exchange(begun_[{node, m.life, o.operation}], nullptr))
+    return end(o.result == OperationResult::committed);
+  if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.operation);
+      c != m.changes.end()) {
     tealshelf::Membership const g = c->second;
     m.changes.erase(c);
-    if (o.result == Result::committed && m.consensus->membership().no.value + 1 == g.no.value) {
-      m.consensus->install(g, false);
+    if (o.result == OperationResult::committed && m.consensus->membership().number.value + 1 == g.number.value) {
+      m.consensus->installMembership(g, false);
       pump(m);
     }
     return;
   }
   for (std::deque<Op>::iterator i = ops_.begin(); i != ops_.end(); ++i) {
-    if (i->node != node || i->life != nodes_[node].life || i->op != o.op) continue;
+    if (i->node != node || i->life != nodes_[node].life || i->op != o.operation) continue;
     Op const op = *i;
     ops_.erase(i);
     if (op.write) writing_.erase(node);
-    if (o.result == Result::notOwner || (unknownIsRefused && o.result == Result::unknown)) refused_.insert(op.mark);
-    if (op.write) unknown += o.result == Result::unknown;
-    if (o.result != Result::committed) return;
+    if (o.result == OperationResult::notOwner || (unknownIsRefused && o.result == OperationResult::unknown))
+      refused_.insert(op.mark);
+    if (op.write) unknown += o.result == OperationResult::unknown;
+    if (o.result != OperationResult::committed) return;
     if (op.write) {
       ++writes;
       if (op.value <= op.floor) fail("a write was acknowledged over an older value");
@@ -255,10 +258,10 @@
 
 void Cluster::found(std::size_t i) {
   tealshelf::Membership first;
-  first.no = MembershipNumber(1);
+  first.number = MembershipNumber(1);
   for (std::size_t k = 0; k < founders_; ++k) first.members.push_back(nodes_[k].self);
-  first.former = first.members;
-  nodes_[i].consensus->install(first, true);
+  first.formerMembers = first.members;
+  nodes_[i].consensus->installMembership(first, true);
   pump(nodes_[i]);
 }
 
@@ -277,8 +280,8 @@
 
 void Cluster::make(Node& x) {
   x.consensus = std::make_unique<Consensus>(x.self, times_, x.life);
-  x.consensus->know("configuration");
-  x.consensus->know("members");
+  x.consensus->addKeyspace("configuration");
+  x.consensus->addKeyspace("members");
   x.up = true;
   x.frozen = false;
   x.seenVersion = 0;
--- a/tests/consensus_sim.hpp
+++ b/tests/consensus_sim.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "consensus/membership.hpp"
+#include "consensus/membership_policy.hpp"
 
 #include <random>
 
@@ -12,7 +12,7 @@
     std::unique_ptr<Consensus> consensus;
     Member self;
     vector<string> disk, cached, unsynced;  ///< records synced, left unsynced by a killed process, and not yet synced
-    std::deque<std::pair<std::size_t, Batch>>
+    std::deque<std::pair<std::size_t, Output>>
         waiting;  ///< batches that wait for a sync, with the disk length they need
     bool up = true, frozen = false;
     bool refuses = false;  ///< its disk syncs nothing
@@ -59,14 +59,14 @@
   void corrupt(std::size_t i, bool votesOn = false);
   void noDisk(std::size_t i) {
     nodes_[i].lasting = false;
-    nodes_[i].self.disk = false;
+    nodes_[i].self.hasDisk = false;
     make(nodes_[i]);
   }
   /// The newest membership that any running node knows.
   tealshelf::Membership newest() const {
     tealshelf::Membership g;
     for (Node const& x : nodes_)
-      if (x.up && x.consensus->membership().no > g.no) g = x.consensus->membership();
+      if (x.up && x.consensus->membership().number > g.number) g = x.consensus->membership();
     return g;
   }
   /// How many running members vote, or will once they learn of the newest membership.
@@ -75,7 +75,7 @@
     std::size_t n = 0;
     for (Node const& x : nodes_) {
       Member const* const m = g.find(x.consensus->self().id);
-      n += m && m->stay == x.consensus->self().stay && x.up && x.consensus->copied();
+      n += m && m->incarnation == x.consensus->self().incarnation && x.up && x.consensus->holdsAllKeys();
     }
     return n;
   }
@@ -123,13 +123,13 @@
     pump(x);
   }
   std::uint64_t value(Node const& x) const {
-    std::map<string, string> const& v = x.consensus->view("configuration");
+    std::map<string, string> const& v = x.consensus->committedValues("configuration");
     std::map<string, string>::const_iterator const c = v.find("current");
     return c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10);
   }
   /// Gives the owner of the configuration many keys at once.
   void fill(std::size_t i, std::size_t keys, std::size_t bytes) {
-    vector<Consensus::Change> cs;
+    vector<KeyChange> cs;
     for (std::size_t k = 0; k < keys; ++k) cs.push_back({"f" + std::to_string(k), string(bytes, 'x'), false});
     nodes_[i].consensus->propose("configuration", cs, now_);
     pump(nodes_[i]);
@@ -145,12 +145,12 @@
  private:
   /// Who says that it is in touch with a majority has sent what a majority received, within the bound.
   void checkContact(Node const& x) {
-    if (!x.consensus->inMajority(now_)) return;
+    if (!x.consensus->inContactWithMajority(now_)) return;
     vector<TimePoint> truth;
     for (Member const& m : x.consensus->membership().members)
       truth.push_back(m.id == x.self.id ? now_ : received_[{x.self.id, m.id}]);
     std::sort(truth.begin(), truth.end(), std::greater<TimePoint>());
-    TimePoint const proof = truth[x.consensus->membership().most() - 1];
+    TimePoint const proof = truth[x.consensus->membership().quorum() - 1];
     if (now_ - proof <= Ms(750)) return;
     std::size_t const i = static_cast<std::size_t>(&x - nodes_.data());
     bool const overtaken = ackedAt_ > proof && ackedBy_ != i;
@@ -163,11 +163,11 @@
   void make(Node& x);
   void stop(Node& x);
   void pump(Node& x) {
-    Batch b = x.consensus->take();
+    Output b = x.consensus->takeOutput();
     for (string& r : b.records) x.unsynced.push_back(std::move(r));
-    if (x.refuses && b.sync && !speaksUnsynced) b.messages.clear();
+    if (x.refuses && b.needsSync && !speaksUnsynced) b.messages.clear();
     if (x.refuses) return send(x, std::move(b));
-    if (b.sync && !breakSync_) {
+    if (b.needsSync && !breakSync_) {
       x.waiting.emplace_back(x.disk.size() + x.unsynced.size(), std::move(b));
       if (x.syncAt < now_) x.syncAt = now_ + Ms(5);
     } else {
@@ -179,14 +179,14 @@
     // A sync covers the log that this life writes, not what an earlier life left.
     for (string& r : x.unsynced) x.disk.push_back(std::move(r));
     x.unsynced.clear();
-    std::deque<std::pair<std::size_t, Batch>> w;
+    std::deque<std::pair<std::size_t, Output>> w;
     w.swap(x.waiting);
-    for (std::pair<std::size_t, Batch>& p : w) send(x, std::move(p.second));
+    for (std::pair<std::size_t, Output>& p : w) send(x, std::move(p.second));
   }
-  void send(Node& x, Batch b) {
+  void send(Node& x, Output b) {
     std::size_t const from = static_cast<std::size_t>(&x - nodes_.data());
     for (Message const& m : b.messages) {
-      if (m.sort != Message::piece) continue;
+      if (!std::holds_alternative<TransferChunk>(m.body)) continue;
       msgpack::sbuffer packed;
       msgpack::pack(packed, m);
       ++pieces;
@@ -195,7 +195,7 @@
     for (Message& m : b.messages)
       for (std::size_t j = 0; j < nodes_.size(); ++j)
         if (nodes_[j].self.id == m.to) deliver(from, j, m);
-    for (Outcome const& o : b.outcomes) outcome(from, o);
+    for (OperationOutcome const& o : b.outcomes) outcome(from, o);
   }
   template <class M>
   void deliver(std::size_t from, std::size_t to, M m) {
@@ -219,23 +219,24 @@
   }
   struct HeartbeatAnswer {
     NodeId from;
-    OwnMoment sent;
+    ProcessTime sentAt;
   };
-  void take(Node& y, HeartbeatAnswer const& a) { y.consensus->echoed(a.from, a.sent, now_); }
+  void take(Node& y, HeartbeatAnswer const& a) { y.consensus->receiveEcho(a.from, a.sentAt, now_); }
   void take(Node& y, Heartbeat p) {
-    TimePoint& received = received_[{p.self.id, y.self.id}];
-    received = std::max(received, TimePoint(TimePoint::duration(p.sent.ticks)));
+    TimePoint& received = received_[{p.sender.id, y.self.id}];
+    received = std::max(received, TimePoint(TimePoint::duration(p.sentAt.ticks)));
     for (std::size_t i = 0; i < nodes_.size(); ++i)
-      if (nodes_[i].self.id == p.self.id && !datedByArrival)
-        deliver(static_cast<std::size_t>(&y - nodes_.data()), i, HeartbeatAnswer{y.self.id, p.sent});
-    for (KeyspaceProgress const& k : p.marks)
+      if (nodes_[i].self.id == p.sender.id && !datedByArrival)
+        deliver(static_cast<std::size_t>(&y - nodes_.data()), i, HeartbeatAnswer{y.self.id, p.sentAt});
+    for (KeyspaceProgress const& k : p.keyspaces)
       if (k.owned && k.keyspace == "configuration") y.known = std::max(y.known, Position{k.epoch, k.committed});
     for (Echo& e : p.echoes)
-      if (datedByArrival && e.of == y.self.id) e.sent = y.consensus->heartbeat(now_).sent;
+      if (datedByArrival && e.node == y.self.id) e.sentAt = y.consensus->heartbeat(now_).sentAt;
     for (Node& x : nodes_)
-      if (x.self.id == p.self.id && x.consensus && x.consensus->membership().no > y.consensus->membership().no)
-        y.consensus->install(x.consensus->membership(), false);
-    y.consensus->heard(p, now_);
+      if (x.self.id == p.sender.id && x.consensus &&
+          x.consensus->membership().number > y.consensus->membership().number)
+        y.consensus->installMembership(x.consensus->membership(), false);
+    y.consensus->receiveHeartbeat(p, now_);
     pump(y);
   }
   /// What the driver does: join, change the membership, copy.
@@ -245,7 +246,7 @@
   }
   /// Copies from one disk, as a learner or for the vote.
   void copy(Node& x, std::size_t i);
-  void outcome(std::size_t node, Outcome const& o);
+  void outcome(std::size_t node, OperationOutcome const& o);
 
  public:
   void thaw(std::size_t i);
@@ -259,7 +260,7 @@
   std::uint64_t turn_ = 0, lastIdentity_ = 0;
   std::multimap<TimePoint, std::function<void()>> net_;
   std::deque<Op> ops_;
-  Consensus::Times times_{Ms(750), Ms(100), Ms(1500), Ms(600)};
+  Consensus::Timeouts times_{Ms(750), Ms(100), Ms(1500), Ms(600)};
   std::set<std::size_t> writing_;
   std::map<std::tuple<std::size_t, std::uint64_t, std::uint64_t>, std::function<void(bool)>> begun_;
   std::uint64_t lastMark_ = 0;
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -82,7 +82,7 @@
   for (sim::Cluster::Node const& x : g.nodes()) {
     owners += x.consensus->owns("configuration");
     if (x.consensus->owns("configuration") && g.value(x) < g.acked) return "the owner lost an acknowledged write";
-    std::optional<std::map<string, string>> const v = x.consensus->settled("configuration");
+    std::optional<std::map<string, string>> const v = x.consensus->lastKnownValues("configuration");
     if (!v) return x.self.name + " has no settled view after all was healed";
     if (std::strtoull(v->at("current").c_str(), nullptr, 10) < g.acked)
       return x.self.name + " lags after all was healed";
@@ -144,7 +144,7 @@
     CHECK(g.acked > before);
     g.run(200);
     for (sim::Cluster::Node const& x : g.nodes()) {
-      std::optional<std::map<string, string>> const v = x.consensus->settled("configuration");
+      std::optional<std::map<string, string>> const v = x.consensus->lastKnownValues("configuration");
       CHECK_TEXT(v.has_value(), (x.self.name + " is not settled").c_str());
       CHECK(std::strtoull(v->at("current").c_str(), nullptr, 10) >= g.acked);
     }
@@ -219,7 +219,7 @@
     }
     if (!g.broken.empty()) return g.broken;
     for (sim::Cluster::Node const& x : g.nodes())
-      if (!x.consensus->inMajority(g.now())) return x.self.name + " is not in touch again after the heal";
+      if (!x.consensus->inContactWithMajority(g.now())) return x.self.name + " is not in touch again after the heal";
   }
   writes += g.writes;
   return "";
@@ -262,7 +262,7 @@
       if (s % 3 != 1) g.cuts.insert({owner, j});
       if (s % 3 != 2) g.cuts.insert({j, owner});
     }
-    std::uint64_t const before = c.epochOf("configuration").n;
+    std::uint64_t const before = c.epochOf("configuration").number;
     std::size_t const open = g.unknown;
     while (!g.writing(owner)) g.write();
     g.run(130);  // the bound of an open write, and a tick
@@ -273,9 +273,9 @@
     CHECK(ownerOf(g) != owner && ownerOf(g) < 3);
     g.cuts.clear();
     g.run(600);
-    CHECK(c.inMajority(g.now()));
+    CHECK(c.inContactWithMajority(g.now()));
     std::size_t const next = ownerOf(g);
-    CHECK(next < 3 && g.nodes()[next].consensus->epochOf("configuration").n > before);
+    CHECK(next < 3 && g.nodes()[next].consensus->epochOf("configuration").number > before);
   }
 }
 
@@ -300,14 +300,14 @@
 /// What a node would have shown by the old rule, which wanted that nothing was under way.
 std::optional<std::map<string, string>> viewWhenQuiet(sim::Cluster::Node const& x, TimePoint now) {
   Position applied;
-  for (KeyspaceProgress const& k : x.consensus->heartbeat(now).marks)
-    if (k.keyspace == "configuration") applied = Position{k.epoch, k.upTo};
-  if (applied.epoch != x.known.epoch || applied.seq < x.known.seq || !x.known.seq) return std::nullopt;
+  for (KeyspaceProgress const& k : x.consensus->heartbeat(now).keyspaces)
+    if (k.keyspace == "configuration") applied = Position{k.epoch, k.applied};
+  if (applied.epoch != x.known.epoch || applied.sequence < x.known.sequence || !x.known.sequence) return std::nullopt;
   std::map<string, string> v;
-  for (KeyspaceCopy const& k : x.consensus->dump())
+  for (KeyspaceCopy const& k : x.consensus->exportKeyspaces())
     for (std::pair<string const, Entry> const& e : k.entries) {
       if (k.keyspace != "configuration") continue;
-      if (e.second.epoch != applied.epoch || e.second.seq > x.known.seq) return std::nullopt;
+      if (e.second.epoch != applied.epoch || e.second.sequence > x.known.sequence) return std::nullopt;
       v[e.first] = e.second.value;
     }
   return v;
@@ -328,7 +328,7 @@
       sim::Cluster::Node const& x = g.nodes()[i];
       if (x.consensus->owns("configuration") || (i == restarted && k >= 2500 && k < 3200)) continue;
       std::optional<std::map<string, string>> const v =
-          oldRule ? viewWhenQuiet(x, g.now()) : x.consensus->settled("configuration");
+          oldRule ? viewWhenQuiet(x, g.now()) : x.consensus->lastKnownValues("configuration");
       if (!v) return x.self.name + " has no view at step " + std::to_string(k);
       if (std::strtoull(v->at("current").c_str(), nullptr, 10) + 12 < g.acked)
         return x.self.name + " lags at step " + std::to_string(k);
@@ -383,8 +383,8 @@
     g.loss = 0;
     g.run(400);
     STRCMP_EQUAL("", g.broken.c_str());
-    std::map<string, string> const v = g.nodes()[owner].consensus->view("configuration");
+    std::map<string, string> const v = g.nodes()[owner].consensus->committedValues("configuration");
     CHECK(v.size() > 3000 && g.nodes()[owner].consensus->owns("configuration"));
-    CHECK_TEXT(g.nodes()[away].consensus->settled("configuration") == v, "the member that was away lags");
+    CHECK_TEXT(g.nodes()[away].consensus->lastKnownValues("configuration") == v, "the member that was away lags");
   }
 }
--- a/tests/disk_control_test.cpp
+++ b/tests/disk_control_test.cpp
@@ -35,7 +35,7 @@
     return c.writes - before;
   };
   x.refuses = true;
-  x.consensus->abstain(abstains);
+  x.consensus->setAbstaining(abstains);
   load(400);
   o.during = load(400);
   o.nextOwner = owner(c);
@@ -46,7 +46,7 @@
     c.start(o.first);
   }
   x.refuses = false;
-  x.consensus->abstain(false);
+  x.consensus->setAbstaining(false);
   load(400);
   o.after = load(400);
   o.lastOwner = owner(c);
@@ -75,7 +75,7 @@
       c.power(i);
     else
       x.refuses = !x.refuses;
-    if (x.up) x.consensus->abstain(x.refuses);
+    if (x.up) x.consensus->setAbstaining(x.refuses);
   }
   return c.broken;
 }
@@ -108,7 +108,7 @@
   c.start(first);
   load(800);
   if (c.broken.empty() && load(400) == 0) return "writes stopped";
-  if (c.broken.empty() && !c.nodes()[damaged].consensus->copied()) return "the damaged disk was not healed";
+  if (c.broken.empty() && !c.nodes()[damaged].consensus->holdsAllKeys()) return "the damaged disk was not healed";
   return c.broken;
 }
 }  // namespace
@@ -149,25 +149,25 @@
 
 TEST(diskcontrol, noMembershipGivesALostVoteBack) {
   Membership first, second, third;
-  first.no = MembershipNumber(1);
+  first.number = MembershipNumber(1);
   first.members = {Member{NodeId(1), "a", "10.0.0.1", "z", true, true}};
   second = first;
-  second.no = MembershipNumber(2);
+  second.number = MembershipNumber(2);
   third = first;
-  third.no = MembershipNumber(3);
-  third.members[0].stay = 7;
+  third.number = MembershipNumber(3);
+  third.members[0].incarnation = 7;
   third.members[0].founder = false;  // as the disk itself says from then on
-  Consensus x(first.members[0], Consensus::Times{Ms(750), Ms(100), Ms(1500), Ms(600)}, 1), y = x;
-  x.install(first, true);
-  x.loseVote(7);
+  Consensus x(first.members[0], Consensus::Timeouts{Ms(750), Ms(100), Ms(1500), Ms(600)}, 1), y = x;
+  x.installMembership(first, true);
+  x.surrenderVote(7);
   for (string const& record : x.snapshot()) y.replay(record);
   for (Consensus* const c : {&x, &y}) {
     // Neither a membership that still names its former stay nor one that takes it in again makes it vote.
-    c->install(second, true);
-    CHECK_FALSE(c->copied());
-    c->install(third, false);
-    CHECK_FALSE(c->copied());
-    c->adopt({});
-    CHECK(c->copied());
+    c->installMembership(second, true);
+    CHECK_FALSE(c->holdsAllKeys());
+    c->installMembership(third, false);
+    CHECK_FALSE(c->holdsAllKeys());
+    c->installCopies({});
+    CHECK(c->holdsAllKeys());
   }
 }
--- a/tests/forward_test.cpp
+++ b/tests/forward_test.cpp
@@ -16,10 +16,10 @@
     string ip, owner;  ///< this node and the one it takes for the owner
     bool silent = false;
     View consensus() const { return View{*this}; }
-    std::optional<Address> ownerOf(string const&) const {
+    std::optional<Address> ownerAddress(string const&) const {
       return owner.empty() ? std::nullopt : std::optional<Address>(Address{owner, 1});
     }
-    Ms period() const { return Ms(5); }
+    Ms heartbeatPeriod() const { return Ms(5); }
   };
   struct Reply {
     string by;
--- a/tests/learner_test.cpp
+++ b/tests/learner_test.cpp
@@ -39,9 +39,9 @@
     g.thaw(3);
     while (g.newest().members.size() < 4) {
       g.step();
-      CHECK(g.voters() >= g.newest().most());
+      CHECK(g.voters() >= g.newest().quorum());
     }
-    CHECK_FALSE_TEXT(g.nodes()[3].consensus->copied(), "the newcomer has no vote by what it copied as a learner");
+    CHECK_FALSE_TEXT(g.nodes()[3].consensus->holdsAllKeys(), "the newcomer has no vote by what it copied as a learner");
     std::size_t const owner = g.ownerOf("members");
     std::size_t const other = owner == 0 ? 1 : 0;
     g.power(other);
@@ -146,19 +146,19 @@
     g.step();
     for (sim::Cluster::Node const& x : g.nodes()) {
       Membership const& m = x.consensus->membership();
-      MembershipWish const wish{Member{NodeId(999), "new", "10.0.0.99", "z", false, true, 0}, false, m.no};
-      MembershipWish late = wish;
-      late.copiedUnder = MembershipNumber(m.no.value - 1);
+      MembershipChange const wish{Member{NodeId(999), "new", "10.0.0.99", "z", false, true, 0}, false, m.number};
+      MembershipChange late = wish;
+      late.copiedUnder = MembershipNumber(m.number.value - 1);
       bool const may = policyOf(g).next(*x.consensus, wish, g.now()).has_value();
-      bool const newcomerVotes = m.members.size() == 3 || m.former.size() == m.members.size() ||
-                                 x.consensus->ready(m.members.back().id, g.now());
+      bool const newcomerVotes = m.members.size() == 3 || m.formerMembers.size() == m.members.size() ||
+                                 x.consensus->isReady(m.members.back().id, g.now());
       CHECK_FALSE(policyOf(g).next(*x.consensus, late, g.now()).has_value());
       granted += may;
       if (!x.consensus->owns("members")) {
         ++refused;
         CHECK_FALSE(may);
       }
-      if (x.consensus->owns("members") && !newcomerVotes && x.consensus->alive(m.members.back().id, g.now())) {
+      if (x.consensus->owns("members") && !newcomerVotes && x.consensus->isAlive(m.members.back().id, g.now())) {
         ++open;
         CHECK_FALSE(may);
       }
@@ -180,13 +180,13 @@
     g.power(other);
     g.corrupt(bad);
     g.run(400);
-    CHECK_FALSE_TEXT(g.nodes()[bad].consensus->copied(), "one disk is no majority to heal from");
+    CHECK_FALSE_TEXT(g.nodes()[bad].consensus->holdsAllKeys(), "one disk is no majority to heal from");
     std::uint64_t const before = g.acked;
     write(g, 10);
     LONGS_EQUAL(before, g.acked);
     g.kill(bad);
     g.start(bad);
-    CHECK_FALSE_TEXT(g.nodes()[bad].consensus->copied(), "the loss of the vote is durable");
+    CHECK_FALSE_TEXT(g.nodes()[bad].consensus->holdsAllKeys(), "the loss of the vote is durable");
     g.start(other);
     g.run(1500);
     LONGS_EQUAL(3, g.voters());
--- a/tests/membership_runs.hpp
+++ b/tests/membership_runs.hpp
@@ -22,7 +22,7 @@
     g.run(100);
     std::size_t n = 0;
     for (Cluster::Node const& x : g.nodes())
-      n += x.consensus->copied() && x.consensus->membership().members.size() == 8;
+      n += x.consensus->holdsAllKeys() && x.consensus->membership().members.size() == 8;
     if (n == 8) return;
   }
 }
@@ -55,7 +55,7 @@
   if (owners != 1) return std::to_string(owners) + " owners after all was healed";
   std::set<std::uint64_t> numbers;
   for (Cluster::Node const& x : g.nodes())
-    if (x.consensus->membership().find(x.self.id)) numbers.insert(x.consensus->membership().no.value);
+    if (x.consensus->membership().find(x.self.id)) numbers.insert(x.consensus->membership().number.value);
   return numbers.size() == 1 ? "" : "members know different memberships";
 }
 /// Three disks of four found the membership.
--- a/tests/membership_search.hpp
+++ b/tests/membership_search.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "consensus/membership.hpp"
+#include "consensus/membership_policy.hpp"
 #include "tests/consensus_probe.hpp"
 
 #include <unordered_map>
@@ -31,7 +31,7 @@
 
   World(std::size_t disks, std::size_t founders, Budget budget, Broken broken) : budget_(budget), broken_(broken) {
     Membership first;
-    first.no = MembershipNumber(1);
+    first.number = MembershipNumber(1);
     for (std::size_t i = 0; i < disks; ++i) {
       Member const m{NodeId(100 + i), "n", "10.0.0." + std::to_string(i), "z", i < founders, true, 0};
       if (i < founders) first.members.push_back(m);
@@ -39,9 +39,9 @@
       d.state = std::make_shared<Consensus>(fresh(m));
       disks_.push_back(d);
     }
-    first.former = first.members;
+    first.formerMembers = first.members;
     for (std::size_t i = 0; i < disks; ++i) {
-      change(i).install(first, i < founders);
+      change(i).installMembership(first, i < founders);
       flush(i, 0);
     }
     budget_.leads = 2;
@@ -49,7 +49,7 @@
     lead(0, all(), "members");
     flight_.clear();
     for (std::size_t i = founders; i < disks; ++i)
-      for (std::size_t j = 0; j < first.most(); ++j) disks_[i].learned[id(j)] = copyOf(j);
+      for (std::size_t j = 0; j < first.quorum(); ++j) disks_[i].learned[id(j)] = copyOf(j);
     budget_ = budget;
   }
 
@@ -72,8 +72,8 @@
     for (std::size_t i = 0; i < size(); ++i) {
       Consensus const& c = at(i);
       for (std::size_t j = 0; j < size(); ++j) {
-        tryOut(at(j).membership().no > c.membership().no, [i, j](World& w) { return w.learn(i, j); });
-        tryOut(i != j && c.isMember() && !c.copied(), [i, j](World& w) { return w.copyFrom(i, j); });
+        tryOut(at(j).membership().number > c.membership().number, [i, j](World& w) { return w.learn(i, j); });
+        tryOut(i != j && c.isMember() && !c.holdsAllKeys(), [i, j](World& w) { return w.copyFrom(i, j); });
       }
       tryOut(budget_.crashes, [i](World& w) { return w.crash(i); });
       tryOut(budget_.wipes, [i](World& w) { return w.wipe(i); });
@@ -93,8 +93,8 @@
     return true;
   }
   bool lead(std::size_t i, Set reach, string const& keyspace) {
-    if (!at(i).copied() || !spend(budget_.leads)) return false;
-    ConsensusProbe::lead(change(i), keyspace);
+    if (!at(i).holdsAllKeys() || !spend(budget_.leads)) return false;
+    ConsensusProbe::takeOver(change(i), keyspace);
     flush(i, reach);
     if (at(i).owns("configuration") && keyspace == "configuration") mustKnow(i, acked_, "an owner");
     return true;
@@ -108,7 +108,7 @@
   }
   bool read(std::size_t i, Set reach) {
     if (!at(i).owns("configuration") || !spend(budget_.reads)) return false;
-    reads_[change(i).confirm("configuration", ConsensusProbe::now()) * 16 + i] = acked_;
+    reads_[change(i).confirmOwnership("configuration", ConsensusProbe::now()) * 16 + i] = acked_;
     flush(i, reach);
     return true;
   }
@@ -117,27 +117,28 @@
     if (!at(i).owns("members") || budget_.changes < 1) return false;
     if (leave ? !at(i).membership().find(id(j)) : at(j).isMember()) return false;
     Consensus& c = change(i);
-    ConsensusProbe::deafen(c);
-    if (!leave && at(j).isRetired() && broken_ != Broken::comesBackAsBefore) change(j).comeBack(++disks_[j].stays);
-    OwnMoment const own = c.heartbeat(ConsensusProbe::now()).sent;
+    ConsensusProbe::forgetContacts(c);
+    if (!leave && at(j).isRetired() && broken_ != Broken::comesBackAsBefore) change(j).rejoin(++disks_[j].stays);
+    ProcessTime const own = c.heartbeat(ConsensusProbe::now()).sentAt;
     for (std::size_t k = 0; k < size(); ++k) {
       if (k == i || !(reach & 1u << k)) continue;
       Heartbeat h = at(k).heartbeat(ConsensusProbe::now());
       for (std::size_t o = 0; o < size(); ++o)
-        if (o == i || reach & 1u << o) h.echoes.push_back(Echo{id(o), o == i ? own : OwnMoment()});
-      c.heard(h, ConsensusProbe::now());
+        if (o == i || reach & 1u << o) h.echoes.push_back(Echo{id(o), o == i ? own : ProcessTime()});
+      c.receiveHeartbeat(h, ConsensusProbe::now());
     }
     MembershipPolicy const policy{Ms(3600), 1};
-    MembershipWish const wish{at(j).self(), leave, at(j).membership().no};
+    MembershipChange const wish{at(j).self(), leave, at(j).membership().number};
     std::optional<Membership> next = policy.next(c, wish, ConsensusProbe::now());
     if (!next && leave && broken_ == Broken::leavesAnyTime && c.membership().members.size() > 1 && i != j) {
       next = c.membership();
-      next->no = MembershipNumber(next->no.value + 1);
-      next->former = c.membership().members;
+      next->number = MembershipNumber(next->number.value + 1);
+      next->formerMembers = c.membership().members;
       std::erase_if(next->members, [&](Member const& m) { return m.id == id(j); });
     }
     if (!next) return false;
-    if (broken_ == Broken::forgetsFormer) next->former.erase(next->former.begin(), next->former.end() - 1);
+    if (broken_ == Broken::forgetsFormer)
+      next->formerMembers.erase(next->formerMembers.begin(), next->formerMembers.end() - 1);
     --budget_.changes;
     std::uint64_t const op = c.propose("members", {{"membership", serialize(*next), false}}, ConsensusProbe::now());
     changes_[op * 16 + i] = *next;
@@ -146,32 +147,34 @@
   }
   /// What a heartbeat brings; it is not synced before this disk sends something.
   bool learn(std::size_t i, std::size_t j) {
-    if (at(j).membership().no <= at(i).membership().no) return false;
-    change(i).install(at(j).membership(), false);
-    if (broken_ == Broken::learnerVotesAtOnce && at(i).isMember() && !at(i).copied() && !disks_[i].learned.empty()) {
+    if (at(j).membership().number <= at(i).membership().number) return false;
+    change(i).installMembership(at(j).membership(), false);
+    if (broken_ == Broken::learnerVotesAtOnce && at(i).isMember() && !at(i).holdsAllKeys() &&
+        !disks_[i].learned.empty()) {
       vector<DiskCopy> l;
       for (std::pair<NodeId const, std::shared_ptr<DiskCopy const>> const& c : disks_[i].learned)
         l.push_back(*c.second);
-      change(i).adopt(l);
+      change(i).installCopies(l);
     }
     return true;
   }
   bool copyFrom(std::size_t i, std::size_t j) {
     Membership const g = at(i).membership();
-    if (!at(i).isMember() || at(i).copied()) return false;
+    if (!at(i).isMember() || at(i).holdsAllKeys()) return false;
     learn(j, i);
     std::optional<Member> const source = at(j).copySource();
-    bool const listed = source && std::find(g.former.begin(), g.former.end(), *source) != g.former.end();
-    if (!listed || at(j).membership().no != g.no) return false;
+    bool const listed =
+        source && std::find(g.formerMembers.begin(), g.formerMembers.end(), *source) != g.formerMembers.end();
+    if (!listed || at(j).membership().number != g.number) return false;
     flush(j, 0);
     Disk& d = disks_[i];
-    if (d.copiesUnder != g.no) d.copies.clear();
-    d.copiesUnder = g.no;
+    if (d.copiesUnder != g.number) d.copies.clear();
+    d.copiesUnder = g.number;
     d.copies[source->id] = copyOf(j);
-    if (d.copies.size() < g.mostFormer()) return true;
+    if (d.copies.size() < g.formerQuorum()) return true;
     vector<DiskCopy> l;
     for (std::pair<NodeId const, std::shared_ptr<DiskCopy const>> const& c : d.copies) l.push_back(*c.second);
-    change(i).adopt(l);
+    change(i).installCopies(l);
     d.copies.clear();
     flush(i, 0);
     return true;
@@ -197,7 +200,7 @@
     Member m = at(i).self();
     m.id = NodeId(m.id.value + 1000);
     m.founder = false;
-    m.stay = 0;
+    m.incarnation = 0;
     restart(i, fresh(m));
     disks_[i].durable = std::make_shared<vector<string>>();
     return true;
@@ -207,7 +210,7 @@
     if (!spend(budget_.corruptions) || disks_[i].durable->empty()) return false;
     Consensus c = fresh(at(i).self());
     c.replay(disks_[i].durable->front());
-    if (broken_ != Broken::corruptDiskVotes) c.loseVote(++disks_[i].stays + 50);
+    if (broken_ != Broken::corruptDiskVotes) c.surrenderVote(++disks_[i].stays + 50);
     restart(i, std::move(c));
     return true;
   }
@@ -234,7 +237,7 @@
     Consensus const& c = at(i);
     bool const sense = (s & ~membersOf(i)) == 0;
     for (string const& k : {string("configuration"), string("members")})
-      tryOut(sense && budget_.leads && c.copied(), [i, s, k](World& w) { return w.lead(i, s, k); });
+      tryOut(sense && budget_.leads && c.holdsAllKeys(), [i, s, k](World& w) { return w.lead(i, s, k); });
     bool const owns = sense && c.owns("configuration");
     tryOut(owns && budget_.writes, [i, s](World& w) { return w.write(i, s, false); });
     tryOut(owns && budget_.writes && budget_.late, [i, s](World& w) { return w.write(i, s, true); });
@@ -257,13 +260,15 @@
     return string(b.data(), b.size());
   }
   static Consensus fresh(Member const& m) {
-    Consensus c(m, Consensus::Times{Ms(750), Ms(100), Ms(1500), Ms(600)}, 1);
-    c.know("configuration");
-    c.know("members");
+    Consensus c(m, Consensus::Timeouts{Ms(750), Ms(100), Ms(1500), Ms(600)}, 1);
+    c.addKeyspace("configuration");
+    c.addKeyspace("members");
     return c;
   }
   static bool spend(int& n) { return n-- > 0; }
-  std::shared_ptr<DiskCopy const> copyOf(std::size_t j) const { return std::make_shared<DiskCopy>(at(j).dump()); }
+  std::shared_ptr<DiskCopy const> copyOf(std::size_t j) const {
+    return std::make_shared<DiskCopy>(at(j).exportKeyspaces());
+  }
   NodeId id(std::size_t i) const { return disks_[i].state->self().id; }
   Consensus const& at(std::size_t i) const { return *disks_[i].state; }
   Consensus& change(std::size_t i) {
@@ -280,9 +285,9 @@
 
   /// Syncs what a disk wrote, then sends: to the disks in reach at once, to others later or never.
   void flush(std::size_t i, Set reach, Set heldReplies = 0) {
-    Batch b = change(i).take();
+    Output b = change(i).takeOutput();
     disks_[i].durable = std::make_shared<vector<string>>(at(i).snapshot());
-    for (Outcome const& o : b.outcomes) ended(i, o);
+    for (OperationOutcome const& o : b.outcomes) ended(i, o);
     for (Message& m : b.messages) {
       std::optional<std::size_t> const j = indexOf(m.to);
       if (!j) continue;
@@ -294,35 +299,36 @@
       }
     }
   }
-  void ended(std::size_t i, Outcome const& o) {
-    if (o.result != Result::committed) return;
-    if (std::map<std::uint64_t, string>::iterator const w = writes_.find(o.op * 16 + i); w != writes_.end())
+  void ended(std::size_t i, OperationOutcome const& o) {
+    if (o.result != OperationResult::committed) return;
+    if (std::map<std::uint64_t, string>::iterator const w = writes_.find(o.operation * 16 + i); w != writes_.end())
       acked_.insert(w->second);
-    if (std::map<std::uint64_t, std::set<string>>::iterator const r = reads_.find(o.op * 16 + i); r != reads_.end())
+    if (std::map<std::uint64_t, std::set<string>>::iterator const r = reads_.find(o.operation * 16 + i);
+        r != reads_.end())
       mustKnow(i, r->second, "a confirmed read");
-    std::map<std::uint64_t, Membership>::iterator const g = changes_.find(o.op * 16 + i);
-    if (g != changes_.end() && at(i).membership().no.value + 1 == g->second.no.value)
-      change(i).install(g->second, false);
+    std::map<std::uint64_t, Membership>::iterator const g = changes_.find(o.operation * 16 + i);
+    if (g != changes_.end() && at(i).membership().number.value + 1 == g->second.number.value)
+      change(i).installMembership(g->second, false);
   }
 
   void mustKnow(std::size_t i, std::set<string> const& keys, string const& who) {
     for (string const& key : keys)
-      if (!at(i).view("configuration").count(key)) broken = who + " lacks an acknowledged change";
+      if (!at(i).committedValues("configuration").count(key)) broken = who + " lacks an acknowledged change";
   }
   /// Of the newest membership no majority of disks that vote, or would once they learn of it, lacks
   /// an acknowledged change.
   void check() {
     Membership newest;
     for (Disk const& d : disks_)
-      if (d.state->membership().no > newest.no) newest = d.state->membership();
+      if (d.state->membership().number > newest.number) newest = d.state->membership();
     for (string const& key : acked_) {
       std::size_t lacking = 0;
       for (std::size_t i = 0; i < size(); ++i) {
         Member const* const m = newest.find(id(i));
-        bool const votes = m && m->stay == at(i).self().stay && at(i).copied();
+        bool const votes = m && m->incarnation == at(i).self().incarnation && at(i).holdsAllKeys();
         lacking += votes && !ConsensusProbe::holds(at(i), "configuration", key);
       }
-      if (lacking >= newest.most()) broken = "a majority that votes lacks an acknowledged change";
+      if (lacking >= newest.quorum()) broken = "a majority that votes lacks an acknowledged change";
     }
   }
 
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -118,7 +118,7 @@
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
     std::size_t in = 0;
     for (sim::Cluster::Node const& x : g.nodes())
-      in += x.consensus->copied() && x.consensus->membership().find(x.self.id);
+      in += x.consensus->holdsAllKeys() && x.consensus->membership().find(x.self.id);
     LONGS_EQUAL_TEXT(8, in, "both new disks are members that hold all keys");
     std::uint64_t const before = g.acked;
     write(g, 30);
@@ -157,9 +157,9 @@
   LONGS_EQUAL(3, g.members());
   write(g, 30);
   for (std::size_t i = 3; i < 6; ++i) {
-    CHECK_FALSE(g.nodes()[i].consensus->copied());
+    CHECK_FALSE(g.nodes()[i].consensus->holdsAllKeys());
     CHECK_FALSE(g.nodes()[i].consensus->owns("configuration"));
-    CHECK_TEXT(g.nodes()[i].consensus->inMajority(g.now()), "it hears the membership and can forward");
+    CHECK_TEXT(g.nodes()[i].consensus->inContactWithMajority(g.now()), "it hears the membership and can forward");
   }
   for (std::size_t i = 3; i < 6; ++i) {
     g.kill(i);
@@ -178,10 +178,10 @@
   for (std::size_t i = 0; i < 3; ++i) g.found(i);
   g.run(1500);
   LONGS_EQUAL(3, g.members());
-  CHECK(g.nodes()[3].consensus->copied());
+  CHECK(g.nodes()[3].consensus->holdsAllKeys());
   CHECK_FALSE(g.nodes()[0].consensus->membership().find(g.nodes()[2].self.id) != nullptr);
-  CHECK(MembershipPolicy::bears(g.nodes()[0].consensus->membership(), 1));
-  CHECK_FALSE(MembershipPolicy::bears(g.nodes()[0].consensus->membership(), 2));
+  CHECK(MembershipPolicy::survives(g.nodes()[0].consensus->membership(), 1));
+  CHECK_FALSE(MembershipPolicy::survives(g.nodes()[0].consensus->membership(), 2));
 }
 
 TEST(membership, anInterruptedFoundingMakesOneGroup) {
@@ -200,7 +200,7 @@
       if (!g.nodes()[i].up) g.start(i);
     g.run(100);
     for (std::size_t i = 0; i < 3; ++i)
-      if (!g.nodes()[i].consensus->membership().no.value) g.found(i);
+      if (!g.nodes()[i].consensus->membership().number.value) g.found(i);
     g.run(1500);
     LONGS_EQUAL(5, g.members());
     write(g, 30);
--- a/tests/order_checker.hpp
+++ b/tests/order_checker.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "configuration/order_decision.hpp"
+#include "configuration/change_decision.hpp"
 
 /// A check of linearizability for histories of orders and reads, against the chain of configurations that were taken.
 namespace tealshelf::sim {
@@ -8,7 +8,7 @@
 
 /// One attempt at an order as its operator saw it; without an answer it may have come into force at any later time.
 struct Attempt {
-  OrderIdentity order;
+  ChangeId order;
   TimePoint from, to;
   Answer answer = Answer::none;
 };
@@ -27,13 +27,14 @@
   vector<ReadEvent> reads;
 
   /// What is wrong with the history; empty if nothing is.
-  string check(std::map<std::uint64_t, TakenOrder> const& chain) const {
+  string check(std::map<std::uint64_t, AcceptedChange> const& chain) const {
     vector<Place> places(1);  // The empty state before the first order.
-    for (std::pair<std::uint64_t const, TakenOrder> const& link : chain) {
+    for (std::pair<std::uint64_t const, AcceptedChange> const& link : chain) {
       Place place;
-      place.order = OrderIdentity{link.second.base, link.second.digest};
+      place.order = ChangeId{link.second.baseVersion, link.second.digest};
       place.version = link.second.version;
-      if (link.second.base != places.back().version) return "the chain has a gap at " + std::to_string(link.first);
+      if (link.second.baseVersion != places.back().version)
+        return "the chain has a gap at " + std::to_string(link.first);
       if (place.version <= places.back().version) return "versions don't rise at " + std::to_string(link.first);
       places.push_back(place);
     }
@@ -47,7 +48,7 @@
 
  private:
   struct Place {
-    OrderIdentity order;
+    ChangeId order;
     std::uint64_t version = 0;
     TimePoint earliest = TimePoint::max(), latest = TimePoint::max();
     TimePoint notBefore;  ///< the state before was still seen then
@@ -56,7 +57,7 @@
   static string bound(vector<Place>& places, Attempt const& attempt) {
     vector<Place>::iterator const at =
         std::find_if(places.begin() + 1, places.end(), [&](Place const& p) { return p.order == attempt.order; });
-    string const name = "the order on " + std::to_string(attempt.order.base);
+    string const name = "the order on " + std::to_string(attempt.order.baseVersion);
     if (at != places.end()) {
       if (attempt.answer == Answer::refused) return name + " was taken and refused";
       at->earliest = std::min(at->earliest, attempt.from);
@@ -67,7 +68,7 @@
     if (attempt.answer != Answer::refused) return "";
     // It lost its race to an order on the same base, which must have been there by then.
     for (std::size_t i = 0; i < places.size(); ++i) {
-      if (places[i].version != attempt.order.base) continue;
+      if (places[i].version != attempt.order.baseVersion) continue;
       if (i + 1 == places.size()) return name + " was refused though its base is current";
       places[i + 1].latest = std::min(places[i + 1].latest, attempt.to);
     }
--- a/tests/orders_simulation_test.cpp
+++ b/tests/orders_simulation_test.cpp
@@ -20,13 +20,13 @@
   return "{\"version\":" + std::to_string(version) + ",\"routes\":[],\"services\":[{\"name\":\"s" +
          std::to_string(mark) + "\"}]}";
 }
-Decision decideByText(std::map<string, string> const& rows, Order const& order) {
+ChangeDecision decideByText(std::map<string, string> const& rows, ChangeRequest const& order) {
   std::map<string, string> current;
-  std::map<string, string>::const_iterator const row = rows.find(currentKey);
+  std::map<string, string>::const_iterator const row = rows.find(currentConfigurationKey);
   if (row != rows.end()) current.insert(*row);
-  Decision decision = decide(current, order);
-  if (decision.verdict == OrderVerdict::tooOld) decision.verdict = OrderVerdict::lostRace;
-  if (row != rows.end() && row->second == order.body) decision.verdict = OrderVerdict::acknowledgeAgain;
+  ChangeDecision decision = decideChange(current, order);
+  if (decision.verdict == ChangeVerdict::tooOld) decision.verdict = ChangeVerdict::conflict;
+  if (row != rows.end() && row->second == order.body) decision.verdict = ChangeVerdict::acknowledgeAgain;
   return decision;
 }
 
@@ -56,13 +56,13 @@
 
  private:
   struct Sent {
-    OrderIdentity identity;
-    Order order;
+    ChangeId identity;
+    ChangeRequest order;
   };
   struct Owner {
     std::uint64_t life = 0, turn = 0;
     bool busy = false;
-    UnsettledOrder unsettled;
+    UndecidedChange unsettled;
   };
   std::uint64_t dice(std::uint64_t n) { return cluster_.dice(n); }
 
@@ -77,8 +77,8 @@
       return send(node, sent_[sent_.size() - 1 - dice(recent)]);
     }
     std::uint64_t const base = seen_;
-    Order const order{std::to_string(base), configuration(base + 1 + dice(3), dice(1000000))};
-    sent_.push_back(Sent{OrderIdentity{base, sha256(canonicalJson(order.body))}, order});
+    ChangeRequest const order{std::to_string(base), configuration(base + 1 + dice(3), dice(1000000))};
+    sent_.push_back(Sent{ChangeId{base, sha256(canonicalJson(order.body))}, order});
     send(node, sent_.back());
     if (dice(3) == 0) operate();
   }
@@ -104,7 +104,7 @@
   void confirmed(std::size_t node, std::function<void(bool)> then) {
     if (rules_ == Rules::withoutConfirm) return then(true);
     cluster_.begin(
-        node, [this](Consensus& c) { return c.confirm("configuration", cluster_.now()); }, std::move(then));
+        node, [this](Consensus& c) { return c.confirmOwnership("configuration", cluster_.now()); }, std::move(then));
   }
   void read(std::size_t asked) {
     TimePoint const from = cluster_.now();
@@ -112,8 +112,8 @@
     if (!node) return;
     confirmed(*node, [this, from, node = *node](bool ok) {
       if (!ok) return;
-      std::map<string, string> const& rows = cluster_.nodes()[node].consensus->view("configuration");
-      std::map<string, string>::const_iterator const current = rows.find(currentKey);
+      std::map<string, string> const& rows = cluster_.nodes()[node].consensus->committedValues("configuration");
+      std::map<string, string>::const_iterator const current = rows.find(currentConfigurationKey);
       std::uint64_t const version = current == rows.end() ? 0 : compileConfiguration(current->second)->version;
       seen_ = std::max(seen_, version);
       checker_.reads.push_back({from, cluster_.now(), version});
@@ -138,23 +138,23 @@
         state.busy = false;
     });
   }
-  void judgeAt(std::size_t node, std::size_t index, Order const& order) {
+  void judgeAt(std::size_t node, std::size_t index, ChangeRequest const& order) {
     Consensus& consensus = *cluster_.nodes()[node].consensus;
     Owner& owner = ownerState(node);
-    std::map<string, string> const& rows = consensus.view("configuration");
-    std::uint64_t const epoch = consensus.epochOf("configuration").n;
+    std::map<string, string> const& rows = consensus.committedValues("configuration");
+    std::uint64_t const epoch = consensus.epochOf("configuration").number;
     owner.busy = false;
-    if (rules_ != Rules::withoutSettling && owner.unsettled.open(epoch, rows)) return;
-    Decision const decision =
-        rules_ == Rules::currentTextOnly ? decideByText(rows, order) : decide(rows, order, shape_);
-    if (decision.verdict == OrderVerdict::acknowledgeAgain) return answer(index, sim::Answer::acknowledged);
-    if (decision.verdict == OrderVerdict::lostRace || decision.verdict == OrderVerdict::invalid)
+    if (rules_ != Rules::withoutSettling && owner.unsettled.isOpen(epoch, rows)) return;
+    ChangeDecision const decision =
+        rules_ == Rules::currentTextOnly ? decideByText(rows, order) : decideChange(rows, order, shape_);
+    if (decision.verdict == ChangeVerdict::acknowledgeAgain) return answer(index, sim::Answer::acknowledged);
+    if (decision.verdict == ChangeVerdict::conflict || decision.verdict == ChangeVerdict::invalid)
       return answer(index, sim::Answer::refused);
-    if (decision.verdict != OrderVerdict::apply) return;
-    vector<Consensus::Change> changes;
-    for (OrderHistory::Row const& row : decision.rows) changes.push_back({row.key, row.value, false});
+    if (decision.verdict != ChangeVerdict::apply) return;
+    vector<KeyChange> changes;
+    for (ChangeHistory::Row const& row : decision.rows) changes.push_back({row.key, row.value, false});
     owner.busy = true;
-    owner.unsettled.begin(decision.identity, epoch);
+    owner.unsettled.begin(decision.id, epoch);
     std::uint64_t const turn = ++owner.turn;
     stage(node);
     cluster_.begin(
@@ -235,10 +235,10 @@
     cluster_.run(2500);
     for (sim::Cluster::Node& x : cluster_.nodes()) {
       if (!x.consensus->owns("configuration")) continue;
-      std::map<string, string> const& rows = x.consensus->view("configuration");
-      OrderHistory const history(rows, currentVersion(rows));
-      taken = history.orders().size();
-      return checker_.check(history.orders());
+      std::map<string, string> const& rows = x.consensus->committedValues("configuration");
+      ChangeHistory const history(rows, currentVersion(rows));
+      taken = history.changes().size();
+      return checker_.check(history.changes());
     }
     return "nobody owns the configuration after all was healed";
   }
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -1,4 +1,4 @@
-#include "configuration/order_decision.hpp"
+#include "configuration/change_decision.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -13,18 +13,18 @@
          "\",\"host\":\"h.example\",\"pathStart\":\"/a/\",\"kind\":\"repeatable\",\"timeLimitMs\":1000,"
          "\"service\":\"s\"}],\"services\":[{\"name\":\"s\"}]}";
 }
-Order order(std::uint64_t base, std::uint64_t version, string const& mark = "a") {
-  return Order{std::to_string(base), configuration(version, mark)};
+ChangeRequest order(std::uint64_t base, std::uint64_t version, string const& mark = "a") {
+  return ChangeRequest{std::to_string(base), configuration(version, mark)};
 }
 /// A valid order on version 9, with one part of its text replaced.
-Order with(string const& part, string const& by) {
+ChangeRequest with(string const& part, string const& by) {
   string text = configuration(10);
-  return Order{"9", text.replace(text.find(part), part.size(), by)};
+  return ChangeRequest{"9", text.replace(text.find(part), part.size(), by)};
 }
-void apply(Rows& rows, Order const& o, HistoryShape shape = HistoryShape()) {
-  Decision const d = decide(rows, o, shape);
-  LONGS_EQUAL(static_cast<int>(OrderVerdict::apply), static_cast<int>(d.verdict));
-  for (OrderHistory::Row const& row : d.rows) rows[row.key] = row.value;
+void apply(Rows& rows, ChangeRequest const& o, HistoryShape shape = HistoryShape()) {
+  ChangeDecision const d = decideChange(rows, o, shape);
+  LONGS_EQUAL(static_cast<int>(ChangeVerdict::apply), static_cast<int>(d.verdict));
+  for (ChangeHistory::Row const& row : d.rows) rows[row.key] = row.value;
 }
 /// Rows after the versions 3, 6, 9 and so on.
 Rows after(std::uint64_t changes, HistoryShape shape = HistoryShape()) {
@@ -32,8 +32,9 @@
   for (std::uint64_t i = 0; i < changes; ++i) apply(rows, order(3 * i, 3 * i + 3), shape);
   return rows;
 }
-void expect(Rows const& rows, Order const& o, OrderVerdict verdict, int code = 0, HistoryShape shape = HistoryShape()) {
-  Decision const d = decide(rows, o, shape);
+void expect(Rows const& rows, ChangeRequest const& o, ChangeVerdict verdict, int code = 0,
+            HistoryShape shape = HistoryShape()) {
+  ChangeDecision const d = decideChange(rows, o, shape);
   LONGS_EQUAL_TEXT(static_cast<int>(verdict), static_cast<int>(d.verdict), (o.ifMatch + " " + o.body).c_str());
   if (code) LONGS_EQUAL(code, static_cast<int>(d.code));
 }
@@ -45,42 +46,42 @@
   Rows const none, rows = after(3);  // 0 > 3 > 6 > 9
   struct {
     Rows const& rows;
-    Order order;
-    OrderVerdict verdict;
+    ChangeRequest order;
+    ChangeVerdict verdict;
     int code;
   } const table[] = {
-      {none, order(0, 1), OrderVerdict::apply, 0},
-      {none, order(4, 5), OrderVerdict::lostRace, 109},
-      {none, order(0, 0), OrderVerdict::invalid, 105},
-      {rows, order(9, 10), OrderVerdict::apply, 0},
-      {rows, order(6, 9), OrderVerdict::acknowledgeAgain, 0},
-      {rows, order(3, 6), OrderVerdict::acknowledgeAgain, 0},
-      {rows, order(0, 3), OrderVerdict::acknowledgeAgain, 0},
-      {rows, {"0", " " + order(0, 3).body + "\n"}, OrderVerdict::acknowledgeAgain, 0},
-      {rows, order(0, 3, "b"), OrderVerdict::lostRace, 109},  // the same number on the same base with other content
-      {rows, order(6, 9, "b"), OrderVerdict::lostRace, 109},
-      {rows, order(3, 5), OrderVerdict::lostRace, 109},
-      {rows, order(5, 12), OrderVerdict::lostRace, 109},   // a base that never was
-      {rows, order(12, 13), OrderVerdict::lostRace, 109},  // a base that isn't yet
-      {rows, order(9, 9), OrderVerdict::invalid, 105},
-      {rows, order(9, 8), OrderVerdict::invalid, 105},
-      {rows, order(3, 9), OrderVerdict::lostRace, 109},  // the current content on another base
-      {rows, {"", configuration(10)}, OrderVerdict::invalid, 110},
-      {rows, {"x", configuration(10)}, OrderVerdict::invalid, 110},
-      {rows, {"-9", configuration(10)}, OrderVerdict::invalid, 110},
-      {rows, {"9.0", configuration(10)}, OrderVerdict::invalid, 110},
-      {rows, {string(40, '9'), configuration(10)}, OrderVerdict::invalid, 110},
-      {rows, {"9", ""}, OrderVerdict::invalid, 100},
-      {rows, {"9", "[]"}, OrderVerdict::invalid, 100},
-      {rows, {"9", configuration(10).substr(0, 60)}, OrderVerdict::invalid, 100},
-      {rows, {"9", string(1000000, '[')}, OrderVerdict::invalid, 100},
-      {rows, {"9", "{\"version\":-1" + configuration(1).substr(12)}, OrderVerdict::invalid, 107},
-      {rows, {"9", "{\"version\":1e30" + configuration(1).substr(12)}, OrderVerdict::invalid, 107},
-      {rows, {"9", "{\"version\":\"ten\"" + configuration(1).substr(12)}, OrderVerdict::invalid, 106},
-      {rows, {"9", "{\"version\":10,\"routes\":[],\"services\":7}"}, OrderVerdict::invalid, 106},
-      {rows, with("\"timeLimitMs\":1000", "\"timeLimitMs\":100000000000000000"), OrderVerdict::invalid, 107},
+      {none, order(0, 1), ChangeVerdict::apply, 0},
+      {none, order(4, 5), ChangeVerdict::conflict, 109},
+      {none, order(0, 0), ChangeVerdict::invalid, 105},
+      {rows, order(9, 10), ChangeVerdict::apply, 0},
+      {rows, order(6, 9), ChangeVerdict::acknowledgeAgain, 0},
+      {rows, order(3, 6), ChangeVerdict::acknowledgeAgain, 0},
+      {rows, order(0, 3), ChangeVerdict::acknowledgeAgain, 0},
+      {rows, {"0", " " + order(0, 3).body + "\n"}, ChangeVerdict::acknowledgeAgain, 0},
+      {rows, order(0, 3, "b"), ChangeVerdict::conflict, 109},  // the same number on the same base with other content
+      {rows, order(6, 9, "b"), ChangeVerdict::conflict, 109},
+      {rows, order(3, 5), ChangeVerdict::conflict, 109},
+      {rows, order(5, 12), ChangeVerdict::conflict, 109},   // a base that never was
+      {rows, order(12, 13), ChangeVerdict::conflict, 109},  // a base that isn't yet
+      {rows, order(9, 9), ChangeVerdict::invalid, 105},
+      {rows, order(9, 8), ChangeVerdict::invalid, 105},
+      {rows, order(3, 9), ChangeVerdict::conflict, 109},  // the current content on another base
+      {rows, {"", configuration(10)}, ChangeVerdict::invalid, 110},
+      {rows, {"x", configuration(10)}, ChangeVerdict::invalid, 110},
+      {rows, {"-9", configuration(10)}, ChangeVerdict::invalid, 110},
+      {rows, {"9.0", configuration(10)}, ChangeVerdict::invalid, 110},
+      {rows, {string(40, '9'), configuration(10)}, ChangeVerdict::invalid, 110},
+      {rows, {"9", ""}, ChangeVerdict::invalid, 100},
+      {rows, {"9", "[]"}, ChangeVerdict::invalid, 100},
+      {rows, {"9", configuration(10).substr(0, 60)}, ChangeVerdict::invalid, 100},
+      {rows, {"9", string(1000000, '[')}, ChangeVerdict::invalid, 100},
+      {rows, {"9", "{\"version\":-1" + configuration(1).substr(12)}, ChangeVerdict::invalid, 107},
+      {rows, {"9", "{\"version\":1e30" + configuration(1).substr(12)}, ChangeVerdict::invalid, 107},
+      {rows, {"9", "{\"version\":\"ten\"" + configuration(1).substr(12)}, ChangeVerdict::invalid, 106},
+      {rows, {"9", "{\"version\":10,\"routes\":[],\"services\":7}"}, ChangeVerdict::invalid, 106},
+      {rows, with("\"timeLimitMs\":1000", "\"timeLimitMs\":100000000000000000"), ChangeVerdict::invalid, 107},
       {rows, with("\"service\":\"s\"", "\"split\":[{\"service\":\"s\",\"share\":900000000000000000}]"),
-       OrderVerdict::invalid, 107},
+       ChangeVerdict::invalid, 107},
   };
   for (auto const& line : table) expect(line.rows, line.order, line.verdict, line.code);
 }
@@ -89,7 +90,7 @@
   Rows const rows = after(changes);
   std::size_t bytes = 0, keys = 0;
   for (Rows::value_type const& row : rows) {
-    if (row.first == currentKey) continue;
+    if (row.first == currentConfigurationKey) continue;
     bytes += row.first.size() + row.second.size();
     ++keys;
   }
@@ -97,21 +98,21 @@
   CHECK(bytes < 64 * 1024);
   for (std::uint64_t i = 0; i < changes; ++i) {
     bool const kept = i + 1024 >= changes;
-    if (kept) expect(rows, order(3 * i, 3 * i + 3), OrderVerdict::acknowledgeAgain);
-    if (kept) expect(rows, order(3 * i, 3 * i + 3, "b"), OrderVerdict::lostRace, 109);
+    if (kept) expect(rows, order(3 * i, 3 * i + 3), ChangeVerdict::acknowledgeAgain);
+    if (kept) expect(rows, order(3 * i, 3 * i + 3, "b"), ChangeVerdict::conflict, 109);
   }
   // What may have been forgotten is neither refused nor taken again.
-  expect(rows, order(0, 3), OrderVerdict::tooOld, 111);
-  expect(rows, order(0, 3, "b"), OrderVerdict::tooOld, 111);
+  expect(rows, order(0, 3), ChangeVerdict::tooOld, 111);
+  expect(rows, order(0, 3, "b"), ChangeVerdict::tooOld, 111);
 }
 TEST(orders, aRingOfAnyShapeKeepsTheNewest) {
   for (HistoryShape const shape : {HistoryShape{2, 1}, HistoryShape{2, 3}, HistoryShape{4, 4}})
     for (std::uint64_t changes = 1; changes < 40; ++changes) {
       Rows const rows = after(changes, shape);
-      std::uint64_t const sure = (shape.pages - 1) * shape.ordersPerPage + 1;
+      std::uint64_t const sure = (shape.pages - 1) * shape.changesPerPage + 1;
       for (std::uint64_t i = 0; i < changes; ++i) {
-        OrderVerdict const verdict = decide(rows, order(3 * i, 3 * i + 3), shape).verdict;
-        CHECK(verdict == OrderVerdict::acknowledgeAgain || (verdict == OrderVerdict::tooOld && i + sure < changes));
+        ChangeVerdict const verdict = decideChange(rows, order(3 * i, 3 * i + 3), shape).verdict;
+        CHECK(verdict == ChangeVerdict::acknowledgeAgain || (verdict == ChangeVerdict::tooOld && i + sure < changes));
       }
     }
 }
@@ -121,28 +122,28 @@
   Rows rows = after(3, shape), other = rows;
   apply(other, order(9, 12, "lost"), shape);
   rows["orders/3"] = other.at("orders/3");
-  expect(rows, order(9, 12, "lost"), OrderVerdict::apply, 0, shape);
-  expect(rows, order(6, 9), OrderVerdict::acknowledgeAgain, 0, shape);
+  expect(rows, order(9, 12, "lost"), ChangeVerdict::apply, 0, shape);
+  expect(rows, order(6, 9), ChangeVerdict::acknowledgeAgain, 0, shape);
   apply(rows, order(9, 11), shape);
-  expect(rows, order(9, 12, "lost"), OrderVerdict::lostRace, 109, shape);
-  expect(rows, order(9, 11), OrderVerdict::acknowledgeAgain, 0, shape);
+  expect(rows, order(9, 12, "lost"), ChangeVerdict::conflict, 109, shape);
+  expect(rows, order(9, 11), ChangeVerdict::acknowledgeAgain, 0, shape);
 }
 TEST(orders, aStateWithoutHistoryLeavesOldOrdersOpen) {
   Rows rows;
-  rows[currentKey] = configuration(9);
-  expect(rows, order(6, 9), OrderVerdict::tooOld, 111);
-  expect(rows, order(9, 10), OrderVerdict::apply);
+  rows[currentConfigurationKey] = configuration(9);
+  expect(rows, order(6, 9), ChangeVerdict::tooOld, 111);
+  expect(rows, order(9, 10), ChangeVerdict::apply);
 }
 TEST(orders, nothingIsJudgedWhileAnOrderIsUnsettled) {
   Rows rows = after(2);
-  UnsettledOrder unsettled;
-  CHECK_FALSE(unsettled.open(5, rows));
-  Order const written = order(6, 9);
-  unsettled.begin(decide(rows, written).identity, 5);
-  CHECK_TRUE(unsettled.open(5, rows));
-  CHECK_TRUE(unsettled.open(5, rows));
-  UnsettledOrder overtaken = unsettled;
-  CHECK_FALSE(overtaken.open(6, rows));  // a new epoch has settled it
+  UndecidedChange unsettled;
+  CHECK_FALSE(unsettled.isOpen(5, rows));
+  ChangeRequest const written = order(6, 9);
+  unsettled.begin(decideChange(rows, written).id, 5);
+  CHECK_TRUE(unsettled.isOpen(5, rows));
+  CHECK_TRUE(unsettled.isOpen(5, rows));
+  UndecidedChange overtaken = unsettled;
+  CHECK_FALSE(overtaken.isOpen(6, rows));  // a new epoch has settled it
   apply(rows, written);
-  CHECK_FALSE(unsettled.open(5, rows));  // it came into force
+  CHECK_FALSE(unsettled.isOpen(5, rows));  // it came into force
 }
--- a/tests/worst_days_test.cpp
+++ b/tests/worst_days_test.cpp
@@ -16,21 +16,21 @@
   vector<string> const ips{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"};
   vector<Address> const seeds{{ips[3], 1}, {ips[4], 1}, {ips[5], 1}};
   Membership membership;
-  membership.no = MembershipNumber(4);
+  membership.number = MembershipNumber(4);
   for (std::size_t i = 0; i < 3; ++i) membership.members.push_back(Member{NodeId(i + 1), "m", ips[i], "z"});
   std::map<string, Membership> known;
   for (std::size_t i = 0; i < ips.size(); ++i) known[ips[i]] = i < 3 ? membership : Membership();
   for (std::size_t round = 0; round < rounds; ++round) {
     std::map<string, Membership> const before = known;
     for (string const& ip : ips) {
-      bool const member = before.at(ip).no.value != 0;
+      bool const member = before.at(ip).number.value != 0;
       vector<Address> const called = member && !membersCallSeeds ? vector<Address>() : seeds;
       for (string const& to : heartbeatTargets(before.at(ip), ip, called))
-        if (known[to].no < before.at(ip).no) known[to] = before.at(ip);
+        if (known[to].number < before.at(ip).number) known[to] = before.at(ip);
     }
   }
   std::size_t count = 0;
-  for (std::pair<string const, Membership> const& node : known) count += node.second.no.value != 0;
+  for (std::pair<string const, Membership> const& node : known) count += node.second.number.value != 0;
   return count;
 }
 }  // namespace
--- a/tools/scale/catch_up.cpp
+++ b/tools/scale/catch_up.cpp
@@ -8,6 +8,12 @@
 using namespace tealshelf;
 
 namespace {
+/// The number of a kind of message.
+template <class Body>
+std::size_t kindOf() {
+  return MessageBody(Body()).index();
+}
+
 double processorMs() {
   timespec t;
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &t);
@@ -19,14 +25,14 @@
  public:
   Trio() {
     Membership g;
-    g.no = MembershipNumber(1);
+    g.number = MembershipNumber(1);
     for (std::uint64_t i = 0; i < 3; ++i) g.members.push_back(Member{NodeId(i + 1), "n", "10.0.0.1", "z", true, true});
-    g.former = g.members;
+    g.formerMembers = g.members;
     for (std::uint64_t i = 0; i < 3; ++i) {
       nodes_.push_back(
-          std::make_unique<Consensus>(g.members[i], Consensus::Times{Ms(750), Ms(100), Ms(1500), Ms(600)}, i + 1));
-      nodes_[i]->know("x");
-      nodes_[i]->install(g, true);
+          std::make_unique<Consensus>(g.members[i], Consensus::Timeouts{Ms(750), Ms(100), Ms(1500), Ms(600)}, i + 1));
+      nodes_[i]->addKeyspace("x");
+      nodes_[i]->installMembership(g, true);
     }
   }
   Consensus& node(std::size_t i) { return *nodes_[i]; }
@@ -40,13 +46,13 @@
     now_ += Ms(150);
     for (std::size_t i = 0; i < 3; ++i)
       for (std::size_t j = 0; j < 3; ++j)
-        if (i != j && i != away && j != away) nodes_[j]->heard(nodes_[i]->heartbeat(now_), now_);
+        if (i != j && i != away && j != away) nodes_[j]->receiveHeartbeat(nodes_[i]->heartbeat(now_), now_);
     for (std::size_t i = 0; i < 3; ++i)
       if (i != away) nodes_[i]->tick(now_);
     deliver();
   }
   void change(std::size_t keys, std::size_t from, char fill) {
-    vector<Consensus::Change> cs;
+    vector<KeyChange> cs;
     for (std::size_t k = 0; k < keys; ++k) cs.push_back({"key/" + std::to_string(from + k), string(200, fill), false});
     nodes_[owner()]->propose("x", cs, now_);
     deliver();
@@ -57,22 +63,22 @@
     return b.size();
   }
   std::size_t away = 3;
-  std::map<int, std::size_t> bytes, count;
+  std::map<std::size_t, std::size_t> bytes, count;
 
  private:
   void deliver() {
     for (bool any = true; any;) {
       any = false;
       for (std::size_t i = 0; i < 3; ++i)
-        for (Message const& m : nodes_[i]->take().messages) {
+        for (Message const& m : nodes_[i]->takeOutput().messages) {
           std::size_t const to = m.to.value - 1;
           if (to == away || i == away) continue;
           any = true;
           msgpack::sbuffer b;
           msgpack::pack(b, m);
           if (to != i) {
-            bytes[m.sort] += b.size();
-            ++count[m.sort];
+            bytes[m.body.index()] += b.size();
+            ++count[m.body.index()];
           }
           nodes_[to]->receive(msgpack::unpack(b.data(), b.size()).get().as<Message>(), now_);
         }
@@ -101,13 +107,13 @@
   double begun = processorMs();
   int periods = 0;
   std::size_t changes = 0;
-  while (t.node(behind).settled("x") != t.node(t.owner()).settled("x") && periods < 100) {
+  while (t.node(behind).lastKnownValues("x") != t.node(t.owner()).lastKnownValues("x") && periods < 100) {
     t.change(1, ++changes % keys, 'c');
     t.period();
     ++periods;
   }
   double const caughtUp = processorMs() - begun;
-  std::size_t const pieceBytes = t.bytes[Message::piece], pieces = t.count[Message::piece];
+  std::size_t const pieceBytes = t.bytes[kindOf<TransferChunk>()], pieces = t.count[kindOf<TransferChunk>()];
   for (int i = 0; i < 8; ++i) t.period();
   std::size_t const old = t.owner();
   t.away = old;
@@ -117,7 +123,8 @@
   while (t.owner() == 3) t.period();
   double const taken = processorMs() - begun;
   std::printf("| %zu | %zu | %zu | %zu | %zu | %.1f | %zu | %zu | %d | %.1f |\n", keys, missed, heartbeat,
-              t.bytes[Message::vote], t.bytes[Message::accept], taken, pieces, pieceBytes, periods, caughtUp);
+              t.bytes[kindOf<VoteReply>()], t.bytes[kindOf<AppendRequest>()], taken, pieces, pieceBytes, periods,
+              caughtUp);
 }
 }  // namespace
 
