--- /dev/null
+++ b/traffic/load_balancer.cpp
@@ -0,0 +1,182 @@
+#include "traffic/load_balancer.hpp"
+
+namespace tealshelf {
+
+namespace {
+/// A prompt is weighed in pieces of so many tokens, each of which costs as much as so much load.
+constexpr double pieceTokens = 1024;
+constexpr double pieceCost = 0.25;
+/// Workers drawn at random before all are weighed.
+constexpr int randomDraws = 3;
+constexpr int maxFailures = 5;
+/// After so many failures in a row a worker is passed over, however it failed.
+constexpr int failuresUntilOut = 2;
+
+double costOfTokens(double tokens) {
+  return pieceCost * tokens / pieceTokens;
+}
+
+/// Rank of a worker for a session, in rendezvous hashing.
+std::uint64_t rendezvousRank(std::uint64_t workerHash, std::uint64_t sessionKey) {
+  std::uint64_t hash = (workerHash ^ sessionKey) * 0x9e3779b97f4a7c15ull;
+  hash ^= hash >> 29;
+  hash *= 0xbf58476d1ce4e5b9ull;
+  return hash ^ (hash >> 32);
+}
+}  // namespace
+
+void LoadBalancer::requestStarted(string const& worker, std::uint64_t unreadTokens) {
+  WorkerState& state = workers_[worker];
+  ++state.ownRequests;
+  ++state.ownSinceReport;
+  ++state.unreadRequests;
+  state.unreadTokens += static_cast<std::int64_t>(unreadTokens);
+}
+
+void LoadBalancer::promptRead(string const& worker, std::uint64_t unreadTokens) {
+  WorkerState& state = workers_[worker];
+  --state.unreadRequests;
+  state.unreadTokens -= static_cast<std::int64_t>(unreadTokens);
+}
+
+void LoadBalancer::requestEnded(string const& worker) {
+  WorkerState& state = workers_[worker];
+  --state.ownRequests;
+  --state.ownSinceReport;
+}
+
+void LoadBalancer::reportLoad(string const& worker, WorkerLoad const& load) {
+  WorkerState& state = workers_[worker];
+  state.reportedRequests = static_cast<std::int64_t>(load.running + load.waiting);
+  state.reportedWaiting = static_cast<std::int64_t>(load.waiting);
+  state.ownSinceReport = 0;
+  state.reportedAt = Clock::now();
+}
+
+void LoadBalancer::markFull(string const& worker) {
+  workers_[worker].fullUntil = Clock::now() + settings_.bounds.step;
+}
+
+void LoadBalancer::markFailed(string const& worker, bool unreachable) {
+  WorkerState& state = workers_[worker];
+  state.failures = std::min(state.failures + 1, maxFailures);
+  if (!unreachable && state.failures < failuresUntilOut) return;
+  Ms const backoff = (settings_.bounds.inTouch / 12) * (1 << state.failures);
+  state.failedUntil = Clock::now() + backoff;
+}
+
+void LoadBalancer::markHealthy(string const& worker) {
+  workers_[worker].failures = 0;
+}
+
+double LoadBalancer::loadOf(WorkerState const& state, Worker const& worker, TimePoint now) const {
+  double reported = 0;
+  if (now - state.reportedAt < settings_.bounds.inTouch)
+    reported = static_cast<double>(std::max<std::int64_t>(0, state.reportedRequests + state.ownSinceReport));
+  double const requests = std::max(reported, static_cast<double>(state.ownRequests));
+  return requests / static_cast<double>(worker.capacity);
+}
+
+double LoadBalancer::load(Worker const& worker, TimePoint now) const {
+  auto const state = workers_.find(worker.id);
+  return state == workers_.end() ? 0 : loadOf(state->second, worker, now);
+}
+
+double LoadBalancer::costOf(Candidate const& candidate, TimePoint now) const {
+  WorkerState const& state = *candidate.state;
+  double cost = loadOf(state, *candidate.worker, now) + costOfTokens(static_cast<double>(state.unreadTokens));
+  bool const freshReport = now - state.reportedAt < settings_.bounds.step;
+  if (freshReport) cost += pieceCost * static_cast<double>(state.reportedWaiting);
+  return cost;
+}
+
+std::uint64_t LoadBalancer::nextRandom() {
+  randomState_ = randomState_ * 6364136223846793005ull + 1442695040888963407ull;
+  return randomState_ >> 33;
+}
+
+vector<LoadBalancer::Candidate> const& LoadBalancer::candidatesFor(FleetView const& view, string const& service) {
+  CandidateList& list = candidateLists_[service];
+  if (list.revision == view.revision()) return list.candidates;
+  list.revision = view.revision();
+  list.candidates.clear();
+  for (Worker const* const worker : view.workersOf(service))
+    list.candidates.push_back({worker, hash64(worker->id), &workers_[worker->id]});
+  return list.candidates;
+}
+
+LoadBalancer::Fitness LoadBalancer::fitnessOf(Candidate const& candidate, PickRequest const& request,
+                                              std::set<string> const& tried, TimePoint now) const {
+  WorkerState const& state = *candidate.state;
+  if (!tried.empty() && tried.count(candidate.worker->id)) return Fitness::none;
+  bool const avoided = now < state.failedUntil || now < state.fullUntil || candidate.worker->ejected;
+  if (request.background) {
+    bool const busy = state.unreadRequests > 0 || loadOf(state, *candidate.worker, now) > 1 - request.reservedShare;
+    if (avoided || busy) return Fitness::none;
+  }
+  return avoided ? Fitness::lastResort : Fitness::good;
+}
+
+Worker const* LoadBalancer::pick(FleetView const& view, PickRequest const& request, std::set<string> const& tried) {
+  TimePoint const now = Clock::now();
+  vector<Candidate> const& candidates = candidatesFor(view, request.service);
+  if (candidates.empty()) return nullptr;
+  bool const pinned = static_cast<double>(request.sharedTokens) >= pieceTokens;
+  return pinned ? pickPinned(candidates, request, tried, now) : pickAny(candidates, request, tried, now);
+}
+
+Worker const* LoadBalancer::pickAny(vector<Candidate> const& candidates, PickRequest const& request,
+                                    std::set<string> const& tried, TimePoint now) {
+  auto const weigh = [&](Best& best, Candidate const& candidate) {
+    Fitness const fitness = fitnessOf(candidate, request, tried, now);
+    if (fitness == Fitness::none || fitness < best.fitness) return;
+    double const cost = costOf(candidate, now);
+    if (fitness > best.fitness || cost < best.cost) best = Best{candidate.worker, fitness, cost};
+  };
+  // A few drawn at random will do; all are weighed if those don't.
+  Best drawn;
+  for (int draw = 0; draw < randomDraws; ++draw) weigh(drawn, candidates[nextRandom() % candidates.size()]);
+  if (drawn.fitness == Fitness::good) return drawn.worker;
+  Best best;
+  std::size_t const start = nextRandom() % candidates.size();
+  for (std::size_t i = 0; i < candidates.size(); ++i) weigh(best, candidates[(start + i) % candidates.size()]);
+  return best.worker;
+}
+
+/// The first worker in rendezvous order likely keeps the shared parts, the second may; all others read them again.
+Worker const* LoadBalancer::pickPinned(vector<Candidate> const& candidates, PickRequest const& request,
+                                       std::set<string> const& tried, TimePoint now) const {
+  Candidate const* first = nullptr;
+  Candidate const* second = nullptr;
+  std::uint64_t firstRank = 0, secondRank = 0;
+  for (Candidate const& candidate : candidates) {
+    if (fitnessOf(candidate, request, tried, now) != Fitness::good) continue;
+    std::uint64_t const rank = rendezvousRank(candidate.hash, request.sessionKey);
+    if (!first || rank > firstRank) {
+      second = first;
+      secondRank = firstRank;
+      first = &candidate;
+      firstRank = rank;
+    } else if (!second || rank > secondRank) {
+      second = &candidate;
+      secondRank = rank;
+    }
+  }
+  double const missCost = costOfTokens(static_cast<double>(request.sharedTokens));
+  Best best;
+  for (Candidate const& candidate : candidates) {
+    Fitness const fitness = fitnessOf(candidate, request, tried, now);
+    if (fitness == Fitness::none || fitness < best.fitness) continue;
+    double const readAgain = &candidate == first ? 0 : &candidate == second ? missCost / 2 : missCost;
+    double const cost = costOf(candidate, now) + readAgain;
+    if (fitness > best.fitness || cost < best.cost) best = Best{candidate.worker, fitness, cost};
+  }
+  return best.worker;
+}
+
+void LoadBalancer::sweep(FleetView const& view) {
+  std::erase_if(workers_, [&view](auto const& item) { return !view.find(item.first) && item.second.ownRequests <= 0; });
+  candidateLists_.clear();
+}
+
+}  // namespace tealshelf
--- /dev/null
+++ b/traffic/load_balancer.hpp
@@ -0,0 +1,89 @@
+#pragma once
+#include "traffic/worker_load.hpp"
+#include "updates/fleet_view.hpp"
+
+namespace tealshelf {
+
+/// What the choice of a worker goes by.
+struct PickRequest {
+  string service;
+  std::uint64_t sessionKey = 0;    ///< hash of the shared parts of the prompt: what is pinned to a worker
+  std::uint64_t sharedTokens = 0;  ///< of the prompt's shared parts
+  std::uint64_t promptTokens = 0;
+  bool background = false;   ///< takes only what others leave
+  double reservedShare = 0;  ///< part of the slots to be left free, if in the background
+};
+
+/// Picks workers by how loaded and how well each is, from what this node has seen of it.
+class LoadBalancer {
+ public:
+  explicit LoadBalancer(Settings const& settings) : settings_(settings) {}
+  /// The best worker; null if there is none. Those that were tried are passed over.
+  Worker const* pick(FleetView const& view, PickRequest const& request, std::set<string> const& tried);
+
+  /// A request goes to a worker that has so many prompt tokens of it to read; then its first output came; then it
+  /// ended.
+  void requestStarted(string const& worker, std::uint64_t unreadTokens);
+  void promptRead(string const& worker, std::uint64_t unreadTokens);
+  void requestEnded(string const& worker);
+  /// A worker told its own load.
+  void reportLoad(string const& worker, WorkerLoad const& load);
+  /// It turned a request away as full.
+  void markFull(string const& worker);
+  /// It broke off. If `unreachable`, it is passed over at once, else after the second time.
+  void markFailed(string const& worker, bool unreachable);
+  void markHealthy(string const& worker);
+  /// Load as a part of its slots; over 1 if requests wait.
+  double load(Worker const& worker, TimePoint now) const;
+  /// Forgets workers that are gone.
+  void sweep(FleetView const& view);
+
+ private:
+  /// What this node knows of a worker.
+  struct WorkerState {
+    std::int64_t ownRequests = 0;       ///< this node's requests that are under way there
+    std::int64_t reportedRequests = 0;  ///< running and waiting, by the worker's own word
+    std::int64_t reportedWaiting = 0;
+    std::int64_t ownSinceReport = 0;  ///< this node's requests started less ended since that word
+    std::int64_t unreadTokens = 0, unreadRequests = 0;
+    TimePoint reportedAt, failedUntil, fullUntil;
+    int failures = 0;  ///< in a row
+  };
+  /// A worker of a service with what is known of it, worked out anew only when the workers change.
+  struct Candidate {
+    Worker const* worker;
+    std::uint64_t hash;
+    WorkerState* state;
+  };
+  struct CandidateList {
+    std::uint64_t revision = 0;
+    vector<Candidate> candidates;
+  };
+  /// How willingly a worker is taken.
+  enum class Fitness { none, lastResort, good };
+  /// The best candidate so far: the fittest, and of those the one of least cost.
+  struct Best {
+    Worker const* worker = nullptr;
+    Fitness fitness = Fitness::none;
+    double cost = 0;
+  };
+
+  vector<Candidate> const& candidatesFor(FleetView const& view, string const& service);
+  Fitness fitnessOf(Candidate const& candidate, PickRequest const& request, std::set<string> const& tried,
+                    TimePoint now) const;
+  double loadOf(WorkerState const& state, Worker const& worker, TimePoint now) const;
+  /// Load plus what a new prompt would wait behind, in the same measure.
+  double costOf(Candidate const& candidate, TimePoint now) const;
+  Worker const* pickAny(vector<Candidate> const& candidates, PickRequest const& request, std::set<string> const& tried,
+                        TimePoint now);
+  Worker const* pickPinned(vector<Candidate> const& candidates, PickRequest const& request,
+                           std::set<string> const& tried, TimePoint now) const;
+  std::uint64_t nextRandom();
+
+  Settings const& settings_;
+  std::map<string, WorkerState> workers_;
+  std::map<string, CandidateList> candidateLists_;  ///< by service
+  std::uint64_t randomState_ = randomId();
+};
+
+}  // namespace tealshelf
--- a/updates/fleet_view.hpp
+++ b/updates/fleet_view.hpp
@@ -1,60 +1,72 @@
 #pragma once
 #include "configuration/configuration.hpp"
-#include "updates/update_node.hpp"
+#include "updates/update_subscriber.hpp"
 
 namespace tealshelf {
 
-/// What a data-plane node knows: the configuration in force, the workers, the control nodes. It asks a
-/// relay or a control node for updates, and relays it to others that ask here.
+/// What a data-plane node knows: the configuration in force, the workers, the control nodes. It asks a relay or a
+/// control node for updates, and relays them to others that ask here.
+///
+/// Runs on the io thread. Settings and client must outlive it.
 class FleetView {
  public:
-  FleetView(asio::io_context& io, Settings const& settings, RpcClient& rpc, string role, Address at);
+  FleetView(asio::io_context& io, Settings const& settings, RpcClient& rpc, string role, Address address);
   void start(RpcServer& server);
+
+  /// Null before the first one is known.
   std::shared_ptr<Configuration const> configuration() const { return configuration_; }
   std::map<string, Worker> const& workers() const { return workers_; }
-  /// Workers of a service that take new requests.
-  vector<Worker const*> const& of(string const& service) const;
+  /// Workers of a service that take new requests. Valid until the workers change.
+  vector<Worker const*> const& workersOf(string const& service) const;
+  /// Null if there is none of that id.
   Worker const* find(string const& id) const;
   /// Rises whenever the workers change.
   std::uint64_t revision() const { return revision_; }
-  /// True if the node may call itself ready: it has a configuration, and updates not too long ago. One that
-  /// is cut off goes on with what it knows, as the workers themselves refuse what is not for them.
-  bool healthy() const { return configuration_ && Clock::now() - node_.fresh() < Ms(5 * settings_.bounds.inTouch); }
-  /// True if the updates is fresh.
-  bool near() const { return configuration_ && Clock::now() - node_.fresh() < Ms(settings_.bounds.inTouch / 3); }
-  /// Control nodes to ask, those that failed lately last.
-  vector<Address> controls() const { return node_.controls(Clock::now()); }
-  /// Tells how a call at a control node went.
-  void worked(Address const& a) { node_.worked(a); }
-  void failed(Address const& a) { node_.missed(a, Clock::now()); }
+
+  /// True if the node may call itself ready: it has a configuration, and updates not too long ago. One that is cut off
+  /// goes on with what it knows, as the workers themselves refuse what is not for them.
+  bool isReady() const { return knowsFleetWithin(5 * settings_.bounds.inTouch); }
+  /// True if what is known here is recent.
+  bool isFresh() const { return knowsFleetWithin(settings_.bounds.inTouch / 3); }
+  /// Control nodes to call, those that failed lately last.
+  vector<Address> controlAddresses() const { return subscriber_.controlAddresses(Clock::now()); }
+  void noteControlAnswered(Address const& control) { subscriber_.noteAnswered(control); }
+  void noteControlFailed(Address const& control) { subscriber_.noteFailed(control, Clock::now()); }
+  /// Called when something changed.
   std::function<void()> onUpdate;
-  /// Tells how a request at a worker went; it goes up with the next ask.
-  void tally(string const& id, bool ok) { publisher_.addTallies({WorkerTally{id, ok ? 1.0 : 0.0, ok ? 0.0 : 1.0}}); }
-  /// Counts for the log: asks sent, answers given here, bytes of them, nodes held.
-  std::array<std::uint64_t, 4> counts() const {
-    return {asks_, publisher_.replies(), publisher_.bytes(), publisher_.asking()};
-  }
+  /// Notes how a request at a worker went; it goes up with the next request for updates.
+  void tally(string const& worker, bool succeeded);
+
+  struct Counts {
+    std::uint64_t requestsSent, repliesSent, bytesSent, heldRequests;
+  };
+  Counts counts() const;
 
  private:
-  Task<void> loop();
+  bool knowsFleetWithin(Ms age) const { return configuration_ && Clock::now() - subscriber_.provenAt() < age; }
+  Task<void> updateLoop();
   /// Asks the control nodes that are known, one after the other without waiting, until the first configuration is
   /// there.
-  Task<void> first();
-  Task<void> askOne(Address at);
-  Task<bool> carryOut(UpdateNode::Plan p);
+  Task<void> getFirstConfiguration();
+  Task<void> askFirst(Address control);
+  /// Sends a planned request and takes its reply; true if its source may be asked on.
+  Task<bool> carryOut(UpdateSubscriber::Plan plan);
+  void installConfiguration();
+  void applyRow(TableRow const& row);
 
   asio::io_context& io_;
   Settings const& settings_;
   RpcClient& rpc_;
   UpdatePublisher publisher_;
-  UpdateNode node_;
+  UpdateSubscriber subscriber_;
   std::shared_ptr<Configuration const> configuration_;
   std::map<string, Worker> workers_;
-  mutable std::map<string, vector<Worker const*>> ready_;
-  mutable std::uint64_t readyAt_ = 0;
-  std::set<Address> asking_;
-  TimePoint tallied_;
-  std::uint64_t revision_ = 1, asks_ = 0;
+  mutable std::map<string, vector<Worker const*>> workersByService_;  ///< of the revision below
+  mutable std::uint64_t workersByServiceRevision_ = 0;
+  std::set<Address> askedFirst_;  ///< control nodes with a first request under way
+  TimePoint talliesSentAt_;
+  std::uint64_t revision_ = 1;
+  std::uint64_t requestsSent_ = 0;
 };
 
 }  // namespace tealshelf
--- a/updates/publisher.cpp
+++ b/updates/publisher.cpp
@@ -1,114 +1,139 @@
 #include "updates/publisher.hpp"
 
+#include "updates/relays.hpp"
+
 namespace tealshelf {
 
-void UpdatePublisher::changed(Ms gather) {
-  if (gathering_) return;
-  gathering_ = true;
-  std::shared_ptr<asio::steady_timer> const t = std::make_shared<asio::steady_timer>(io_, gather);
-  t->async_wait([this, t](error_code) {
-    gathering_ = false;
-    for (std::shared_ptr<asio::steady_timer> const& h : held_) h->cancel();
+namespace {
+constexpr std::size_t maxTallies = 4096;
+constexpr std::size_t maxSerializedDeltas = 16;
+/// Counted for each reply beside its content.
+constexpr std::uint64_t replyOverhead = 64;
+/// Age of a proof that stands for none.
+constexpr std::int64_t maxProofAgeMs = 1000 * 1000 * 1000;
+}  // namespace
+
+void UpdatePublisher::notifyAfter(Ms delay) {
+  if (notifying_) return;
+  notifying_ = true;
+  std::shared_ptr<asio::steady_timer> const timer = std::make_shared<asio::steady_timer>(io_, delay);
+  timer->async_wait([this, timer](error_code) {
+    notifying_ = false;
+    for (std::shared_ptr<asio::steady_timer> const& request : held_) request->cancel();
   });
 }
 
-void UpdatePublisher::note(UpdateRequest const& q, TimePoint now) {
-  if (q.self.name.empty()) return;
-  Asker& a = askers_[q.self.name];
-  a.self = q.self;
-  a.at = now;
-  addTallies(q.tallies);
-  if (q.children == 0) {
-    a.list.clear();
-    a.children = 0;
-  } else if (q.hasList) {
-    a.list = q.list;
-    a.children = q.children;
+void UpdatePublisher::noteAsker(UpdateRequest const& request, TimePoint now) {
+  if (request.self.name.empty()) return;
+  Asker& asker = askers_[request.self.name];
+  asker.self = request.self;
+  asker.askedAt = now;
+  addTallies(request.tallies);
+  if (request.nodesDigest == 0) {
+    asker.nodes.clear();
+    asker.nodesDigest = 0;
+  } else if (request.carriesNodes) {
+    asker.nodes = request.nodes;
+    asker.nodesDigest = request.nodesDigest;
   }
-  if (askers_.size() > 4 * Relays::fanOut && askers_.size() > held_.size() * 2)
-    std::erase_if(askers_, [&](std::pair<string const, Asker> const& p) {
-      return now - p.second.at > Ms(2 * settings_.bounds.inTouch.count());
-    });
+  bool const many = askers_.size() > 4 * RelayTopology::fanOut && askers_.size() > 2 * held_.size();
+  if (!many) return;
+  std::erase_if(askers_, [&](auto const& item) { return now - item.second.askedAt > 2 * settings_.bounds.inTouch; });
 }
 
-void UpdatePublisher::addTallies(vector<WorkerTally> const& l) {
-  for (WorkerTally const& t : l) {
-    if (tallies_.size() >= 4096 && !tallies_.count(t.id)) continue;
-    tallies_[t.id].first += t.ok;
-    tallies_[t.id].second += t.bad;
+void UpdatePublisher::addTallies(vector<WorkerTally> const& tallies) {
+  for (WorkerTally const& tally : tallies) {
+    if (tallies_.size() >= maxTallies && !tallies_.count(tally.worker)) continue;
+    WorkerTally& sum = tallies_[tally.worker];
+    sum.worker = tally.worker;
+    sum.succeeded += tally.succeeded;
+    sum.failed += tally.failed;
   }
 }
+
 vector<WorkerTally> UpdatePublisher::takeTallies() {
-  vector<WorkerTally> v;
-  for (std::pair<string const, std::pair<double, double>> const& p : tallies_)
-    v.push_back({p.first, p.second.first, p.second.second});
+  vector<WorkerTally> tallies;
+  for (auto const& [worker, tally] : tallies_) tallies.push_back(tally);
   tallies_.clear();
-  return v;
+  return tallies;
 }
 
-vector<NodeRow> UpdatePublisher::heard(TimePoint now) const {
-  vector<NodeRow> v;
-  std::set<string> seen;
-  for (std::pair<string const, Asker> const& p : askers_)
-    if (now - p.second.at <= Ms(settings_.bounds.inTouch / 2) && seen.insert(p.first).second)
-      v.push_back(p.second.self);
-  for (std::pair<string const, Asker> const& p : askers_) {
-    if (now - p.second.at > Ms(settings_.bounds.inTouch / 2)) continue;
-    for (NodeRow const& c : p.second.list)
-      if (seen.insert(c.name).second) v.push_back(c);
+bool UpdatePublisher::isRecent(Asker const& asker, TimePoint now) const {
+  return now - asker.askedAt <= settings_.bounds.inTouch / 2;
+}
+
+vector<DataNode> UpdatePublisher::recentNodes(TimePoint now) const {
+  vector<DataNode> nodes;
+  std::set<string> names;
+  for (auto const& [name, asker] : askers_)
+    if (isRecent(asker, now) && names.insert(name).second) nodes.push_back(asker.self);
+  for (auto const& [name, asker] : askers_) {
+    if (!isRecent(asker, now)) continue;
+    for (DataNode const& node : asker.nodes)
+      if (names.insert(node.name).second) nodes.push_back(node);
   }
-  return v;
+  return nodes;
+}
+
+string const& UpdatePublisher::serializedDelta(VersionedTable const& table, std::uint64_t fromDigest) {
+  DeltaKey const key{fromDigest, table.digest()};
+  auto const known = serializedDeltas_.find(key);
+  if (known != serializedDeltas_.end()) return known->second;
+  if (serializedDeltas_.size() >= maxSerializedDeltas) serializedDeltas_.clear();
+  return serializedDeltas_[key] = serialize(table.deltaSince(fromDigest));
 }
 
-string const& UpdatePublisher::packedDelta(VersionedTable const& b, std::uint64_t from) {
-  std::pair<std::uint64_t, std::uint64_t> const k(from, b.digest());
-  std::map<std::pair<std::uint64_t, std::uint64_t>, string>::iterator const i = packed_.find(k);
-  if (i != packed_.end()) return i->second;
-  if (packed_.size() >= 16) packed_.clear();
-  return packed_[k] = serialize(b.since(from));
+Ms UpdatePublisher::holdOf(UpdateRequest const& request) const {
+  return std::min(Ms(request.holdMs), settings_.bounds.inTouch);
 }
 
-std::optional<UpdateReply> UpdatePublisher::answer(UpdateRequest const& q, TimePoint came, TimePoint now,
-                                                   bool crowded) {
-  Proof const p = proof();
-  UpdateReply r;
-  r.healthy = p.healthy && !crowded;
-  r.depth = p.depth;
-  VersionedTable const& zone = zones[q.self.zone];
-  r.wantChildren = q.children && !q.hasList && askers_[q.self.name].children != q.children;
-  bool const updates =
-      version_ > q.configurationVersion || common.digest() != q.common || zone.digest() != q.zone || r.wantChildren;
-  bool const late = now >= came + Ms(std::min<std::int64_t>(q.holdMs, settings_.bounds.inTouch.count()));
-  if (!late && !(r.healthy ? updates : !q.first)) return std::nullopt;
-  r.ageMs = std::clamp<std::int64_t>(std::chrono::duration_cast<Ms>(now - p.fresh).count(), 0, 1000 * 1000 * 1000);
-  r.heldMs = std::chrono::duration_cast<Ms>(now - came).count();
-  r.configurationVersion = version_;
-  r.commonTo = common.digest();
-  r.zoneTo = zone.digest();
-  if (r.healthy) {
-    if (version_ > q.configurationVersion) r.configuration = configuration_;
-    if (r.commonTo != q.common) r.common = packedDelta(common, q.common);
-    if (r.zoneTo != q.zone) r.zone = packedDelta(zone, q.zone);
+std::optional<UpdateReply> UpdatePublisher::answerIfDue(UpdateRequest const& request, TimePoint receivedAt,
+                                                        TimePoint now, bool crowded) {
+  Proof const present = proof();
+  VersionedTable const& zone = zones[request.self.zone];
+  UpdateReply reply;
+  reply.healthy = present.healthy && !crowded;
+  reply.depth = present.depth;
+  reply.wantsNodes =
+      request.nodesDigest && !request.carriesNodes && askers_[request.self.name].nodesDigest != request.nodesDigest;
+  bool const newConfiguration = configurationVersion_ > request.configurationVersion;
+  bool const hasUpdates = newConfiguration || common.digest() != request.commonDigest ||
+                          zone.digest() != request.zoneDigest || reply.wantsNodes;
+  bool const timeIsUp = now >= receivedAt + holdOf(request);
+  // An unhealthy node answers at once, but for askers that have nothing better to ask yet.
+  bool const due = timeIsUp || (reply.healthy ? hasUpdates : !request.isFirst);
+  if (!due) return std::nullopt;
+  std::int64_t const proofAgeMs = std::chrono::duration_cast<Ms>(now - present.provenAt).count();
+  reply.proofAgeMs = std::clamp<std::int64_t>(proofAgeMs, 0, maxProofAgeMs);
+  reply.heldMs = std::chrono::duration_cast<Ms>(now - receivedAt).count();
+  reply.configurationVersion = configurationVersion_;
+  reply.commonDigest = common.digest();
+  reply.zoneDigest = zone.digest();
+  if (reply.healthy) {
+    if (newConfiguration) reply.configuration = configuration_;
+    if (reply.commonDigest != request.commonDigest) reply.common = serializedDelta(common, request.commonDigest);
+    if (reply.zoneDigest != request.zoneDigest) reply.zone = serializedDelta(zone, request.zoneDigest);
   }
-  ++replies_;
-  bytes_ += r.configuration.size() + r.common.size() + r.zone.size() + 64;
-  return r;
+  ++repliesSent_;
+  bytesSent_ += reply.configuration.size() + reply.common.size() + reply.zone.size() + replyOverhead;
+  return reply;
 }
 
-Task<UpdateReply> UpdatePublisher::serve(UpdateRequest q) {
-  if (q.form != updateFormat) throw Error(ErrorCode::badMessage, "form of updates " + std::to_string(q.form));
-  TimePoint const came = Clock::now();
-  note(q, came);
-  bool const crowded = most_ && held_.size() >= most_;
+Task<UpdateReply> UpdatePublisher::serve(UpdateRequest request) {
+  if (request.format != updateFormat)
+    throw Error(ErrorCode::badMessage, "format of updates " + std::to_string(request.format));
+  TimePoint const receivedAt = Clock::now();
+  noteAsker(request, receivedAt);
+  bool const crowded = maxHeld_ && held_.size() >= maxHeld_;
   for (;;) {
-    std::optional<UpdateReply> r = answer(q, came, Clock::now(), crowded);
-    if (r) co_return std::move(*r);
-    std::shared_ptr<asio::steady_timer> const t = std::make_shared<asio::steady_timer>(
-        io_, came + Ms(std::min<std::int64_t>(q.holdMs, settings_.bounds.inTouch.count())));
-    held_.insert(t);
-    error_code e;
-    co_await t->async_wait(asio::redirect_error(asio::use_awaitable, e));
-    held_.erase(t);
+    std::optional<UpdateReply> reply = answerIfDue(request, receivedAt, Clock::now(), crowded);
+    if (reply) co_return std::move(*reply);
+    std::shared_ptr<asio::steady_timer> const timer =
+        std::make_shared<asio::steady_timer>(io_, receivedAt + holdOf(request));
+    held_.insert(timer);
+    error_code ignored;
+    co_await timer->async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    held_.erase(timer);
   }
 }
 
--- a/updates/publisher.hpp
+++ b/updates/publisher.hpp
@@ -1,67 +1,83 @@
 #pragma once
 #include "updates/messages.hpp"
-#include "updates/relays.hpp"
 #include "updates/versioned_table.hpp"
 
 namespace tealshelf {
 
 /// Serves updates to those who ask: the same part at control nodes and at relays.
+///
+/// What is published is set directly: the configuration, `common` for all zones, and one table a zone. Runs on the io
+/// thread; settings must outlive it.
 class UpdatePublisher {
  public:
   /// What the serving node can say of itself.
   struct Proof {
     bool healthy = false;
     int depth = 0;
-    TimePoint fresh;  ///< when control last had a majority, as far as known here
+    TimePoint provenAt;  ///< when control last had a majority, as far as known here
   };
-  /// Holds at most so many asks at once; 0: no bound.
-  UpdatePublisher(asio::io_context& io, Settings const& settings, std::size_t most)
-      : io_(io), settings_(settings), most_(most) {}
+
+  /// Holds at most so many requests at once; 0: no bound.
+  UpdatePublisher(asio::io_context& io, Settings const& settings, std::size_t maxHeld)
+      : io_(io), settings_(settings), maxHeld_(maxHeld) {}
+
   std::function<Proof()> proof;
   VersionedTable common;
   std::map<string, VersionedTable> zones;
   void setConfiguration(std::uint64_t version, string text) {
-    version_ = version;
+    configurationVersion_ = version;
     configuration_ = std::move(text);
   }
-  std::uint64_t configurationVersion() const { return version_; }
+  std::uint64_t configurationVersion() const { return configurationVersion_; }
   string const& configuration() const { return configuration_; }
-  /// Wakes held asks, after a moment in which more updates may come.
-  void changed(Ms gather);
+  /// Answers held requests after a delay, in which more updates may come.
+  void notifyAfter(Ms delay);
+
+  /// Answers a request as soon as there are updates for it.
+  Task<UpdateReply> serve(UpdateRequest request);
   /// Notes who asks.
-  void note(UpdateRequest const& q, TimePoint now);
-  /// The answer to an ask if it is due now: there is updates, or the time is up, or there is no health.
-  std::optional<UpdateReply> answer(UpdateRequest const& q, TimePoint came, TimePoint now, bool crowded);
-  /// Answers an ask as soon as there is updates for it.
-  Task<UpdateReply> serve(UpdateRequest q);
+  void noteAsker(UpdateRequest const& request, TimePoint now);
+  /// The answer to a request if it is due now: there are updates, or the time is up, or this node is unhealthy.
+  std::optional<UpdateReply> answerIfDue(UpdateRequest const& request, TimePoint receivedAt, TimePoint now,
+                                         bool crowded);
+
   /// Nodes that asked here lately, and those that asked at them.
-  vector<NodeRow> heard(TimePoint now) const;
+  vector<DataNode> recentNodes(TimePoint now) const;
   /// How requests at workers went, as told by the askers since the last call.
   vector<WorkerTally> takeTallies();
-  /// Puts back what couldn't be passed on.
-  void addTallies(vector<WorkerTally> const& l);
-  std::size_t asking() const { return held_.size(); }
-  std::uint64_t replies() const { return replies_; }
-  std::uint64_t bytes() const { return bytes_; }
+  /// Adds tallies, or puts back what couldn't be passed on.
+  void addTallies(vector<WorkerTally> const& tallies);
+
+  std::size_t heldRequests() const { return held_.size(); }
+  std::uint64_t repliesSent() const { return repliesSent_; }
+  std::uint64_t bytesSent() const { return bytesSent_; }
 
  private:
   struct Asker {
-    NodeRow self;
-    TimePoint at;
-    std::uint64_t children = 0;
-    vector<NodeRow> list;
+    DataNode self;
+    TimePoint askedAt;
+    std::uint64_t nodesDigest = 0;
+    vector<DataNode> nodes;  ///< that asked at it
+  };
+  struct DeltaKey {
+    std::uint64_t fromDigest = 0, toDigest = 0;
+    auto operator<=>(DeltaKey const&) const = default;
   };
-  string const& packedDelta(VersionedTable const& b, std::uint64_t from);
+  bool isRecent(Asker const& asker, TimePoint now) const;
+  Ms holdOf(UpdateRequest const& request) const;
+  string const& serializedDelta(VersionedTable const& table, std::uint64_t fromDigest);
+
   asio::io_context& io_;
   Settings const& settings_;
-  std::size_t most_;
-  std::uint64_t version_ = 0, replies_ = 0, bytes_ = 0;
+  std::size_t maxHeld_;
+  std::uint64_t configurationVersion_ = 0;
   string configuration_;
-  bool gathering_ = false;
-  std::set<std::shared_ptr<asio::steady_timer>> held_;
-  std::map<string, Asker> askers_;
-  std::map<string, std::pair<double, double>> tallies_;
-  std::map<std::pair<std::uint64_t, std::uint64_t>, string> packed_;  ///< deltas are packed once for all askers
+  bool notifying_ = false;
+  std::set<std::shared_ptr<asio::steady_timer>> held_;  ///< one a held request; cancelled when there is news
+  std::map<string, Asker> askers_;                      ///< by name
+  std::map<string, WorkerTally> tallies_;               ///< by worker
+  std::map<DeltaKey, string> serializedDeltas_;         ///< serialized once for all askers
+  std::uint64_t repliesSent_ = 0, bytesSent_ = 0;
 };
 
 }  // namespace tealshelf
--- a/updates/relays.cpp
+++ b/updates/relays.cpp
@@ -5,42 +5,53 @@
 namespace tealshelf {
 
 namespace {
-/// Machines whose shares are within a power of two of each other count as equals.
-int strength(NodeRow const& n) {
-  return n.cpu ? std::ilogb(static_cast<double>(n.cpu)) : -1;
+/// Machines whose processor shares are within a power of two of each other count as equals.
+int strengthOf(DataNode const& node) {
+  return node.cpuThousandths ? std::ilogb(static_cast<double>(node.cpuThousandths)) : -1;
 }
+
+struct Candidate {
+  int weakness = 0;
+  std::uint64_t hash = 0;
+  std::size_t index = 0;
+  auto operator<=>(Candidate const&) const = default;
+};
 }  // namespace
 
-vector<NodeRow> Relays::of(vector<NodeRow> const& zone) {
+vector<DataNode> RelayTopology::relaysOf(vector<DataNode> const& zone) {
   if (zone.size() <= fanOut) return {};
-  vector<std::tuple<int, std::uint64_t, std::size_t>> order;
+  vector<Candidate> candidates;
   for (std::size_t i = 0; i < zone.size(); ++i)
-    order.emplace_back(-strength(zone[i]), hash64(zone[i].name, hash64(zone[i].zone)), i);
-  std::sort(order.begin(), order.end());
-  vector<NodeRow> r;
-  for (std::size_t i = 0; i < (zone.size() + fanOut - 1) / fanOut; ++i) r.push_back(zone[std::get<2>(order[i])]);
-  return r;
+    candidates.push_back({-strengthOf(zone[i]), hash64(zone[i].name, hash64(zone[i].zone)), i});
+  std::sort(candidates.begin(), candidates.end());
+  std::size_t const count = (zone.size() + fanOut - 1) / fanOut;
+  vector<DataNode> relays;
+  for (std::size_t i = 0; i < count; ++i) relays.push_back(zone[candidates[i].index]);
+  return relays;
 }
 
-vector<NodeRow> Relays::parents(string const& self, vector<NodeRow> const& relays, bool controlInZone) {
-  std::size_t rank = 0;
-  while (rank < relays.size() && relays[rank].name != self) ++rank;
-  if (rank < relays.size()) {
+vector<DataNode> RelayTopology::parentsOf(string const& self, vector<DataNode> const& relays, bool controlInZone) {
+  constexpr std::ptrdiff_t parentsOfRelay = 2;
+  auto const own =
+      std::find_if(relays.begin(), relays.end(), [&self](DataNode const& relay) { return relay.name == self; });
+  if (own != relays.end()) {
     if (controlInZone) return {};
-    return vector<NodeRow>(relays.begin(),
-                           relays.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(rank, 2)));
+    std::ptrdiff_t const rank = own - relays.begin();
+    return vector<DataNode>(relays.begin(), relays.begin() + std::min(rank, parentsOfRelay));
   }
-  vector<NodeRow> r = relays;
-  std::sort(r.begin(), r.end(), [&](NodeRow const& a, NodeRow const& b) {
-    return hash64(a.name, hash64(self)) > hash64(b.name, hash64(self));
+  vector<DataNode> parents = relays;
+  std::sort(parents.begin(), parents.end(), [&self](DataNode const& left, DataNode const& right) {
+    return hash64(left.name, hash64(self)) > hash64(right.name, hash64(self));
   });
-  return r;
+  return parents;
 }
 
-std::uint64_t Relays::digest(vector<NodeRow> const& l) {
-  std::uint64_t d = 0;
-  for (NodeRow const& n : l) d += hash64(n.name + "/" + n.zone + "/" + n.role + "/" + n.at.text(), n.cpu);
-  return l.empty() ? 0 : d | 1;
+std::uint64_t RelayTopology::digest(vector<DataNode> const& nodes) {
+  if (nodes.empty()) return 0;
+  std::uint64_t digest = 0;
+  for (DataNode const& node : nodes)
+    digest += hash64(node.name + "/" + node.zone + "/" + node.role + "/" + node.address.text(), node.cpuThousandths);
+  return digest | 1;
 }
 
 }  // namespace tealshelf
--- a/updates/sources.cpp
+++ b/updates/sources.cpp
@@ -2,84 +2,59 @@
 
 namespace tealshelf {
 
-void Sources::set(vector<Address> parents, vector<Address> controls) {
-  parents_ = std::move(parents);
-  controls_ = std::move(controls);
+namespace {
+constexpr int maxFailures = 5;
 }
 
-bool Sources::rests(Address const& a, TimePoint now) const {
-  std::map<Address, Row>::const_iterator const i = rows_.find(a);
-  return i != rows_.end() && now < i->second.until;
+void UpdateSources::set(vector<Address> parents, vector<Address> controls) {
+  parents_ = std::move(parents);
+  controls_ = std::move(controls);
 }
 
-Address Sources::next(TimePoint now) const {
-  std::optional<std::pair<TimePoint, Address>> least;
-  for (vector<Address> const* const l : {&parents_, &controls_})
-    for (Address const& a : *l) {
-      if (!rests(a, now)) return a;
-      TimePoint const until = rows_.at(a).until;
-      if (!least || until < least->first) least = {until, a};
-    }
-  return least ? least->second : Address();
+bool UpdateSources::isParent(Address const& source) const {
+  return std::find(parents_.begin(), parents_.end(), source) != parents_.end();
 }
 
-bool Sources::resting(TimePoint now) const {
-  for (vector<Address> const* const l : {&parents_, &controls_})
-    for (Address const& a : *l)
-      if (!rests(a, now)) return false;
-  return true;
+bool UpdateSources::rests(Address const& source, TimePoint now) const {
+  auto const failure = failures_.find(source);
+  return failure != failures_.end() && now < failure->second.restsUntil;
 }
 
-void Sources::failed(Address const& a, TimePoint now) {
-  Row& r = rows_[a];
-  r.fails = std::min(r.fails + 1, 5);
-  dice_ = dice_ * 6364136223846793005ull + 1442695040888963407ull;
-  std::int64_t const span = base_.count() << (r.fails - 1);
-  r.until = now + Ms(span + static_cast<std::int64_t>((dice_ >> 33) %
-                                                      static_cast<std::uint64_t>(std::max<std::int64_t>(1, span / 2))));
+Address UpdateSources::next(TimePoint now) const {
+  Address firstToReturn;
+  TimePoint earliest = TimePoint::max();
+  for (vector<Address> const* const sources : {&parents_, &controls_})
+    for (Address const& source : *sources) {
+      if (!rests(source, now)) return source;
+      TimePoint const restsUntil = failures_.at(source).restsUntil;
+      if (restsUntil >= earliest) continue;
+      earliest = restsUntil;
+      firstToReturn = source;
+    }
+  return firstToReturn;
 }
 
-vector<Address> Sources::controls(TimePoint now) const {
-  vector<Address> v = controls_;
-  std::stable_partition(v.begin(), v.end(), [&](Address const& a) { return !rests(a, now); });
-  return v;
+bool UpdateSources::allRest(TimePoint now) const {
+  for (vector<Address> const* const sources : {&parents_, &controls_})
+    for (Address const& source : *sources)
+      if (!rests(source, now)) return false;
+  return true;
 }
 
-void UpdateCopy::versions(UpdateRequest& q) const {
-  q.configurationVersion = publisher_.configurationVersion();
-  q.common = gap_ ? 0 : publisher_.common.digest();
-  q.zone = gap_ ? 0 : publisher_.zones[zone_].digest();
+void UpdateSources::noteFailed(Address const& source, TimePoint now) {
+  Failure& failure = failures_[source];
+  failure.count = std::min(failure.count + 1, maxFailures);
+  randomState_ = randomState_ * 6364136223846793005ull + 1442695040888963407ull;
+  Ms const rest = firstRest_ * (1 << (failure.count - 1));
+  std::int64_t const maxJitter = std::max<std::int64_t>(1, rest.count() / 2);
+  std::uint64_t const jitter = (randomState_ >> 33) % static_cast<std::uint64_t>(maxJitter);
+  failure.restsUntil = now + rest + Ms(static_cast<std::int64_t>(jitter));
 }
 
-UpdateCopy::Verdict UpdateCopy::take(UpdateReply const& r, TimePoint sent,
-                                     std::function<void(TableRow const&)> const& onCommon,
-                                     std::function<void(TableRow const&)> const& onZone) {
-  if (!r.healthy) return Verdict::unhealthy;
-  if (r.depth >= deepest) return Verdict::deep;
-  // The proof was true when the ask was answered, at the latest so long after it was sent as it was held.
-  TimePoint const at = sent + Ms(r.heldMs) - Ms(r.ageMs);
-  if (r.configurationVersion > publisher_.configurationVersion() && !r.configuration.empty())
-    publisher_.setConfiguration(r.configurationVersion, r.configuration);
-  bool const updates = !r.common.empty() || !r.zone.empty();
-  if (updates && at + slack_ < fresh_) return Verdict::older;
-  if (!r.common.empty()) {
-    bool const ok = publisher_.common.apply(deserialize<TableDelta>(r.common), onCommon);
-    if (!ok) {
-      gap_ = true;
-      return Verdict::gap;
-    }
-  }
-  if (!r.zone.empty()) {
-    bool const ok = publisher_.zones[zone_].apply(deserialize<TableDelta>(r.zone), onZone);
-    if (!ok) {
-      gap_ = true;
-      return Verdict::gap;
-    }
-  }
-  gap_ = false;
-  fresh_ = std::max(fresh_, at);
-  depth_ = r.depth + 1;
-  return Verdict::taken;
+vector<Address> UpdateSources::controlAddresses(TimePoint now) const {
+  vector<Address> controls = controls_;
+  std::stable_partition(controls.begin(), controls.end(), [&](Address const& control) { return !rests(control, now); });
+  return controls;
 }
 
 }  // namespace tealshelf
--- /dev/null
+++ b/updates/update_subscriber.cpp
@@ -0,0 +1,129 @@
+#include "updates/update_subscriber.hpp"
+
+#include "updates/relays.hpp"
+
+namespace tealshelf {
+
+namespace {
+/// After one relay and one in reserve comes control, so that a zone that lost its relays is not late.
+constexpr std::size_t maxParents = 2;
+constexpr char memberKey = 'm';  ///< with which the keys of members begin
+}  // namespace
+
+UpdateSubscriber::UpdateSubscriber(DataNode self, Timeouts timeouts, vector<Address> seeds,
+                                   std::function<Address(string const&)> controlAddress, UpdatePublisher& publisher)
+    : self_(std::move(self)),
+      timeouts_(timeouts),
+      seeds_(std::move(seeds)),
+      controlAddress_(std::move(controlAddress)),
+      publisher_(publisher),
+      copy_(publisher, self_.zone, timeouts.inTouch / 40),
+      sources_(timeouts.inTouch / 4, hash64(self_.name)) {
+  arrangeSources();
+}
+
+/// Control nodes of this zone first, then the others, then seeds that aren't known as such.
+vector<Address> UpdateSubscriber::controlsByDistance() const {
+  vector<Address> inZone, elsewhere;
+  for (auto const& [key, member] : members_)
+    (member.zone == self_.zone ? inZone : elsewhere).push_back(controlAddress_(member.ip));
+  for (vector<Address>* const group : {&inZone, &elsewhere})
+    std::sort(group->begin(), group->end(), [this](Address const& left, Address const& right) {
+      return hash64(self_.name, hash64(left.ip)) < hash64(self_.name, hash64(right.ip));
+    });
+  vector<Address> controls = inZone;
+  controls.insert(controls.end(), elsewhere.begin(), elsewhere.end());
+  for (Address const& seed : seeds_)
+    if (std::find(controls.begin(), controls.end(), seed) == controls.end()) controls.push_back(seed);
+  return controls;
+}
+
+void UpdateSubscriber::arrangeSources() {
+  vector<DataNode> zone;
+  for (auto const& [name, row] : publisher_.zones[self_.zone].rows()) zone.push_back(deserialize<DataNode>(row));
+  vector<DataNode> const relays = RelayTopology::relaysOf(zone);
+  bool const isRelay =
+      std::any_of(relays.begin(), relays.end(), [this](DataNode const& relay) { return relay.name == self_.name; });
+  bool const controlInZone = std::any_of(members_.begin(), members_.end(),
+                                         [this](auto const& item) { return item.second.zone == self_.zone; });
+  vector<Address> parents;
+  for (DataNode const& relay : RelayTopology::parentsOf(self_.name, relays, controlInZone))
+    if (parents.size() < maxParents) parents.push_back(relay.address);
+  if (isRelay != isRelay_)
+    logInfo("updates", isRelay ? "this node relays updates to its zone" : "this node no longer relays updates");
+  isRelay_ = isRelay;
+  sources_.set(std::move(parents), controlsByDistance());
+}
+
+UpdateRequest UpdateSubscriber::makeRequest(TimePoint now, Ms hold, bool isFirst) {
+  UpdateRequest request;
+  request.self = self_;
+  request.holdMs = hold.count();
+  request.isFirst = isFirst;
+  copy_.fillVersions(request);
+  vector<DataNode> nodes = publisher_.recentNodes(now);
+  request.nodesDigest = RelayTopology::digest(nodes);
+  request.carriesNodes = sendsNodes_;
+  if (sendsNodes_) request.nodes = std::move(nodes);
+  return request;
+}
+
+UpdateSubscriber::Plan UpdateSubscriber::plan(TimePoint now) {
+  Plan plan;
+  plan.source = sources_.next(now);
+  plan.fromParent = sources_.isParent(plan.source);
+  // A relay asks in short turns, so that what it gives on is fresh; whoever asks control directly in a fleet without
+  // relays asks in long ones.
+  bool const servesOthers = isRelay_ || publisher_.heldRequests();
+  plan.hold = timeouts_.inTouch / (servesOthers ? 32 : plan.fromParent ? 16 : 8);
+  plan.limit = plan.hold + timeouts_.inTouch / (plan.fromParent ? 16 : 10);
+  plan.request = makeRequest(now, plan.hold, false);
+  return plan;
+}
+
+UpdateSubscriber::Plan UpdateSubscriber::firstPlan(Address source, TimePoint now) {
+  Plan plan;
+  plan.source = std::move(source);
+  plan.hold = timeouts_.inTouch / 8;
+  plan.limit = plan.hold + timeouts_.inTouch / 10;
+  plan.request = makeRequest(now, plan.hold, true);
+  return plan;
+}
+
+void UpdateSubscriber::applyMemberRow(TableRow const& row) {
+  if (row.removed)
+    members_.erase(row.key);
+  else
+    members_[row.key] = deserialize<Member>(row.value);
+}
+
+bool UpdateSubscriber::receive(Plan const& plan, UpdateReply const& reply, TimePoint sentAt, TimePoint now) {
+  bool nodesChanged = false;
+  sendsNodes_ = reply.wantsNodes;
+  auto const onCommonChange = [&](TableRow const& row) {
+    if (row.key[0] == memberKey) {
+      nodesChanged = true;
+      applyMemberRow(row);
+    }
+    if (onRow) onRow(row);
+  };
+  UpdateCopy::Result const result =
+      copy_.apply(reply, sentAt, onCommonChange, [&nodesChanged](TableRow const&) { nodesChanged = true; });
+  if (nodesChanged) arrangeSources();
+  if (result == UpdateCopy::Result::gap) logDebug("updates", plan.source.text() + " gave a delta for another content");
+  // A relay that answers but doesn't hear from control itself is left in time.
+  bool const fresh = !plan.fromParent || now - copy_.provenAt() <= timeouts_.tooOld;
+  bool const good = result == UpdateCopy::Result::gap || (result == UpdateCopy::Result::applied && fresh);
+  if (good)
+    sources_.noteAnswered(plan.source);
+  else
+    sources_.noteFailed(plan.source, now);
+  return good;
+}
+
+UpdatePublisher::Proof UpdateSubscriber::proof(TimePoint now) const {
+  bool const healthy = publisher_.configurationVersion() && now - copy_.provenAt() < timeouts_.tooOld;
+  return {healthy, copy_.depth(), copy_.provenAt()};
+}
+
+}  // namespace tealshelf
--- a/updates/versioned_table.cpp
+++ b/updates/versioned_table.cpp
@@ -2,82 +2,94 @@
 
 namespace tealshelf {
 
-std::uint64_t VersionedTable::weigh(string const& key, string const& value) {
+std::uint64_t VersionedTable::rowHash(string const& key, string const& value) {
   return hash64(value, hash64(key, key.size()));
 }
 
-void VersionedTable::note(string const& key) {
-  at_[digest_] = first_ + past_.size();
-  past_.emplace_back(digest_, key);
-  while (past_.size() > most_) {
-    std::unordered_map<std::uint64_t, std::uint64_t>::iterator const i = at_.find(past_.front().first);
-    if (i != at_.end() && i->second == first_) at_.erase(i);
-    past_.pop_front();
-    ++first_;
+void VersionedTable::remember(string const& key) {
+  changeAfter_[digest_] = firstChange_ + history_.size();
+  history_.push_back({digest_, key});
+  while (history_.size() > maxHistory_) {
+    auto const oldest = changeAfter_.find(history_.front().digestBefore);
+    // The content may have come again since; then the digest leads to a later change.
+    if (oldest != changeAfter_.end() && oldest->second == firstChange_) changeAfter_.erase(oldest);
+    history_.pop_front();
+    ++firstChange_;
   }
 }
 
 bool VersionedTable::put(string const& key, string const& value) {
-  std::map<string, string>::iterator const i = rows_.find(key);
-  if (i != rows_.end() && i->second == value) return false;
-  note(key);
-  if (i != rows_.end()) digest_ -= weigh(key, i->second);
-  digest_ += weigh(key, value);
+  auto const present = rows_.find(key);
+  if (present != rows_.end() && present->second == value) return false;
+  remember(key);
+  if (present != rows_.end()) digest_ -= rowHash(key, present->second);
+  digest_ += rowHash(key, value);
   rows_[key] = value;
   return true;
 }
 
 bool VersionedTable::erase(string const& key) {
-  std::map<string, string>::iterator const i = rows_.find(key);
-  if (i == rows_.end()) return false;
-  note(key);
-  digest_ -= weigh(key, i->second);
-  rows_.erase(i);
+  auto const present = rows_.find(key);
+  if (present == rows_.end()) return false;
+  remember(key);
+  digest_ -= rowHash(key, present->second);
+  rows_.erase(present);
   return true;
 }
 
-TableDelta VersionedTable::since(std::uint64_t from) const {
-  TableDelta d;
-  d.from = from;
-  d.to = digest_;
-  if (from == digest_) return d;
-  std::unordered_map<std::uint64_t, std::uint64_t>::const_iterator const i = at_.find(from);
-  std::set<string> keys;
-  if (i != at_.end())
-    for (std::uint64_t n = i->second; n < first_ + past_.size(); ++n) keys.insert(past_[n - first_].second);
-  if (i == at_.end() || keys.size() > rows_.size()) {
-    d.full = true;
-    for (std::pair<string const, string> const& p : rows_) d.rows.push_back({p.first, p.second, false});
-    return d;
+TableDelta VersionedTable::deltaSince(std::uint64_t digest) const {
+  TableDelta delta;
+  delta.fromDigest = digest;
+  delta.toDigest = digest_;
+  if (digest == digest_) return delta;
+  auto const next = changeAfter_.find(digest);
+  std::set<string> changedKeys;
+  if (next != changeAfter_.end())
+    for (std::uint64_t change = next->second; change < firstChange_ + history_.size(); ++change)
+      changedKeys.insert(history_[change - firstChange_].key);
+  delta.full = next == changeAfter_.end() || changedKeys.size() > rows_.size();
+  if (delta.full) {
+    for (auto const& [key, value] : rows_) delta.rows.push_back({key, value, false});
+    return delta;
   }
-  for (string const& k : keys) {
-    std::map<string, string>::const_iterator const r = rows_.find(k);
-    d.rows.push_back(r == rows_.end() ? TableRow{k, "", true} : TableRow{k, r->second, false});
+  for (string const& key : changedKeys) {
+    auto const present = rows_.find(key);
+    bool const removed = present == rows_.end();
+    delta.rows.push_back({key, removed ? "" : present->second, removed});
   }
-  return d;
+  return delta;
 }
 
-bool VersionedTable::apply(TableDelta const& d, std::function<void(TableRow const&)> const& changed) {
-  if (!d.full && d.from != digest_) return false;
-  std::uint64_t to = d.full ? empty : digest_;
+bool VersionedTable::leadsToPromise(TableDelta const& delta) const {
+  std::uint64_t digest = delta.full ? emptyDigest : digest_;
   std::set<string> named;
-  for (TableRow const& r : d.rows) {
-    if (!named.insert(r.key).second) return false;
-    std::map<string, string>::const_iterator const i = rows_.find(r.key);
-    if (!d.full && i != rows_.end()) to -= weigh(r.key, i->second);
-    if (!r.gone) to += weigh(r.key, r.value);
+  for (TableRow const& row : delta.rows) {
+    if (!named.insert(row.key).second) return false;
+    auto const present = rows_.find(row.key);
+    if (!delta.full && present != rows_.end()) digest -= rowHash(row.key, present->second);
+    if (!row.removed) digest += rowHash(row.key, row.value);
   }
-  if (to != d.to) return false;
-  vector<string> out;
-  if (d.full)
-    for (std::pair<string const, string> const& p : rows_)
-      if (!named.count(p.first)) out.push_back(p.first);
-  for (string const& k : out) {
-    erase(k);
-    changed({k, "", true});
+  return digest == delta.toDigest;
+}
+
+bool VersionedTable::apply(TableDelta const& delta, std::function<void(TableRow const&)> const& onChange) {
+  bool const fitsBase = delta.full || delta.fromDigest == digest_;
+  if (!fitsBase || !leadsToPromise(delta)) return false;
+  vector<string> vanished;
+  if (delta.full) {
+    std::set<string> named;
+    for (TableRow const& row : delta.rows) named.insert(row.key);
+    for (auto const& [key, value] : rows_)
+      if (!named.count(key)) vanished.push_back(key);
+  }
+  for (string const& key : vanished) {
+    erase(key);
+    onChange({key, "", true});
+  }
+  for (TableRow const& row : delta.rows) {
+    bool const changed = row.removed ? erase(row.key) : put(row.key, row.value);
+    if (changed) onChange(row);
   }
-  for (TableRow const& r : d.rows)
-    if (r.gone ? erase(r.key) : put(r.key, r.value)) changed(r);
   return true;
 }
 
--- a/updates/versioned_table.hpp
+++ b/updates/versioned_table.hpp
@@ -6,23 +6,24 @@
 /// One change of a table.
 struct TableRow {
   string key, value;
-  bool gone = false;
-  MSGPACK_DEFINE(key, value, gone)
+  bool removed = false;
+  MSGPACK_DEFINE(key, value, removed)
 };
+
 /// What leads from one content of a table to another; a full one leads there from anywhere.
 struct TableDelta {
-  std::uint64_t from = 0, to = 0;
+  std::uint64_t fromDigest = 0, toDigest = 0;
   bool full = false;
   vector<TableRow> rows;
-  MSGPACK_DEFINE(from, to, full, rows)
+  MSGPACK_DEFINE(fromDigest, toDigest, full, rows)
 };
 
-/// A table whose version is a digest of its content, so that any node that has the same content
-/// can serve the next delta, whoever served the last one.
+/// A table whose version is a digest of its content, so that any node that has the same content can serve the next
+/// delta, whoever served the last one.
 class VersionedTable {
  public:
   /// Remembers so many changes; whoever is further behind gets a full delta.
-  explicit VersionedTable(std::size_t history = 512) : most_(history) {}
+  explicit VersionedTable(std::size_t maxHistory = 512) : maxHistory_(maxHistory) {}
   /// True if the content changed.
   bool put(string const& key, string const& value);
   bool erase(string const& key);
@@ -30,21 +31,27 @@
   std::uint64_t digest() const { return digest_; }
   std::map<string, string> const& rows() const { return rows_; }
   /// The delta from a content that this table had, else a full one.
-  TableDelta since(std::uint64_t from) const;
-  /// Takes a delta in; tells each changed row. False, and nothing is changed, if its base is not
-  /// this content or it doesn't lead to the content that it promises.
-  bool apply(TableDelta const& d, std::function<void(TableRow const&)> const& changed);
+  TableDelta deltaSince(std::uint64_t digest) const;
+  /// Applies a delta and reports each changed row. False, and nothing is changed, if its base is not this content or it
+  /// doesn't lead to the content that it promises.
+  bool apply(TableDelta const& delta, std::function<void(TableRow const&)> const& onChange);
 
  private:
-  static constexpr std::uint64_t empty = 0x7ea15be1f0000001ull;
-  static std::uint64_t weigh(string const& key, string const& value);
-  void note(string const& key);
-  std::size_t most_;
+  struct PastChange {
+    std::uint64_t digestBefore;
+    string key;
+  };
+  static constexpr std::uint64_t emptyDigest = 0x7ea15be1f0000001ull;
+  static std::uint64_t rowHash(string const& key, string const& value);
+  void remember(string const& key);
+  bool leadsToPromise(TableDelta const& delta) const;
+
+  std::size_t maxHistory_;
   std::map<string, string> rows_;
-  std::uint64_t digest_ = empty;
-  std::uint64_t first_ = 0;                              ///< number of the oldest change remembered
-  std::deque<std::pair<std::uint64_t, string>> past_;    ///< digest before a change, and its key
-  std::unordered_map<std::uint64_t, std::uint64_t> at_;  ///< digest to the number of the change after it
+  std::uint64_t digest_ = emptyDigest;
+  std::deque<PastChange> history_;
+  std::uint64_t firstChange_ = 0;                                 ///< number of the oldest change in the history
+  std::unordered_map<std::uint64_t, std::uint64_t> changeAfter_;  ///< number of the change after a digest
 };
 
 }  // namespace tealshelf
--- /dev/null
+++ b/workers/worker_heartbeat.hpp
@@ -0,0 +1,9 @@
+#pragma once
+#include "fleet/nodes.hpp"
+
+namespace tealshelf {
+
+/// Reads the body of a worker's heartbeat; throws ErrorCode::badHeartbeat.
+Worker parseWorkerHeartbeat(string const& id, string const& body);
+
+}  // namespace tealshelf
--- a/workers/worker_registry.cpp
+++ b/workers/worker_registry.cpp
@@ -1,156 +1,138 @@
 #include "workers/worker_registry.hpp"
 
-#include <rapidjson/document.h>
-
 namespace tealshelf {
 
-bool WorkerRegistry::late(Worker const& w) const {
-  std::map<string, Row>::const_iterator const i = rows_.find(w.id);
-  return i != rows_.end() && (i->second.worker.gone ? !w.gone : i->second.worker.callCount > w.callCount);
+namespace {
+/// A worker that ended or is lost is forgotten after so many times the time until it is lost.
+constexpr int forgetAfterLost = 16;
+}  // namespace
+
+bool WorkerRegistry::isLate(Worker const& worker) const {
+  Worker const* const known = find(worker.id);
+  if (!known) return false;
+  return known->removed ? !worker.removed : known->callCount > worker.callCount;
 }
 
-bool WorkerRegistry::merge(Worker const& w, TimePoint now) {
-  std::map<string, Row>::iterator const i = rows_.find(w.id);
-  if (i == rows_.end()) {
-    if (w.lost) return false;
-    rows_[w.id] = {w, now, ++revision_, false};
-    if (w.registrar == self_) fresh_.push_back(w);
-    return true;
-  }
-  Row& row = i->second;
-  if (w.lost) {
-    // Only the one that hears a worker can lose it.
-    if (row.lost || row.worker.gone || row.worker.registrar != w.registrar || w.callCount < row.worker.callCount)
-      return false;
-    row.lost = true;
-    row.revision = ++revision_;
-    return true;
-  }
-  if (row.worker.gone && !w.gone) return false;
-  // A beat that the worker sent carries no turn; what its registrar judged stays.
-  std::uint64_t const turn = std::max(w.turn, row.worker.turn);
-  bool const resting = w.turn >= row.worker.turn && w.turn ? w.resting : row.worker.resting;
-  if (!w.gone && w.callCount <= row.worker.callCount && turn == row.worker.turn) return false;
-  if (w.gone && row.worker.gone) return false;
-  bool const draining = row.worker.draining || w.draining;
-  bool const updated = row.lost || w.gone != row.worker.gone || draining != row.worker.draining ||
-                       w.at != row.worker.at || w.service != row.worker.service || w.capacity != row.worker.capacity ||
-                       resting != row.worker.resting;
-  bool const moved = w.registrar != row.worker.registrar;
-  std::uint64_t const count = std::max(w.callCount, row.worker.callCount);
-  row.worker = w;
-  row.worker.callCount = count;
-  row.worker.draining = draining;
-  row.worker.turn = turn;
-  row.worker.resting = resting;
+bool WorkerRegistry::merge(Worker const& worker, TimePoint now) {
+  auto const found = rows_.find(worker.id);
+  if (found == rows_.end()) return insert(worker, now);
+  if (worker.lost) return markLost(found->second, worker);
+  return update(found->second, worker, now);
+}
+
+bool WorkerRegistry::insert(Worker const& worker, TimePoint now) {
+  if (worker.lost) return false;
+  rows_[worker.id] = Row{worker, now, ++revision_, false};
+  if (worker.registrar == self_) transitions_.push_back(worker);
+  return true;
+}
+
+/// Only the node that hears a worker can lose it.
+bool WorkerRegistry::markLost(Row& row, Worker const& report) {
+  bool const byRegistrar = row.worker.registrar == report.registrar;
+  if (row.lost || row.worker.removed || !byRegistrar || report.callCount < row.worker.callCount) return false;
+  row.lost = true;
+  noteChange(row);
+  return true;
+}
+
+bool WorkerRegistry::update(Row& row, Worker const& worker, TimePoint now) {
+  Worker& known = row.worker;
+  if (known.removed) return false;
+  // A heartbeat that the worker sent carries no ejection; what its registrar decided stays.
+  std::uint64_t const ejectionRevision = std::max(worker.ejectionRevision, known.ejectionRevision);
+  bool const newerEjection = worker.ejectionRevision && worker.ejectionRevision >= known.ejectionRevision;
+  bool const ejected = newerEjection ? worker.ejected : known.ejected;
+  bool const nothingNew = worker.callCount <= known.callCount && ejectionRevision == known.ejectionRevision;
+  if (nothingNew && !worker.removed) return false;
+  // A worker that drains never serves again.
+  bool const draining = known.draining || worker.draining;
+  bool const changed = row.lost || worker.removed != known.removed || draining != known.draining ||
+                       worker.address != known.address || worker.service != known.service ||
+                       worker.capacity != known.capacity || ejected != known.ejected;
+  bool const moved = worker.registrar != known.registrar;
+  std::uint64_t const callCount = std::max(worker.callCount, known.callCount);
+  known = worker;
+  known.callCount = callCount;
+  known.draining = draining;
+  known.ejectionRevision = ejectionRevision;
+  known.ejected = ejected;
   row.heardAt = now;
   row.lost = false;
-  if (updated) row.revision = ++revision_;
-  if ((updated || moved) && w.registrar == self_) fresh_.push_back(row.worker);
-  return updated;
+  if (changed) noteChange(row);
+  if ((changed || moved) && worker.registrar == self_) transitions_.push_back(known);
+  return changed;
 }
 
 bool WorkerRegistry::mergeAll(vector<Worker> const& workers, NodeId from, TimePoint now) {
-  bool updated = false;
+  bool changed = false;
   std::set<string> named;
-  for (Worker const& w : workers) {
-    named.insert(w.id);
-    updated = merge(w, now) || updated;
+  for (Worker const& worker : workers) {
+    named.insert(worker.id);
+    changed = merge(worker, now) || changed;
   }
-  for (std::pair<string const, Row>& p : rows_) {
-    Row& row = p.second;
-    if (row.lost || row.worker.gone || row.worker.registrar != from || named.count(p.first)) continue;
+  for (auto& [id, row] : rows_) {
+    if (row.lost || row.worker.removed || row.worker.registrar != from || named.count(id)) continue;
     row.lost = true;
-    row.revision = ++revision_;
-    updated = true;
+    noteChange(row);
+    changed = true;
   }
-  return updated;
+  return changed;
 }
 
-void WorkerRegistry::rest(string const& id, bool resting) {
-  std::map<string, Row>::iterator const i = rows_.find(id);
-  if (i == rows_.end() || i->second.worker.resting == resting) return;
-  i->second.worker.resting = resting;
-  ++i->second.worker.turn;
-  i->second.revision = ++revision_;
-  fresh_.push_back(i->second.worker);
+void WorkerRegistry::setEjected(string const& id, bool ejected) {
+  auto const found = rows_.find(id);
+  if (found == rows_.end() || found->second.worker.ejected == ejected) return;
+  Row& row = found->second;
+  row.worker.ejected = ejected;
+  ++row.worker.ejectionRevision;
+  noteChange(row);
+  transitions_.push_back(row.worker);
 }
 
-void WorkerRegistry::alive(NodeId registrar, TimePoint now) {
-  for (std::pair<string const, Row>& p : rows_)
-    if (p.second.worker.registrar == registrar) p.second.heardAt = now;
+void WorkerRegistry::noteRegistrarAlive(NodeId registrar, TimePoint now) {
+  for (auto& [id, row] : rows_)
+    if (row.worker.registrar == registrar) row.heardAt = now;
 }
 
-bool WorkerRegistry::sweep(TimePoint now) {
-  bool any = false;
-  for (std::map<string, Row>::iterator i = rows_.begin(); i != rows_.end();) {
-    Row& row = i->second;
-    if ((row.worker.gone || row.lost) && now - row.heardAt > 16 * forget_) {
-      i = rows_.erase(i);
-      continue;
-    }
-    ++i;
-    if (row.lost || row.worker.gone || now - row.heardAt <= forget_) continue;
+bool WorkerRegistry::expire(TimePoint now) {
+  std::erase_if(rows_, [&](auto const& item) {
+    Row const& row = item.second;
+    return (row.worker.removed || row.lost) && now - row.heardAt > forgetAfterLost * lostAfter_;
+  });
+  bool anyLost = false;
+  for (auto& [id, row] : rows_) {
+    if (row.lost || row.worker.removed || now - row.heardAt <= lostAfter_) continue;
     row.lost = true;
-    row.revision = ++revision_;
-    any = true;
+    noteChange(row);
+    anyLost = true;
     if (row.worker.registrar != self_) continue;
-    fresh_.push_back(row.worker);
-    fresh_.back().lost = true;
+    transitions_.push_back(row.worker);
+    transitions_.back().lost = true;
   }
-  return any;
+  return anyLost;
 }
 
-vector<Worker> WorkerRegistry::since(std::uint64_t revision) const {
-  vector<Worker> v;
-  for (std::pair<string const, Row> const& p : rows_) {
-    if (p.second.revision <= revision) continue;
-    v.push_back(p.second.worker);
-    if (p.second.lost) v.back().gone = true;
+vector<Worker> WorkerRegistry::changedSince(std::uint64_t revision) const {
+  vector<Worker> workers;
+  for (auto const& [id, row] : rows_) {
+    if (row.revision <= revision) continue;
+    workers.push_back(row.worker);
+    if (row.lost) workers.back().removed = true;
   }
-  return v;
-}
-vector<Worker> WorkerRegistry::all(std::uint64_t since) const {
-  vector<Worker> v;
-  for (std::pair<string const, Row> const& p : rows_)
-    if (!p.second.lost && p.second.revision > since) v.push_back(p.second.worker);
-  return v;
-}
-Worker const* WorkerRegistry::find(string const& id) const {
-  std::map<string, Row>::const_iterator const i = rows_.find(id);
-  return i == rows_.end() ? nullptr : &i->second.worker;
+  return workers;
 }
 
-/// The largest count or time in a beat; more can't be meant.
-constexpr double mostNumber = 1e15;
+vector<Worker> WorkerRegistry::present(std::uint64_t sinceRevision) const {
+  vector<Worker> workers;
+  for (auto const& [id, row] : rows_)
+    if (!row.lost && row.revision > sinceRevision) workers.push_back(row.worker);
+  return workers;
+}
 
-Worker readBeat(string const& id, string const& body) {
-  rapidjson::Document d;
-  d.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
-  if (d.HasParseError() || !d.IsObject()) throw Error(ErrorCode::badHeartbeat);
-  Worker w;
-  w.id = id;
-  std::function<string(char const*)> const text = [&](char const* k) {
-    if (!d.HasMember(k) || !d[k].IsString()) throw Error(ErrorCode::badHeartbeat, k);
-    return string(d[k].GetString(), d[k].GetStringLength());
-  };
-  std::function<std::uint64_t(char const*)> const num = [&](char const* k) -> std::uint64_t {
-    if (!d.HasMember(k)) return 0;
-    if (!d[k].IsNumber() || d[k].GetDouble() < 0 || d[k].GetDouble() > mostNumber)
-      throw Error(ErrorCode::badHeartbeat, k);
-    return static_cast<std::uint64_t>(d[k].GetDouble());
-  };
-  w.service = text("service");
-  std::optional<Address> const address = parseAddress(text("address"));
-  if (!address) throw Error(ErrorCode::badHeartbeat, "address");
-  w.at = *address;
-  if (d.HasMember("zone")) w.zone = text("zone");
-  if (d.HasMember("version")) w.version = text("version");
-  w.capacity = std::max<std::uint64_t>(1, num("capacity"));
-  w.callCount = num("callCount");
-  w.warmupLeft = static_cast<std::int64_t>(num("warmupLeftMs"));
-  w.draining = d.HasMember("state") && d["state"].IsString() && string_view(d["state"].GetString()) == "draining";
-  return w;
+Worker const* WorkerRegistry::find(string const& id) const {
+  auto const found = rows_.find(id);
+  return found == rows_.end() ? nullptr : &found->second.worker;
 }
 
 }  // namespace tealshelf
