--- a/edge/edge_node.cpp
+++ b/edge/edge_node.cpp
@@ -43,12 +43,17 @@
 
 void EdgeNode::stop() {
   stopping_ = true;
+  stoppedAt_ = Clock::now();
   for (ClientConnection* const client : idle_) {
     error_code ignored;
     client->socket.shutdown(tcp::socket::shutdown_both, ignored);
   }
 }
 
+bool EdgeNode::isEndingSoon() const {
+  return stopping_ && Clock::now() - stoppedAt_ > settings_.bounds.grace / 3;
+}
+
 Task<void> EdgeNode::sweepLoop() {
   for (;;) {
     co_await sleepFor(settings_.bounds.inTouch / 2);
@@ -136,6 +141,12 @@
 
 Task<void> EdgeNode::handle(ClientConnection& client, HttpRequest request) {
   TimePoint const now = Clock::now();
+  if (isEndingSoon()) {
+    // The platform still sends requests here where too few nodes of the zone are ready.
+    HttpReply answer = errorReply(Error(ErrorCode::notReady));
+    answer.headers.emplace_back("Retry-After", "0.05");
+    co_return co_await reply(client, std::move(answer));
+  }
   std::shared_ptr<Configuration const> configuration = view_.configuration();
   if (!configuration) configuration = co_await awaitConfiguration(now);
   if (!configuration) {
--- a/edge/edge_node.hpp
+++ b/edge/edge_node.hpp
@@ -27,6 +27,8 @@
   Task<std::shared_ptr<Configuration const>> awaitConfiguration(TimePoint now);
   Task<HttpReply> submitLot(RequestPlan const& plan, HttpRequest const& request);
   Task<void> reply(ClientConnection& client, HttpReply answer);
+  /// True once this process ends so soon that a request taken now might be cut off.
+  bool isEndingSoon() const;
   Task<void> sweepLoop();
 
   asio::io_context& io_;
@@ -35,6 +37,7 @@
   RpcServer rpcServer_;  ///< updates are relayed there
   FleetView view_;
   bool stopping_ = false;
+  TimePoint stoppedAt_;
   RequestForwarder forwarder_;
   LotApi lots_;
   HttpServer readiness_;
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -195,6 +195,22 @@
       if (row.on[0] != 'n') play(row, true, mayRepeat);
 }
 
+/// A request taken shortly before the end of the grace would be cut off while a worker has it.
+TEST(exchange, aStoppingEdgeRefusesWhatItCouldNotFinish) {
+  Script const script = at(own);
+  EdgeRig rig(script);
+  CHECK(rig.prime());
+  rig.stopEdge();
+  LONGS_EQUAL(200, rig.call("/once/x", "id1").status);
+  std::size_t const sends = rig.sends();
+  rig.run(rig.untilRefusal() + Ms(20));
+  Got const refused = rig.call("/once/x", "id2");
+  LONGS_EQUAL(503, refused.status);
+  CHECK(refused.raw.find("Retry-After") != string::npos);
+  CHECK(refused.raw.find("Connection: close") != string::npos);
+  LONGS_EQUAL_TEXT(sends, rig.sends(), "a worker got a request that was refused");
+}
+
 /// A stream that its worker breaks off midway, and what comes when it is asked to go on.
 TEST(exchange, aBrokenStreamIsGoneOnWithOrCut) {
   string const head = chunked, one = "f\r\nid: 1\ndata: a\n\n\r\n", two = "f\r\nid: 2\ndata: b\n\n\r\n";
--- a/tests/stand_in.hpp
+++ b/tests/stand_in.hpp
@@ -146,6 +146,9 @@
     run(Ms(5));
     return workers[0].primed && workers[1].primed;
   }
+  void stopEdge() { edge_.stop(); }
+  /// After this part of the grace a stopping edge takes no requests any more.
+  Ms untilRefusal() const { return settings_.bounds.grace / 3; }
   std::size_t sends() const { return workers[0].sends + workers[1].sends; }
   /// Sends one request of a client on a new connection and takes what comes back.
   Got call(string path, string const& id, std::size_t bodyBytes = 4, int leftMs = 2000) {
@@ -174,6 +177,7 @@
     settings_.outside = {ip, 17680};
     settings_.readiness = {ip, 17681};
     settings_.seeds = {{ip, 17682}};
+    settings_.bounds.grace = Ms(600);
     return settings_;
   }
   static string configuration() {
