--- a/base/log_format.cpp
+++ b/base/log_format.cpp
@@ -17,7 +17,7 @@
 std::optional<LogFile> parseName(string const& name) {
   for (LogFileKind const kind : {LogFileKind::snapshot, LogFileKind::log}) {
     string const& prefix = kind == LogFileKind::snapshot ? snapshotPrefix : logPrefix;
-    if (name.rfind(prefix, 0) != 0 || name.size() != prefix.size() + numberDigits) continue;
+    if (!name.starts_with(prefix) || name.size() != prefix.size() + numberDigits) continue;
     return LogFile{kind, std::strtoull(name.c_str() + prefix.size(), nullptr, 16)};
   }
   return std::nullopt;
--- a/base/settings.cpp
+++ b/base/settings.cpp
@@ -174,7 +174,7 @@
   std::size_t const equals = line.find('=');
   if (equals == string::npos) return "no '=' in the line";
   string const field = line.substr(0, equals), value = line.substr(equals + 1);
-  if (field.rfind(zonePrefix, 0) == 0) {
+  if (field.starts_with(zonePrefix)) {
     settings.zones[field.substr(zonePrefix.size())] = value;
     return std::nullopt;
   }
--- a/configuration/canonical_json.cpp
+++ b/configuration/canonical_json.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 /// Deeper than any configuration, and shallow enough for readers that recurse.
-constexpr std::size_t deepest = 32;
-constexpr std::int64_t largestExponent = 1000000;
+constexpr std::size_t maxDepth = 32;
+constexpr std::int64_t maxExponent = 1000000;
 
 /// Writes a JSON number as DIGITSeEXPONENT without zeros at either end of the digits, so that 1, 1.0 and 10e-1 agree.
 string canonicalNumber(string_view text) {
@@ -23,7 +23,7 @@
     string_view shown = text.substr(mark + 1);
     bool const below = shown.front() == '-';
     if (below || shown.front() == '+') shown.remove_prefix(1);
-    for (char const c : shown) exponent = std::min(largestExponent, exponent * 10 + (c - '0'));
+    for (char const c : shown) exponent = std::min(maxExponent, exponent * 10 + (c - '0'));
     if (below) exponent = -exponent;
   }
   string digits;
@@ -36,7 +36,7 @@
     digits += c;
     if (fraction) --exponent;
   }
-  if (std::abs(exponent) >= largestExponent) throw Error(ErrorCode::unreadable, "a number's exponent");
+  if (std::abs(exponent) >= maxExponent) throw Error(ErrorCode::unreadable, "a number's exponent");
   digits.erase(0, std::min(digits.find_first_not_of('0'), digits.size()));
   if (digits.empty()) return "0";
   while (digits.back() == '0') {
@@ -66,13 +66,13 @@
   bool StartArray() { return start(); }
   bool Key(char const* s, rapidjson::SizeType n, bool) {
     open_.back().key = canonicalString(string_view(s, n));
-    return !open_.back().members.count(open_.back().key);
+    return !open_.back().members.contains(open_.back().key);
   }
   bool EndObject(rapidjson::SizeType) {
     string text = "{";
-    for (std::pair<string const, string> const& member : open_.back().members) {
+    for (auto const& [name, memberText] : open_.back().members) {
       if (text.size() > 1) text += ',';
-      text += member.first + ":" + member.second;
+      text += name + ":" + memberText;
     }
     open_.pop_back();
     return value(text + "}");
@@ -90,7 +90,7 @@
   };
   bool start() {
     open_.emplace_back();
-    return open_.size() <= deepest;
+    return open_.size() <= maxDepth;
   }
   bool value(string const& text) {
     if (open_.empty()) {
--- a/configuration/canonical_json.hpp
+++ b/configuration/canonical_json.hpp
@@ -9,7 +9,7 @@
 
 /// Rewrites a JSON text so that equal contents give equal bytes: members of objects are sorted by name, white
 /// space is dropped, strings have one form of escapes, and numbers are exact decimals without redundant digits.
-/// Arrays keep their order. Throws Code::unreadable for a text that isn't JSON, that nests too deeply, or that
+/// Arrays keep their order. Throws ErrorCode::unreadable for a text that isn't JSON, that nests too deeply, or that
 /// names a member twice in one object.
 string canonicalJson(string_view text);
 
--- a/configuration/change_history.cpp
+++ b/configuration/change_history.cpp
@@ -11,8 +11,7 @@
 ChangeHistory::ChangeHistory(std::map<string, string> const& values, std::uint64_t currentVersion, HistoryShape shape)
     : currentVersion_(currentVersion), shape_(shape) {
   std::map<std::uint64_t, AcceptedChange> stored;
-  for (auto page = values.lower_bound(pagePrefix); page != values.end() && page->first.rfind(pagePrefix, 0) == 0;
-       ++page)
+  for (auto page = values.lower_bound(pagePrefix); page != values.end() && page->first.starts_with(pagePrefix); ++page)
     for (AcceptedChange& change : deserialize<vector<AcceptedChange>>(page->second))
       stored.emplace(change.number, std::move(change));
   // From the newest back, as long as each change leads to the one after it; stray ones at the end are passed over.
--- a/configuration/configuration_reader.cpp
+++ b/configuration/configuration_reader.cpp
@@ -107,7 +107,7 @@
   for (TrafficShare const& share : route.shares) {
     route.totalWeight += share.weight;
     if (share.weight > maxWeight) reader.fault(ErrorCode::outOfRange, where + " has a weight that is too large");
-    if (!configuration.services.count(share.service))
+    if (!configuration.services.contains(share.service))
       reader.fault(ErrorCode::unknownService, where + " names " + share.service);
   }
   if (!route.totalWeight) reader.fault(ErrorCode::zeroWeights, where);
--- a/consensus/ownership.cpp
+++ b/consensus/ownership.cpp
@@ -39,7 +39,7 @@
 void Consensus::sendVoteRequests(string const& name, KeyspaceState& keyspace, TimePoint now) {
   keyspace.voteRequestsSentAt = now;
   for (Member const& member : membership_.members)
-    if (!keyspace.votes.count(member.id)) send(member.id, name, keyspace.epoch, VoteRequest{});
+    if (!keyspace.votes.contains(member.id)) send(member.id, name, keyspace.epoch, VoteRequest{});
 }
 
 void Consensus::handle(Message const& message, VoteRequest const&, KeyspaceState& keyspace, TimePoint) {
--- a/consensus/replication.cpp
+++ b/consensus/replication.cpp
@@ -50,7 +50,7 @@
 void Consensus::sendWrite(string const& name, KeyspaceState& keyspace, PendingWrite& write, TimePoint now) {
   write.sentAt = now;
   for (Member const& member : membership_.members) {
-    if (write.acknowledgedBy.count(member.id)) continue;
+    if (write.acknowledgedBy.contains(member.id)) continue;
     WriteRange range{write.first - 1, write.last, write.full, write.entries};
     send(member.id, name, keyspace.epoch, AppendRequest{std::move(range), keyspace.committedSequence});
   }
@@ -59,7 +59,7 @@
 void Consensus::sendOwnershipCheck(string const& name, KeyspaceState& keyspace, PendingRead& read, TimePoint now) {
   read.sentAt = now;
   for (Member const& member : membership_.members)
-    if (!read.confirmedBy.count(member.id)) send(member.id, name, keyspace.epoch, OwnershipCheck{read.round});
+    if (!read.confirmedBy.contains(member.id)) send(member.id, name, keyspace.epoch, OwnershipCheck{read.round});
 }
 
 void Consensus::resendPending(string const& name, KeyspaceState& keyspace, TimePoint now) {
@@ -88,7 +88,7 @@
     PendingWrite& write = keyspace.writes.front();
     bool const storedByAll = std::all_of(
         membership_.members.begin(), membership_.members.end(),
-        [&](Member const& member) { return write.acknowledgedBy.count(member.id) || !isAlive(member.id, now); });
+        [&](Member const& member) { return write.acknowledgedBy.contains(member.id) || !isAlive(member.id, now); });
     if (!storedByAll && keyspace.writes.size() < maxKeptWrites) return;
     remember(keyspace, std::move(write));
     keyspace.writes.pop_front();
--- a/control/call_input.cpp
+++ b/control/call_input.cpp
@@ -5,13 +5,13 @@
 namespace tealshelf {
 
 namespace {
-constexpr std::size_t longestId = 128;
-constexpr double mostOverS = 24 * 3600;
+constexpr std::size_t maxIdLength = 128;
+constexpr double maxOverSeconds = 24 * 3600;
 }  // namespace
 
 string idInPath(string_view path, string_view prefix) {
   string_view const id = path.substr(std::min(prefix.size(), path.size()));
-  if (id.empty() || id.size() > longestId || path.substr(0, prefix.size()) != prefix) throw Error(ErrorCode::badId);
+  if (id.empty() || id.size() > maxIdLength || path.substr(0, prefix.size()) != prefix) throw Error(ErrorCode::badId);
   for (char const c : id)
     if (c <= ' ' || c > '~' || string_view("/?#%\"\\").find(c) != string_view::npos) throw Error(ErrorCode::badId);
   return string(id);
@@ -24,7 +24,7 @@
   rapidjson::Value::ConstMemberIterator const over = document.FindMember("overS");
   if (over == document.MemberEnd() || !over->value.IsNumber()) throw Error(ErrorCode::badRetirement, "no overS");
   double const seconds = over->value.GetDouble();
-  if (!(seconds >= 0 && seconds <= mostOverS)) throw Error(ErrorCode::badRetirement, "overS out of its range");
+  if (!(seconds >= 0 && seconds <= maxOverSeconds)) throw Error(ErrorCode::badRetirement, "overS out of its range");
 }
 
 Error shownToCaller(Error const& error, CallKind kind) {
--- a/control/configuration_handler.cpp
+++ b/control/configuration_handler.cpp
@@ -39,7 +39,7 @@
 Task<void> ConfigurationHandler::awaitFirstMembership(TimePoint end) {
   TimePoint const until = startedAt_ + settings_.bounds.inTouch;
   while (!driver_.survivesRequiredLosses() && Clock::now() < until &&
-         !keyspace_.values().count(currentConfigurationKey)) {
+         !keyspace_.values().contains(currentConfigurationKey)) {
     if (Clock::now() >= end) throw Error(ErrorCode::notReady, "the membership is still too small");
     co_await sleepFor(settings_.bounds.inTouch / 60);
   }
--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -78,9 +78,9 @@
 }
 
 Task<CallReply> ControlNode::route(ForwardedCall call) {
-  if (call.path.rfind("/servers/", 0) == 0) co_return co_await workers_.handle(std::move(call));
+  if (call.path.starts_with("/servers/")) co_return co_await workers_.handle(std::move(call));
   if (call.path == "/settings") co_return co_await configuration_.handle(std::move(call));
-  if (call.path.rfind("/retire/", 0) == 0) co_return co_await retirements_.handle(std::move(call));
+  if (call.path.starts_with("/retire/")) co_return co_await retirements_.handle(std::move(call));
   throw Error(ErrorCode::unknownPath, call.path.substr(0, 40));
 }
 
@@ -134,8 +134,8 @@
   }
   vector<string> former;
   Values const& rows = publisher_.common.rows();
-  for (auto row = rows.lower_bound(memberPrefix); row != rows.end() && row->first.rfind(memberPrefix, 0) == 0; ++row)
-    if (!present.count(row->first)) former.push_back(row->first);
+  for (auto row = rows.lower_bound(memberPrefix); row != rows.end() && row->first.starts_with(memberPrefix); ++row)
+    if (!present.contains(row->first)) former.push_back(row->first);
   for (string const& key : former) publisher_.common.erase(key);
 }
 
--- a/control/node_directory.cpp
+++ b/control/node_directory.cpp
@@ -45,7 +45,7 @@
   for (auto& [zone, table] : publisher_.zones) {
     vector<string> departed;
     for (auto const& [name, row] : table.rows())
-      if (!all.count(name)) departed.push_back(name);
+      if (!all.contains(name)) departed.push_back(name);
     for (string const& name : departed) changed = table.erase(name) || changed;
   }
   if (changed) publisher_.notifyAfter(settings_.bounds.inTouch / 80);
--- a/control/retirement_handler.cpp
+++ b/control/retirement_handler.cpp
@@ -17,7 +17,7 @@
   std::optional<Values> const values = consensus.lastKnownValues(membersKeyspace);
   if (!values) return names;
   for (auto const& [key, value] : *values)
-    if (key.rfind(keyPrefix, 0) == 0) names.insert(key.substr(keyPrefix.size()));
+    if (key.starts_with(keyPrefix)) names.insert(key.substr(keyPrefix.size()));
   return names;
 }
 
@@ -29,7 +29,7 @@
   std::optional<CallReply> const forwarded = co_await keyspace_.forward(call);
   if (forwarded) co_return *forwarded;
   co_await keyspace_.confirmOwnership(end);
-  bool const asked = keyspace_.values().count(keyPrefix + node) != 0;
+  bool const asked = keyspace_.values().contains(keyPrefix + node);
   if (!asked && !lots_.isKnownStore(node)) throw Error(ErrorCode::unknownNode, node);
   if (call.verb == "POST") {
     if (!asked) {
@@ -52,7 +52,7 @@
   std::set<string> const retiring = retiringStores(driver_.consensus());
   std::size_t staying = 0;
   for (StoreRef const& store : lots_.liveStores(Clock::now()))
-    if (store.name != node && !retiring.count(store.name)) ++staying;
+    if (store.name != node && !retiring.contains(store.name)) ++staying;
   if (staying < static_cast<std::size_t>(settings_.surviveMachines) + 1) throw Error(ErrorCode::tooFewStores);
 }
 
--- a/edge/edge_node.cpp
+++ b/edge/edge_node.cpp
@@ -5,10 +5,6 @@
 namespace {
 constexpr int clientBacklog = 1024;
 constexpr std::uint64_t maxReadinessBytes = 1u << 16;
-
-bool isHttpError(error_code error) {
-  return error.category() == http::make_error_code(http::error::end_of_stream).category();
-}
 }  // namespace
 
 EdgeNode::EdgeNode(asio::io_context& io, Settings const& settings)
--- a/lots/lot_api.cpp
+++ b/lots/lot_api.cpp
@@ -21,14 +21,10 @@
   std::size_t const query = target.find('?');
   if (query == string_view::npos) return "";
   for (string const& parameter : split(target.substr(query + 1), '&'))
-    if (parameter.rfind(string(name) + "=", 0) == 0) return parameter.substr(name.size() + 1);
+    if (parameter.starts_with(string(name) + "=")) return parameter.substr(name.size() + 1);
   return "";
 }
 
-bool beginsWith(string_view text, string_view prefix) {
-  return text.substr(0, prefix.size()) == prefix;
-}
-
 /// Nobody else would answer better.
 bool isFinal(Error const& error) {
   return error.kind() == ErrorKind::notFound || error.kind() == ErrorKind::overQuota ||
@@ -69,8 +65,8 @@
 }  // namespace
 
 bool LotApi::isLotCall(Configuration const& configuration, string_view verb, string_view host, string_view path) const {
-  bool const aboutLot = beginsWith(path, lotsPath) && (verb == "GET" || verb == "DELETE");
-  bool const aboutItem = beginsWith(path, itemsPath) && verb == "GET";
+  bool const aboutLot = path.starts_with(lotsPath) && (verb == "GET" || verb == "DELETE");
+  bool const aboutItem = path.starts_with(itemsPath) && verb == "GET";
   if (!aboutLot && !aboutItem) return false;
   for (Route const& route : configuration.routes)
     if (route.kind == RouteKind::bulk && route.host == host) return true;
@@ -172,7 +168,7 @@
   string_view const path = string_view(target).substr(0, target.find('?'));
   try {
     if (!view_.isFresh()) throw Error(ErrorCode::lotStateUnknown);
-    if (beginsWith(path, itemsPath)) {
+    if (path.starts_with(itemsPath)) {
       LotKey const key{host, string(path.substr(itemsPath.size()))};
       co_return co_await readItem(key, queryParameter(target, "serverId"));
     }
--- a/lots/lot_coordinator.cpp
+++ b/lots/lot_coordinator.cpp
@@ -37,7 +37,7 @@
 vector<string> LotCoordinator::ownedKeyspaces() const {
   vector<string> owned;
   for (string const& keyspace : driver_.consensus().keyspaces())
-    if (keyspace.rfind(keyspacePrefix, 0) == 0 && driver_.consensus().owns(keyspace)) owned.push_back(keyspace);
+    if (keyspace.starts_with(keyspacePrefix) && driver_.consensus().owns(keyspace)) owned.push_back(keyspace);
   return owned;
 }
 
@@ -91,7 +91,7 @@
   if (lot.id == incoming.id || lot.route != incoming.route || lot.state == LotState::ended) return false;
   // A lot that was never accepted stops counting only when it can't be accepted any more.
   if (lot.state == LotState::opening && !mayBeAccepted(lot.key(), settings_.bounds.inTouch)) return false;
-  return !opening_.count(lot.key());
+  return !opening_.contains(lot.key());
 }
 
 void LotCoordinator::checkQuota(LotRecord const& lot, std::uint64_t maxQueuedTokens) const {
--- a/lots/lot_recovery.cpp
+++ b/lots/lot_recovery.cpp
@@ -51,7 +51,7 @@
   if (status.primaryNeedsSettlement || !status.failedHolders.empty()) return true;
   std::set<string> const retiring = retiringStores ? retiringStores() : std::set<string>();
   for (StoreRef const& holder : lot.holders)
-    if (isDead(holder.id, now) || isDiskFailing(holder.id) || retiring.count(holder.name)) return true;
+    if (isDead(holder.id, now) || isDiskFailing(holder.id) || retiring.contains(holder.name)) return true;
   std::size_t const wanted = neededCopies() + 1;
   if (lot.holders.size() >= wanted || sinceLast <= settings_.bounds.inTouch / 3) return false;
   return choose(lot.id, status.failedHolders, lot.holders, wanted, now).size() > lot.holders.size();
@@ -153,7 +153,7 @@
   std::set<NodeId> const failed = status.failedHolders;
   vector<StoreRef> live;
   for (StoreRef const& holder : lot.holders)
-    if (!isDead(holder.id, now) && !isDiskFailing(holder.id) && !failed.count(holder.id)) live.push_back(holder);
+    if (!isDead(holder.id, now) && !isDiskFailing(holder.id) && !failed.contains(holder.id)) live.push_back(holder);
   if (live.empty()) {
     status.failedHolders.clear();
     co_return;
@@ -182,10 +182,10 @@
   recovered.stamp = stamp;
   // Stores that stay come first, so that one of them is the primary.
   std::stable_partition(settled.begin(), settled.end(),
-                        [&retiring](StoreRef const& store) { return !retiring.count(store.name); });
+                        [&retiring](StoreRef const& store) { return !retiring.contains(store.name); });
   vector<StoreRef> staying;
   for (StoreRef const& store : settled)
-    if (!retiring.count(store.name)) staying.push_back(store);
+    if (!retiring.contains(store.name)) staying.push_back(store);
   vector<StoreRef> const chosen = choosing(staying, neededCopies() + 1);
   for (std::size_t i = staying.size(); i < chosen.size(); ++i) {
     recovered.holders = {chosen[i]};
--- a/lots/lot_runner.cpp
+++ b/lots/lot_runner.cpp
@@ -46,13 +46,13 @@
   }
   std::set<std::uint32_t> finished;
   for (string const& result : replica.results) finished.insert(deserialize<ResultRecord>(result).item);
-  std::erase_if(run->unlisted, [&finished](ResultRecord const& result) { return finished.count(result.item) != 0; });
+  std::erase_if(run->unlisted, [&finished](ResultRecord const& result) { return finished.contains(result.item); });
   for (ResultRecord const& result : run->unlisted) finished.insert(result.item);
   run->finishedTokens = 0;
   bool resultsCut = false;
   for (std::uint32_t index = 0; index < run->items.size(); ++index) {
     LotRun::Item& item = run->items[index];
-    if (finished.count(index)) {
+    if (finished.contains(index)) {
       item.state = ItemState::done;
       run->finishedTokens += item.record.tokens;
     } else if (item.state == ItemState::done) {
--- a/lots/relying_lots.cpp
+++ b/lots/relying_lots.cpp
@@ -53,7 +53,7 @@
   std::uint64_t count = 0;
   vector<string> const keyspaces = driver_.consensus().keyspaces();
   for (string const& keyspace : keyspaces) {
-    if (keyspace.rfind(keyspaceOf(""), 0) != 0) continue;
+    if (!keyspace.starts_with(keyspaceOf(""))) continue;
     string const host = keyspace.substr(keyspaceOf("").size());
     if (driver_.consensus().owns(keyspace)) {
       count += co_await countRelying(host, store);
--- a/lots/store_supervision.cpp
+++ b/lots/store_supervision.cpp
@@ -39,7 +39,7 @@
   });
   for (bool const otherZonesOnly : {true, false})
     for (StoreRef const& store : live) {
-      bool used = excluded.count(store.id) || retiring.count(store.name) || closedStores_.count(store.name);
+      bool used = excluded.contains(store.id) || retiring.contains(store.name) || closedStores_.contains(store.name);
       bool zoneUsed = false;
       for (StoreRef const& holder : holders) {
         used = used || holder.id == store.id || holder.name == store.name;
--- a/traffic/load_balancer.cpp
+++ b/traffic/load_balancer.cpp
@@ -108,7 +108,7 @@
 LoadBalancer::Fitness LoadBalancer::fitnessOf(Candidate const& candidate, PickRequest const& request,
                                               std::set<string> const& tried, TimePoint now) const {
   WorkerState const& state = *candidate.state;
-  if (!tried.empty() && tried.count(candidate.worker->id)) return Fitness::none;
+  if (!tried.empty() && tried.contains(candidate.worker->id)) return Fitness::none;
   bool const avoided = now < state.failedUntil || now < state.fullUntil || candidate.worker->ejected;
   if (request.background) {
     bool const busy = state.unreadRequests > 0 || loadOf(state, *candidate.worker, now) > 1 - request.reservedShare;
--- a/updates/fleet_view.cpp
+++ b/updates/fleet_view.cpp
@@ -38,7 +38,7 @@
 }
 
 void FleetView::applyRow(TableRow const& row) {
-  if (row.key.rfind(workerPrefix, 0) != 0) return;
+  if (!row.key.starts_with(workerPrefix)) return;
   ++revision_;
   string const id = row.key.substr(workerPrefix.size());
   if (row.removed)
@@ -97,7 +97,7 @@
     vector<Address> const controls = controlAddresses();
     for (Address const& control : controls) {
       if (configuration_) break;
-      if (askedFirst_.count(control)) continue;
+      if (askedFirst_.contains(control)) continue;
       spawnTask(io_, "first updates", askFirst(control));
       co_await sleepFor(settings_.bounds.inTouch / 200);
     }
--- a/updates/publisher.cpp
+++ b/updates/publisher.cpp
@@ -43,7 +43,7 @@
 
 void UpdatePublisher::addTallies(vector<WorkerTally> const& tallies) {
   for (WorkerTally const& tally : tallies) {
-    if (tallies_.size() >= maxTallies && !tallies_.count(tally.worker)) continue;
+    if (tallies_.size() >= maxTallies && !tallies_.contains(tally.worker)) continue;
     WorkerTally& sum = tallies_[tally.worker];
     sum.worker = tally.worker;
     sum.succeeded += tally.succeeded;
--- a/updates/versioned_table.cpp
+++ b/updates/versioned_table.cpp
@@ -80,7 +80,7 @@
     std::set<string> named;
     for (TableRow const& row : delta.rows) named.insert(row.key);
     for (auto const& [key, value] : rows_)
-      if (!named.count(key)) vanished.push_back(key);
+      if (!named.contains(key)) vanished.push_back(key);
   }
   for (string const& key : vanished) {
     erase(key);
--- a/wire/http.cpp
+++ b/wire/http.cpp
@@ -5,10 +5,6 @@
 namespace {
 constexpr int backlog = 512;
 
-bool isHttpError(error_code error) {
-  return error.category() == http::make_error_code(http::error::end_of_stream).category();
-}
-
 /// The answer to a request that can't be read; nothing if the connection just ends.
 std::optional<HttpReply> replyToUnreadable(error_code error, bool connectionIsOpen) {
   if (error == http::error::body_limit) return errorReply(Error(ErrorCode::bodyTooLong));
@@ -17,6 +13,10 @@
 }
 }  // namespace
 
+bool isHttpError(error_code error) {
+  return error.category() == http::make_error_code(http::error::end_of_stream).category();
+}
+
 string HttpCall::header(string_view name) const {
   beast::string_view const value = headers[beast::string_view(name.data(), name.size())];
   return string(value.data(), value.size());
--- a/wire/http.hpp
+++ b/wire/http.hpp
@@ -21,6 +21,8 @@
 };
 using HttpHandler = std::function<Task<HttpReply>(HttpCall)>;
 
+/// True for errors of reading a message, false for those of the connection.
+bool isHttpError(error_code error);
 /// Answers an error as JSON with its code.
 HttpReply errorReply(Error const& error);
 http::response<http::string_body> makeResponse(HttpReply reply, unsigned httpVersion, bool keepAlive);
--- a/workers/outlier_detector.cpp
+++ b/workers/outlier_detector.cpp
@@ -89,8 +89,8 @@
     ++service.workers;
     service.ejected += worker.ejected;
   }
-  std::erase_if(own_, [&](auto const& item) { return !totals.count(item.first); });
-  std::erase_if(ejections_, [&](auto const& item) { return !totals.count(item.first); });
+  std::erase_if(own_, [&](auto const& item) { return !totals.contains(item.first); });
+  std::erase_if(ejections_, [&](auto const& item) { return !totals.contains(item.first); });
   vector<EjectionChange> changes;
   for (Worker const& worker : workers) {
     if (worker.removed || worker.lost || worker.registrar != self) continue;
--- a/workers/worker_registry.cpp
+++ b/workers/worker_registry.cpp
@@ -72,7 +72,7 @@
     changed = merge(worker, now) || changed;
   }
   for (auto& [id, row] : rows_) {
-    if (row.lost || row.worker.removed || row.worker.registrar != from || named.count(id)) continue;
+    if (row.lost || row.worker.removed || row.worker.registrar != from || named.contains(id)) continue;
     row.lost = true;
     noteChange(row);
     changed = true;
