--- a/control/configuration_handler.hpp
+++ b/control/configuration_handler.hpp
@@ -2,7 +2,7 @@
 #include "base/async_mutex.hpp"
 #include "configuration/change_decision.hpp"
 #include "control/owned_keyspace.hpp"
-#include "updates/publisher.hpp"
+#include "updates/update_publisher.hpp"
 
 namespace tealshelf {
 
--- a/control/node_directory.cpp
+++ b/control/node_directory.cpp
@@ -1,6 +1,6 @@
 #include "control/node_directory.hpp"
 
-#include "updates/relays.hpp"
+#include "updates/relay_topology.hpp"
 
 namespace tealshelf {
 
--- a/control/node_directory.hpp
+++ b/control/node_directory.hpp
@@ -1,6 +1,6 @@
 #pragma once
 #include "consensus/control_messages.hpp"
-#include "updates/publisher.hpp"
+#include "updates/update_publisher.hpp"
 
 namespace tealshelf {
 
--- a/control/worker_directory.hpp
+++ b/control/worker_directory.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include "consensus/consensus_driver.hpp"
 #include "control/messages.hpp"
-#include "updates/publisher.hpp"
+#include "updates/update_publisher.hpp"
 #include "workers/outlier_detector.hpp"
 #include "workers/worker_registry.hpp"
 
--- a/tests/base/async_mutex_test.cpp
+++ b/tests/base/async_mutex_test.cpp
@@ -36,9 +36,9 @@
 Ms const ever = std::chrono::hours(1);
 }  // namespace
 
-TEST_GROUP(asyncmutex){};
+TEST_GROUP(asyncMutex){};
 
-TEST(asyncmutex, letsOneInAtATimeInOrder) {
+TEST(asyncMutex, letsOneInAtATimeInOrder) {
   Section section(8);
   asio::steady_timer stay(section.io, ever);
   for (char const name : {'a', 'x', 'b', 'c'}) section.start(name, ever, stay);
@@ -52,13 +52,13 @@
   LONGS_EQUAL(1, section.most);
   CHECK_FALSE(section.mutex.locked());
 }
-TEST(asyncmutex, aFullQueueRefusesAtOnce) {
+TEST(asyncMutex, aFullQueueRefusesAtOnce) {
   Section section(1);
   asio::steady_timer stay(section.io, ever);
   for (char const name : {'a', 'b', 'c'}) section.start(name, ever, stay);
   STRCMP_EQUAL("a!c", section.log.c_str());
 }
-TEST(asyncmutex, aWaitThatIsTooLongEndsAndLeavesTheOthersTheirTurn) {
+TEST(asyncMutex, aWaitThatIsTooLongEndsAndLeavesTheOthersTheirTurn) {
   Section section(8);
   asio::steady_timer stay(section.io, ever);
   section.start('a', ever, stay);
@@ -70,7 +70,7 @@
   section.io.poll();
   STRCMP_EQUAL("a!bc", section.log.c_str());
 }
-TEST(asyncmutex, aLockOutlivesItsMutex) {
+TEST(asyncMutex, aLockOutlivesItsMutex) {
   asio::io_context io;
   std::optional<AsyncMutex> mutex(std::in_place, io, 1);
   std::optional<AsyncMutex::Lock> lock;
--- a/tests/base/durable_log_test.cpp
+++ b/tests/base/durable_log_test.cpp
@@ -143,16 +143,16 @@
 };
 }  // namespace
 
-TEST_GROUP(durablelog){};
+TEST_GROUP(durableLog){};
 
-TEST(durablelog, noFailedCallLosesWhatWasAcknowledged) {
+TEST(durableLog, noFailedCallLosesWhatWasAcknowledged) {
   LONGS_EQUAL(0, losses(Faulty::no));
   CHECK_TEXT(losses(Faulty::oldOrder) > 0, "unlooked-at syncs were never caught");
   CHECK_TEXT(losses(Faulty::syncsAgain) > 0, "a second sync after a failed one was never caught");
   CHECK_TEXT(losses(Faulty::trustsTheStart) > 0, "unsynced records relied on at the start were never caught");
 }
 
-TEST(durablelog, recordsComeBackInOrderAndSnapshotsBoundTheSpace) {
+TEST(durableLog, recordsComeBackInOrderAndSnapshotsBoundTheSpace) {
   MemoryDisk disk(1);
   std::size_t most = 0;
   for (int life = 0; life < 2; ++life) {
@@ -173,7 +173,7 @@
   CHECK(most <= limits.budget);
 }
 
-TEST(durablelog, aRefusingDiskEndsNothingAndComesBackWhole) {
+TEST(durableLog, aRefusingDiskEndsNothingAndComesBackWhole) {
   MemoryDisk disk(1);
   Running run(disk);
   run.add();
@@ -194,7 +194,7 @@
   CHECK(readLog(disk, folder).records == run.state);
 }
 
-TEST(durablelog, aStalledDiskIsFoundAndItsWaitersAreTold) {
+TEST(durableLog, aStalledDiskIsFoundAndItsWaitersAreTold) {
   MemoryDisk disk(1);
   Running run(disk);
   run.add();
@@ -224,7 +224,7 @@
   for (char const* const record : {"three", "four", "five"}) writer.append(encodeRecord(record));
 }
 
-TEST(durablelog, damageIsTornOnlyInWhatMayBeUnsynced) {
+TEST(durableLog, damageIsTornOnlyInWhatMayBeUnsynced) {
   struct Case {
     LogFileKind file;
     std::size_t fromEnd;
@@ -253,7 +253,7 @@
   }
 }
 
-TEST(durablelog, filesOutOfStepAreSeen) {
+TEST(durableLog, filesOutOfStepAreSeen) {
   MemoryDisk disk(1);
   fill(disk);
   // A restart in the middle of a snapshot: its file has no name yet, and is torn.
@@ -274,7 +274,7 @@
   LONGS_EQUAL(6, readLog(disk, folder).records.size());
 }
 
-TEST(durablelog, theFormatOfTheLastReleaseIsReadAndReplaced) {
+TEST(durableLog, theFormatOfTheLastReleaseIsReadAndReplaced) {
   MemoryDisk disk(1);
   disk.place(logFilePath(folder, LogFileKind::snapshot, 4), allFramed({"one", "two"}));
   disk.place(logFilePath(folder, LogFileKind::log, 4), allFramed({"three"}) + "torn");
@@ -290,7 +290,7 @@
   for (auto const& [name, content] : disk.all()) CHECK(content.rfind("TSLG", 0) == 0);
 }
 
-TEST(durablelog, anUnknownFormatIsRefusedAndNothingOverwritten) {
+TEST(durableLog, anUnknownFormatIsRefusedAndNothingOverwritten) {
   for (std::uint32_t const version : {0u, 2u, 77u}) {
     MemoryDisk disk(1);
     fill(disk);
@@ -314,7 +314,7 @@
   }
 }
 
-TEST(durablelog, identityStaysUntilTheFolderIsEmpty) {
+TEST(durableLog, identityStaysUntilTheFolderIsEmpty) {
   for (std::size_t call = 0; call < 12; ++call) {
     MemoryDisk disk(call);
     disk.failFrom = call;
--- a/tests/configuration/canonical_json_test.cpp
+++ b/tests/configuration/canonical_json_test.cpp
@@ -4,9 +4,9 @@
 
 using namespace tealshelf;
 
-TEST_GROUP(canonicaljson){};
+TEST_GROUP(canonicalJson){};
 
-TEST(canonicaljson, equalContentHasOneForm) {
+TEST(canonicalJson, equalContentHasOneForm) {
   struct {
     char const *one, *other;
     bool equal;
@@ -33,7 +33,7 @@
     CHECK_EQUAL_TEXT(line.equal, equal, line.one);
   }
 }
-TEST(canonicaljson, whatIsNotJsonIsRefused) {
+TEST(canonicalJson, whatIsNotJsonIsRefused) {
   string const deep(1000000, '['), objects = [] {
     string text;
     for (int i = 0; i < 100000; ++i) text += "{\"a\":";
@@ -43,7 +43,7 @@
                              string("[\"\xff\"]"), string("[1e99999999999]"), string("nul"), deep, objects})
     CHECK_THROWS(Error, canonicalJson(text));
 }
-TEST(canonicaljson, digestIsSha256) {
+TEST(canonicalJson, digestIsSha256) {
   string shown;
   for (char const c : sha256("abc").value) shown += hex(static_cast<unsigned char>(c)).substr(14);
   STRCMP_EQUAL("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad", shown.c_str());
--- a/tests/configuration/change_decision_test.cpp
+++ b/tests/configuration/change_decision_test.cpp
@@ -40,9 +40,9 @@
 }
 }  // namespace
 
-TEST_GROUP(changedecision){};
+TEST_GROUP(changeDecision){};
 
-TEST(changedecision, verdicts) {
+TEST(changeDecision, verdicts) {
   Rows const none, rows = after(3);  // 0 > 3 > 6 > 9
   struct {
     Rows const& rows;
@@ -85,7 +85,7 @@
   };
   for (auto const& line : table) expect(line.rows, line.order, line.verdict, line.code);
 }
-TEST(changedecision, takenOrdersAreKnownThroughTheDay) {
+TEST(changeDecision, takenOrdersAreKnownThroughTheDay) {
   std::uint64_t const changes = 1024 + 200;
   Rows const rows = after(changes);
   std::size_t bytes = 0, keys = 0;
@@ -105,7 +105,7 @@
   expect(rows, order(0, 3), ChangeVerdict::tooOld, 111);
   expect(rows, order(0, 3, "b"), ChangeVerdict::tooOld, 111);
 }
-TEST(changedecision, aRingOfAnyShapeKeepsTheNewest) {
+TEST(changeDecision, aRingOfAnyShapeKeepsTheNewest) {
   for (HistoryShape const shape : {HistoryShape{2, 1}, HistoryShape{2, 3}, HistoryShape{4, 4}})
     for (std::uint64_t changes = 1; changes < 40; ++changes) {
       Rows const rows = after(changes, shape);
@@ -117,7 +117,7 @@
     }
 }
 /// A page may come up that a deposed owner wrote, without the configuration of the same change.
-TEST(changedecision, pagesWithoutTheirConfigurationDoNotCount) {
+TEST(changeDecision, pagesWithoutTheirConfigurationDoNotCount) {
   HistoryShape const shape{8, 1};
   Rows rows = after(3, shape), other = rows;
   apply(other, order(9, 12, "lost"), shape);
@@ -128,13 +128,13 @@
   expect(rows, order(9, 12, "lost"), ChangeVerdict::conflict, 109, shape);
   expect(rows, order(9, 11), ChangeVerdict::acknowledgeAgain, 0, shape);
 }
-TEST(changedecision, aStateWithoutHistoryLeavesOldOrdersOpen) {
+TEST(changeDecision, aStateWithoutHistoryLeavesOldOrdersOpen) {
   Rows rows;
   rows[currentConfigurationKey] = configuration(9);
   expect(rows, order(6, 9), ChangeVerdict::tooOld, 111);
   expect(rows, order(9, 10), ChangeVerdict::apply);
 }
-TEST(changedecision, nothingIsJudgedWhileAnOrderIsUnsettled) {
+TEST(changeDecision, nothingIsJudgedWhileAnOrderIsUnsettled) {
   Rows rows = after(2);
   UndecidedChange unsettled;
   CHECK_FALSE(unsettled.isOpen(5, rows));
--- a/tests/configuration/change_simulation_test.cpp
+++ b/tests/configuration/change_simulation_test.cpp
@@ -259,9 +259,9 @@
 }
 }  // namespace
 
-TEST_GROUP(changesimulation){};
+TEST_GROUP(changeSimulation){};
 
-TEST(changesimulation, everyHistoryIsLinearizable) {
+TEST(changeSimulation, everyHistoryIsLinearizable) {
   std::uint64_t taken = 0, repeated = 0, refused = 0, reads = 0, wipes = 0;
   for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
     OrdersSimulation simulation(seed, 3 + seed % 3, Rules::real);
@@ -279,12 +279,12 @@
   UT_PRINT(totals.c_str());
   CHECK(taken > 10 * seeds() && repeated > taken && refused > seeds() && reads > seeds() && wipes > 0);
 }
-TEST(changesimulation, theRuleOfTheCurrentTextOnlyIsCaught) {
+TEST(changeSimulation, theRuleOfTheCurrentTextOnlyIsCaught) {
   CHECK(caught(Rules::currentTextOnly, 100));
 }
-TEST(changesimulation, anOwnerThatDoesNotConfirmIsCaught) {
+TEST(changeSimulation, anOwnerThatDoesNotConfirmIsCaught) {
   CHECK(caught(Rules::withoutConfirm, 300));
 }
-TEST(changesimulation, anOwnerThatJudgesBesideAnUnsettledOrderIsCaught) {
+TEST(changeSimulation, anOwnerThatJudgesBesideAnUnsettledOrderIsCaught) {
   CHECK(caught(Rules::withoutSettling, 300));
 }
--- a/tests/consensus/failing_disk_test.cpp
+++ b/tests/consensus/failing_disk_test.cpp
@@ -113,9 +113,9 @@
 }
 }  // namespace
 
-TEST_GROUP(failingdisk){};
+TEST_GROUP(failingDisk){};
 
-TEST(failingdisk, aRefusingDiskGivesItsKeyspacesUpAndComesBack) {
+TEST(failingDisk, aRefusingDiskGivesItsKeyspacesUpAndComesBack) {
   std::size_t stuck = 0;
   for (std::size_t const nodes : {3u, 4u, 5u})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -131,14 +131,14 @@
   CHECK_TEXT(stuck > 0, "an owner that keeps its keyspaces with a refusing disk was never caught");
 }
 
-TEST(failingdisk, whatARefusingDiskCantBackIsNeverSaid) {
+TEST(failingDisk, whatARefusingDiskCantBackIsNeverSaid) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) STRCMP_EQUAL("", roughTimes(seed, false).c_str());
   bool caught = false;
   for (std::uint64_t seed = 1; seed <= 2000 && !caught; ++seed) caught = !roughTimes(seed, true).empty();
   CHECK_TEXT(caught, "votes and acks without a sync were never caught");
 }
 
-TEST(failingdisk, aDiskWithLostRecordsVotesOnlyOnceHealed) {
+TEST(failingDisk, aDiskWithLostRecordsVotesOnlyOnceHealed) {
   std::size_t caught = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     STRCMP_EQUAL("", damagedDisk(seed, false).c_str());
@@ -147,7 +147,7 @@
   CHECK_TEXT(caught > 0, "a damaged disk that votes on was never caught");
 }
 
-TEST(failingdisk, noMembershipGivesALostVoteBack) {
+TEST(failingDisk, noMembershipGivesALostVoteBack) {
   Membership first, second, third;
   first.number = MembershipNumber(1);
   first.members = {Member{NodeId(1), "a", "10.0.0.1", "z", true, true}};
--- a/tests/consensus/forward_to_owner_test.cpp
+++ b/tests/consensus/forward_to_owner_test.cpp
@@ -70,9 +70,9 @@
 };
 }  // namespace
 
-TEST_GROUP(forwardtoowner){};
+TEST_GROUP(forwardToOwner){};
 
-TEST(forwardtoowner, callsReachTheOwnerOrEndInTime) {
+TEST(forwardToOwner, callsReachTheOwnerOrEndInTime) {
   struct {
     char const *a, *b, *c;  ///< whom each takes for the owner
     bool silent;            ///< b doesn't answer
--- a/tests/consensus/membership_search_test.cpp
+++ b/tests/consensus/membership_search_test.cpp
@@ -10,7 +10,7 @@
 using sim::World;
 
 /// All orders of a few events, over the real state machine: see membership_search.hpp.
-TEST_GROUP(membershipsearch){};
+TEST_GROUP(membershipSearch){};
 
 namespace {
 struct Case {
@@ -59,7 +59,7 @@
 }
 }  // namespace
 
-TEST(membershipsearch, noOrderOfEventsLetsAMajorityVoteWithoutAnAcknowledgedChange) {
+TEST(membershipSearch, noOrderOfEventsLetsAMajorityVoteWithoutAnAcknowledgedChange) {
   Case const cases[] = {
       {"a learner is promoted", 4, 5, {.writes = 1, .changes = 1, .leads = 1, .crashes = 0}},
       {"a learner is promoted, with a crash", 4, 4, {.writes = 1, .changes = 1, .leads = 1, .crashes = 1}},
@@ -74,17 +74,17 @@
   for (Case const& c : cases) STRCMP_EQUAL_TEXT("", search(c, start(c)).c_str(), c.name);
 }
 
-TEST(membershipsearch, noOrderOfEventsBringsAReplacedDiskBackWithItsOldVote) {
+TEST(membershipSearch, noOrderOfEventsBringsAReplacedDiskBackWithItsOldVote) {
   Case const c{"a replaced disk comes back", 4, 5, {.writes = 0, .changes = 1, .leads = 0, .crashes = 1}};
   STRCMP_EQUAL("", search(c, replaced(c)).c_str());
 }
 
-TEST(membershipsearch, noOrderOfEventsLetsMembersLeaveBeforeAllIsWrittenAnew) {
+TEST(membershipSearch, noOrderOfEventsLetsMembersLeaveBeforeAllIsWrittenAnew) {
   Case const c{"members leave one after the other", 3, 5, {.writes = 0, .changes = 2, .leads = 2, .crashes = 0}};
   STRCMP_EQUAL("", search(c, othersDecide(c)).c_str());
 }
 
-TEST(membershipsearch, brokenVariantsAreFound) {
+TEST(membershipSearch, brokenVariantsAreFound) {
   Case const cases[] = {
       {"a promoted learner votes at once",
        4,
--- a/tests/control/call_input_test.cpp
+++ b/tests/control/call_input_test.cpp
@@ -15,9 +15,9 @@
 }
 }  // namespace
 
-TEST_GROUP(callinput){};
+TEST_GROUP(callInput){};
 
-TEST(callinput, idsInPaths) {
+TEST(callInput, idsInPaths) {
   STRCMP_EQUAL("i-7f3a91c2", idInPath("/servers/i-7f3a91c2", "/servers/").c_str());
   STRCMP_EQUAL("storage-hall-1", idInPath("/retire/storage-hall-1", "/retire/").c_str());
   for (string const& id : {string(), string("a/b"), string("a?b=c"), string("a#"), string("a%20"), string("a b"),
@@ -25,7 +25,7 @@
     LONGS_EQUAL(407, codeOf([&] { idInPath("/servers/" + id, "/servers/"); }));
   LONGS_EQUAL(407, codeOf([] { idInPath("/x", "/servers/"); }));
 }
-TEST(callinput, retirements) {
+TEST(callInput, retirements) {
   for (char const* const body : {"{\"overS\":10}", "{\"overS\":0.5}", "{\"overS\":0}", "{\"overS\":1,\"x\":[]}"})
     LONGS_EQUAL_TEXT(0, codeOf([&] { checkRetirement(body); }), body);
   for (string const& body :
@@ -34,7 +34,7 @@
         string("{\"overS\":NaN}"), string(1000000, '['), string("{\"overS\":10}x")})
     LONGS_EQUAL_TEXT(408, codeOf([&] { checkRetirement(body); }), body.substr(0, 40).c_str());
 }
-TEST(callinput, whatIsOpenIsNeverFinal) {
+TEST(callInput, whatIsOpenIsNeverFinal) {
   for (ErrorCode const code : {ErrorCode::noQuorum, ErrorCode::connectionLost, ErrorCode::timedOut}) {
     LONGS_EQUAL(503, shownToCaller(Error(code), CallKind::change).status());
     LONGS_EQUAL(112, static_cast<int>(shownToCaller(Error(code), CallKind::change).code()));
--- a/tests/lots/clocks_and_seeds_test.cpp
+++ b/tests/lots/clocks_and_seeds_test.cpp
@@ -35,14 +35,14 @@
 }
 }  // namespace
 
-TEST_GROUP(clocksandseeds){};
+TEST_GROUP(clocksAndSeeds){};
 
-TEST(clocksandseeds, seedsWithoutDisksLearnOfTheMembership) {
+TEST(clocksAndSeeds, seedsWithoutDisksLearnOfTheMembership) {
   LONGS_EQUAL(6, informed(1, true));
   LONGS_EQUAL_TEXT(3, informed(50, false), "members that call no seeds leave two islands");
 }
 
-TEST(clocksandseeds, aStepOfTheTimeOfDayAgesNoLot) {
+TEST(clocksAndSeeds, aStepOfTheTimeOfDayAgesNoLot) {
   LotAges ages;
   TimePoint const start = TimePoint() + std::chrono::hours(1);
   ages.learn(lot, start);
@@ -60,7 +60,7 @@
   LONGS_EQUAL(0, ages.atLeast(lot, start + due).count());
 }
 
-TEST(clocksandseeds, aStoreWhoseClockWentBackGetsItsLeaseAtOnce) {
+TEST(clocksAndSeeds, aStoreWhoseClockWentBackGetsItsLeaseAtOnce) {
   TimePoint now = TimePoint() + std::chrono::hours(1);
   LeaseGrants grants(Ms(600), now - Ms(10000));
   NodeId const store(7);
--- a/tests/lots/lot_parser_test.cpp
+++ b/tests/lots/lot_parser_test.cpp
@@ -4,9 +4,9 @@
 
 using namespace tealshelf;
 
-TEST_GROUP(lotparser){};
+TEST_GROUP(lotParser){};
 
-TEST(lotparser, readsItems) {
+TEST(lotParser, readsItems) {
   vector<ItemRecord> const v = parseLot(
       "{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/p/"
       "1\",\"headerMap\":{\"Model\":\"m\"},\"payload\":\"q83vEjRWeJA=\",\"tokens\":940}]}");
@@ -15,7 +15,7 @@
   LONGS_EQUAL(0xab, static_cast<unsigned char>(v[0].body[0]));
   LONGS_EQUAL(940, v[0].tokens);
 }
-TEST(lotparser, refusesBadOnesByNumber) {
+TEST(lotParser, refusesBadOnesByNumber) {
   auto const code = [](string const& s) {
     try {
       parseLot(s);
@@ -37,7 +37,7 @@
     many += string(i ? "," : "") + "{\"serverId\":\"a" + std::to_string(i) + "\",\"urlPath\":\"/p\",\"tokens\":1}";
   LONGS_EQUAL(301, code(many + "]}"));
 }
-TEST(lotparser, base64IsStrict) {
+TEST(lotParser, base64IsStrict) {
   STRCMP_EQUAL("A", decodeBase64("QQ==").value().c_str());
   STRCMP_EQUAL("", decodeBase64("").value().c_str());
   CHECK_FALSE(decodeBase64("QQ=").has_value());
--- a/tests/lots/lot_submission_test.cpp
+++ b/tests/lots/lot_submission_test.cpp
@@ -147,9 +147,9 @@
 };
 }  // namespace
 
-TEST_GROUP(lotsubmission){};
+TEST_GROUP(lotSubmission){};
 
-TEST(lotsubmission, aLotHandedInAtTwoEdgesAtOnceIsTakenOnce) {
+TEST(lotSubmission, aLotHandedInAtTwoEdgesAtOnceIsTakenOnce) {
   SmallSystem s;
   string items;
   for (int n = 0; n < itemCount; ++n)
@@ -172,7 +172,7 @@
   for (std::pair<string const, int> const& r : s.runs) LONGS_EQUAL_TEXT(1, r.second, r.first.c_str());
 }
 /// Each step of handing in a lot, sent again, late, or under the stamp of a try that was overtaken.
-TEST(lotsubmission, aStepThatComesAgainIsHarmless) {
+TEST(lotSubmission, aStepThatComesAgainIsHarmless) {
   SmallSystem s;
   Address const control = s.settings[0].controlAddress(s.ip(0));
   OpenLot open;
--- a/tests/lots/replica_rules_test.cpp
+++ b/tests/lots/replica_rules_test.cpp
@@ -146,9 +146,9 @@
 };
 }  // namespace
 
-TEST_GROUP(replicarules){};
+TEST_GROUP(replicaRules){};
 
-TEST(replicarules, aStoreGoesOnlyWhenOthersSaidThatTheyHoldItsLots) {
+TEST(replicaRules, aStoreGoesOnlyWhenOthersSaidThatTheyHoldItsLots) {
   std::size_t caught = 0, finished = 0;
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
     Moving moving(seed);
@@ -160,7 +160,7 @@
   CHECK_TEXT(caught > 0, "going by the record alone was never caught");
 }
 
-TEST(replicarules, anAnswerOfAnotherDiskCountsForNothing) {
+TEST(replicaRules, anAnswerOfAnotherDiskCountsForNothing) {
   LotRecord lot = lotWith(5);
   ConfirmReplicas const question{{{"h", "lot", GenerationStamp(5)}}};
   for (std::uint64_t const identity : {1u, 2u}) {
@@ -174,7 +174,7 @@
 }
 
 /// Whichever synced record is lost, the store doesn't call a replica whole that lacks results.
-TEST(replicarules, aReplicaWithALostRecordDoesntCountAsHeld) {
+TEST(replicaRules, aReplicaWithALostRecordDoesntCountAsHeld) {
   ReplicaTable replicas;
   vector<string> records;
   auto const note = [&] {
@@ -208,7 +208,7 @@
   CHECK_TEXT(tooFew > 0, "a replica that lacks results was never taken for whole");
 }
 
-TEST(replicarules, aStoreThatFailedTheWriterMayGetAFreshCopy) {
+TEST(replicaRules, aStoreThatFailedTheWriterMayGetAFreshCopy) {
   StoreRef const writer{NodeId(1), "a", "z1", {}}, failed{NodeId(2), "b", "z2", {}}, spare{NodeId(3), "c", "z3", {}};
   std::set<NodeId> const bad{failed.id};
   auto const among = [&](vector<StoreRef> const& live) {
--- a/tests/segments/replica_table_test.cpp
+++ b/tests/segments/replica_table_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace tealshelf;
 
-TEST_GROUP(replicatable){static LotRecord lot(std::uint64_t stamp){LotRecord l;
+TEST_GROUP(replicaTable){static LotRecord lot(std::uint64_t stamp){LotRecord l;
 l.host = "h";
 l.id = "lot";
 l.itemCount = 1000;
@@ -24,7 +24,7 @@
 }
 ;
 
-TEST(replicatable, anotherStampIsRefused) {
+TEST(replicaTable, anotherStampIsRefused) {
   ReplicaTable r;
   r.create(lot(5), "items", {});
   r.append({"h", "lot"}, GenerationStamp(5), 0, {"a"});
@@ -35,7 +35,7 @@
   CHECK(refused([&] { r.settle({"h", "lot"}, GenerationStamp(1), GenerationStamp(5), 0); }));
   CHECK(refused([&] { r.create(lot(4), "items", {}); }));
 }
-TEST(replicatable, aRecoveryStopsTheWriter) {
+TEST(replicaTable, aRecoveryStopsTheWriter) {
   ReplicaTable r;
   r.create(lot(5), "items", {});
   r.append({"h", "lot"}, GenerationStamp(5), 0, {"a", "b"});
@@ -46,7 +46,7 @@
   r.append({"h", "lot"}, GenerationStamp(8), 1, {"c"});
   LONGS_EQUAL(2, r.read({"h", "lot"}, GenerationStamp(8)).results.size());
 }
-TEST(replicatable, aRestartedReplicaWaitsForAFreshStamp) {
+TEST(replicaTable, aRestartedReplicaWaitsForAFreshStamp) {
   ReplicaTable r, s;
   r.create(lot(5), "items", {});
   r.append({"h", "lot"}, GenerationStamp(5), 0, {"a"});
@@ -56,7 +56,7 @@
   s.settle({"h", "lot"}, GenerationStamp(5), GenerationStamp(6), 1);
   s.append({"h", "lot"}, GenerationStamp(6), 1, {"b"});
 }
-TEST(replicatable, gapsAreRefusedAndRepeatsPassed) {
+TEST(replicaTable, gapsAreRefusedAndRepeatsPassed) {
   ReplicaTable r;
   r.create(lot(5), "items", {});
   CHECK(refused([&] { r.append({"h", "lot"}, GenerationStamp(5), 1, {"b"}); }));
@@ -64,14 +64,14 @@
   r.append({"h", "lot"}, GenerationStamp(5), 0, {"a", "b"});
   LONGS_EQUAL(2, r.read({"h", "lot"}, GenerationStamp(5)).results.size());
 }
-TEST(replicatable, staleOnesAreDeleted) {
+TEST(replicaTable, staleOnesAreDeleted) {
   ReplicaTable r;
   r.create(lot(5), "items", {});
   CHECK_FALSE(r.remove({"h", "lot"}, GenerationStamp(4)));
   CHECK(r.remove({"h", "lot"}, GenerationStamp(5)));
   POINTERS_EQUAL(nullptr, r.find({"h", "lot"}));
 }
-TEST(replicatable, snapshotAndLogGiveTheSame) {
+TEST(replicaTable, snapshotAndLogGiveTheSame) {
   ReplicaTable r, s, t;
   r.create(lot(5), "items", {});
   r.append({"h", "lot"}, GenerationStamp(5), 0, {"a", "b", "c"});
@@ -86,7 +86,7 @@
 
 /// A writer, three holders and a coordinator under seeded trouble. What was listed (synced on all
 /// holders of the record) must stand at its place for ever.
-TEST(replicatable, aListedResultNeverVanishes) {
+TEST(replicaTable, aListedResultNeverVanishes) {
   struct Holder {
     ReplicaTable live;
     vector<string> disk;
--- a/tests/traffic/event_stream_test.cpp
+++ b/tests/traffic/event_stream_test.cpp
@@ -4,9 +4,9 @@
 
 using namespace tealshelf;
 
-TEST_GROUP(eventstream){};
+TEST_GROUP(eventStream){};
 
-TEST(eventstream, onlyWholeEventsPass) {
+TEST(eventStream, onlyWholeEventsPass) {
   EventStreamReader r;
   r.data = "";
   STRCMP_EQUAL("", r.feed("id: 1\ndata: a").c_str());
@@ -20,7 +20,7 @@
   LONGS_EQUAL(2, r.lastId());
   CHECK(r.atEventBoundary());
 }
-TEST(eventstream, anyCutGivesTheSameEvents) {
+TEST(eventStream, anyCutGivesTheSameEvents) {
   string const s = "weight-versions: 3\nid: 1\ndata: x\n\nid: 2\ndata: y\n\nid: 3\ndata: z\n\n";
   for (std::size_t a = 0; a < s.size(); ++a) {
     EventStreamReader r;
--- a/tests/updates/updates_sim.hpp
+++ b/tests/updates/updates_sim.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "updates/relays.hpp"
+#include "updates/relay_topology.hpp"
 #include "updates/update_subscriber.hpp"
 
 #include <random>
@@ -235,7 +235,7 @@
     Address const from = x.at;
     net_.emplace(now_ + Ms(1 + dice(3)), [this, to, q, from, id] {
       if (!to->up) return;
-      to->publisher->noteAsker(q, now_);
+      to->publisher->noteSubscriber(q, now_);
       bool const crowded = dynamicCrowded(*to);
       to->held.push_back({q, now_, from, id, crowded});
     });
--- a/tests/wire/rpc_client_test.cpp
+++ b/tests/wire/rpc_client_test.cpp
@@ -55,7 +55,7 @@
 }
 }  // namespace
 
-TEST_GROUP(rpcclient) {
+TEST_GROUP(rpcClient) {
   asio::io_context io{1};
   Address const at{"127.0.0.79", 17691}, elsewhere{"127.0.0.79", 17692};
   Ms const silence{2000};
@@ -102,7 +102,7 @@
   }
 };
 
-TEST(rpcclient, whateverAPeerAnswersTheCallEndsByNumber) {
+TEST(rpcClient, whateverAPeerAnswersTheCallEndsByNumber) {
   struct Row {
     char const* name;
     string answer;
@@ -137,7 +137,7 @@
     io.poll();
   }
 }
-TEST(rpcclient, aReplyOfAnEarlierLifeIsNeverTaken) {
+TEST(rpcClient, aReplyOfAnEarlierLifeIsNeverTaken) {
   // The first call ends unclear with its connection; its reply comes on the next one.
   FakePeer peer(io, at, {welcome(at), welcome(at) + reply(1, "old") + reply(2, "new")}, true);
   RpcClient rpc(io, silence);
@@ -148,7 +148,7 @@
   STRCMP_EQUAL("new", second.body.c_str());
   LONGS_EQUAL(2, peer.connections);
 }
-TEST(rpcclient, aTakenOverAddressIsRefusedBeforeAnythingIsHandled) {
+TEST(rpcClient, aTakenOverAddressIsRefusedBeforeAnythingIsHandled) {
   std::size_t handled = 0;
   RpcServer server(io, elsewhere, silence);
   echo(server, handled);
@@ -165,7 +165,7 @@
   LONGS_EQUAL(0, call(rpc, elsewhere, "q").code);
   LONGS_EQUAL(1, handled);
 }
-TEST(rpcclient, aServerRefusesWhateverIsNotAHelloOfItsVersion) {
+TEST(rpcClient, aServerRefusesWhateverIsNotAHelloOfItsVersion) {
   std::size_t handled = 0;
   RpcServer server(io, at, silence);
   echo(server, handled);
@@ -190,7 +190,7 @@
   }
   LONGS_EQUAL(0, handled);
 }
-TEST(rpcclient, aRestartedProcessHasAnotherIncarnation) {
+TEST(rpcClient, aRestartedProcessHasAnotherIncarnation) {
   RpcClient rpc(io, silence);
   {
     FakePeer peer(io, at, {welcome(at)}, true);
@@ -203,7 +203,7 @@
   LONGS_EQUAL(0, call(rpc, at, "q").code);
   CHECK(rpc.processAt(at) != 7 && rpc.processAt(at) != 0);
 }
-TEST(rpcclient, aForeignExceptionEndsOnlyItsCall) {
+TEST(rpcClient, aForeignExceptionEndsOnlyItsCall) {
   std::size_t handled = 0;
   RpcServer server(io, at, silence);
   echo(server, handled);
@@ -214,7 +214,7 @@
   }
   CHECK(Error(ErrorCode::callFailed).kind() == ErrorKind::undetermined);
 }
-TEST(rpcclient, whatCallersSendIsBounded) {
+TEST(rpcClient, whatCallersSendIsBounded) {
   // A peer that takes connections and never reads.
   tcp::acceptor deaf(io, {asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
   RpcClient rpc(io, silence);
@@ -227,7 +227,7 @@
   for (std::shared_ptr<End> const& e : ends) full += e->code == static_cast<int>(ErrorCode::queueFull);
   CHECK_TEXT(full >= 7, "calls to a peer that doesn't read cost memory without bound");
 }
-TEST(rpcclient, callsUnderWayAreBounded) {
+TEST(rpcClient, callsUnderWayAreBounded) {
   std::size_t handled = 0;
   RpcServer server(io, at, silence);
   echo(server, handled);
@@ -243,7 +243,7 @@
   LONGS_EQUAL(76, full);
   LONGS_EQUAL(1024, handled);
 }
-TEST(rpcclient, whatWasNotSentInTimeIsNotSentLater) {
+TEST(rpcClient, whatWasNotSentInTimeIsNotSentLater) {
   // The first call fills the sockets, so that the second one waits behind it until its caller gives up.
   tcp::acceptor slow(io, {asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
   RpcClient rpc(io, silence);
--- a/tests/wire/rpc_server_test.cpp
+++ b/tests/wire/rpc_server_test.cpp
@@ -1,4 +1,4 @@
-#include "updates/publisher.hpp"
+#include "updates/update_publisher.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -65,16 +65,16 @@
 };
 }  // namespace
 
-TEST_GROUP(rpcserver){};
+TEST_GROUP(rpcServer){};
 
-TEST(rpcserver, anOversizedMessageEndsItsConnectionOnly) {
+TEST(rpcServer, anOversizedMessageEndsItsConnectionOnly) {
   Loop l;
   tcp::socket s = l.raw();
   asio::write(s, asio::buffer(Loop::head(0xfffffff0u, 1, 6, 0)));
   CHECK(l.closed(s));
   CHECK(l.serves());
 }
-TEST(rpcserver, aTruncatedMessageHarmsNobody) {
+TEST(rpcServer, aTruncatedMessageHarmsNobody) {
   Loop l;
   string const f = Loop::head(100, 1, 6, 0) + "only a part";
   for (std::size_t n = 1; n < f.size(); n += 5) {
@@ -84,7 +84,7 @@
   }
   CHECK(l.serves());
 }
-TEST(rpcserver, aMalformedBodyIsAnsweredByNumber) {
+TEST(rpcServer, aMalformedBodyIsAnsweredByNumber) {
   Loop l;
   for (string const& body : {string("\xc1"), string("\x93\x01"), string(40, '\xff'), string(),
                              serialize(string("a text")), serialize(vector<int>{7, 8})}) {
@@ -108,7 +108,7 @@
   l.run(Ms(20));
   CHECK(l.serves());
 }
-TEST(rpcserver, anotherFormOfUpdatesIsRefused) {
+TEST(rpcServer, anotherFormOfUpdatesIsRefused) {
   Loop l;
   UpdateRequest q;
   q.format = updateFormat + 1;
@@ -123,7 +123,7 @@
   CHECK(l.until([&] { return code != 0; }));
   LONGS_EQUAL(static_cast<int>(ErrorCode::badMessage), code);
 }
-TEST(rpcserver, aPeerThatAsksWithoutReadingIsCutOff) {
+TEST(rpcServer, aPeerThatAsksWithoutReadingIsCutOff) {
   Loop l;
   tcp::socket s = l.raw();
   s.non_blocking(true);
--- a/tests/workers/worker_registry_test.cpp
+++ b/tests/workers/worker_registry_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace tealshelf;
 
-TEST_GROUP(workerregistry) {
+TEST_GROUP(workerRegistry) {
   WorkerRegistry t{Ms(3600)};
   TimePoint now = TimePoint() + std::chrono::hours(1);
   static Worker worker(std::uint64_t count, bool draining = false) {
@@ -18,7 +18,7 @@
   }
 };
 
-TEST(workerregistry, lateBeatsAreDropped) {
+TEST(workerRegistry, lateBeatsAreDropped) {
   CHECK(t.merge(worker(5, true), now));
   CHECK_FALSE(t.merge(worker(4), now));
   CHECK(t.isLate(worker(4)));
@@ -26,7 +26,7 @@
   CHECK_FALSE(t.merge(worker(6), now));
   CHECK_TEXT(t.find("i-1")->draining, "a worker that drains never serves again");
 }
-TEST(workerregistry, goneStaysGone) {
+TEST(workerRegistry, goneStaysGone) {
   t.merge(worker(1), now);
   Worker w = worker(1);
   w.removed = true;
@@ -35,7 +35,7 @@
   LONGS_EQUAL(1, t.changedSince(0).size());
   CHECK(t.changedSince(0)[0].removed);
 }
-TEST(workerregistry, lostOnesComeBackWithABeat) {
+TEST(workerRegistry, lostOnesComeBackWithABeat) {
   t.merge(worker(1), now);
   std::uint64_t const rev = t.revision();
   CHECK(t.expire(now + Ms(4000)));
@@ -46,7 +46,7 @@
 }
 
 /// Several registers that tell each other only transitions, as control nodes do.
-TEST(workerregistry, onlyTheRegistrarTellsAndLoses) {
+TEST(workerRegistry, onlyTheRegistrarTellsAndLoses) {
   WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   Worker w = worker(1);
   w.registrar = NodeId(1);
@@ -85,7 +85,7 @@
   CHECK(a.merge(told[0], now));
   CHECK(a.present().empty() && b.present().empty());
 }
-TEST(workerregistry, aWholeRegisterMendsAGap) {
+TEST(workerRegistry, aWholeRegisterMendsAGap) {
   WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   for (int i = 0; i < 5; ++i) {
     Worker w = worker(1);
--- a/updates/fleet_view.cpp
+++ b/updates/fleet_view.cpp
@@ -1,6 +1,6 @@
 #include "updates/fleet_view.hpp"
 
-#include "updates/relays.hpp"
+#include "updates/relay_topology.hpp"
 
 namespace tealshelf {
 
--- a/updates/messages.hpp
+++ b/updates/messages.hpp
@@ -4,35 +4,35 @@
 /// Calls by which data-plane nodes ask for updates.
 namespace tealshelf {
 
-/// Format of the updates; an asker with another one is refused.
+/// Format of the updates; a subscriber with another one is refused.
 constexpr int updateFormat = 2;
 
 /// Answer of a control node or a relay to a request for updates.
 struct UpdateReply {
   int format = updateFormat;
   bool healthy = false;
-  bool wantsNodes = false;      ///< the list of nodes that ask at the asker is wanted
+  bool wantsNodes = false;      ///< the list of nodes subscribed to the subscriber is wanted
   int depth = 0;                ///< 0 from control, one more from each relay
   std::int64_t proofAgeMs = 0;  ///< how old the proof is that control had a majority
   std::int64_t heldMs = 0;      ///< how long the request was held
   std::uint64_t configurationVersion = 0;
-  string configuration;  ///< empty if the asker has it
-  string common, zone;   ///< serialized TableDeltas; empty if the asker is up to date
+  string configuration;  ///< empty if the subscriber has it
+  string common, zone;   ///< serialized TableDeltas; empty if the subscriber is up to date
   std::uint64_t commonDigest = 0, zoneDigest = 0;
   MSGPACK_DEFINE(format, healthy, wantsNodes, depth, proofAgeMs, heldMs, configurationVersion, configuration, common,
                  zone, commonDigest, zoneDigest)
 };
 
-/// Asks for updates with the versions that the asker has; held until there are some.
+/// Asks for updates with the versions that the subscriber has; held until there are some.
 struct UpdateRequest {
   using Reply = UpdateReply;
   static constexpr RpcMethod method = RpcMethod::updates;
   int format = updateFormat;
   DataNode self;
   std::int64_t holdMs = 0;
-  bool isFirst = false;  ///< the asker knows nothing yet and waits for the answerer's health
+  bool isFirst = false;  ///< the subscriber knows nothing yet and waits for the answerer's health
   std::uint64_t configurationVersion = 0, commonDigest = 0, zoneDigest = 0;
-  std::uint64_t nodesDigest = 0;  ///< of the nodes that ask at the asker; 0 if there are none
+  std::uint64_t nodesDigest = 0;  ///< of the nodes subscribed to the subscriber; 0 if there are none
   bool carriesNodes = false;
   vector<DataNode> nodes;
   vector<WorkerTally> tallies;  ///< how requests at workers went since the last request, here and at the nodes
--- a/updates/relays.cpp
+++ b/updates/relay_topology.cpp
@@ -1,4 +1,4 @@
-#include "updates/relays.hpp"
+#include "updates/relay_topology.hpp"
 
 #include <cmath>
 
--- a/updates/update_copy.hpp
+++ b/updates/update_copy.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "updates/publisher.hpp"
+#include "updates/update_publisher.hpp"
 
 namespace tealshelf {
 
--- a/updates/publisher.cpp
+++ b/updates/update_publisher.cpp
@@ -1,6 +1,6 @@
-#include "updates/publisher.hpp"
+#include "updates/update_publisher.hpp"
 
-#include "updates/relays.hpp"
+#include "updates/relay_topology.hpp"
 
 namespace tealshelf {
 
@@ -23,22 +23,23 @@
   });
 }
 
-void UpdatePublisher::noteAsker(UpdateRequest const& request, TimePoint now) {
+void UpdatePublisher::noteSubscriber(UpdateRequest const& request, TimePoint now) {
   if (request.self.name.empty()) return;
-  Asker& asker = askers_[request.self.name];
-  asker.self = request.self;
-  asker.askedAt = now;
+  Subscriber& subscriber = subscribers_[request.self.name];
+  subscriber.self = request.self;
+  subscriber.heardAt = now;
   addTallies(request.tallies);
   if (request.nodesDigest == 0) {
-    asker.nodes.clear();
-    asker.nodesDigest = 0;
+    subscriber.nodes.clear();
+    subscriber.nodesDigest = 0;
   } else if (request.carriesNodes) {
-    asker.nodes = request.nodes;
-    asker.nodesDigest = request.nodesDigest;
+    subscriber.nodes = request.nodes;
+    subscriber.nodesDigest = request.nodesDigest;
   }
-  bool const many = askers_.size() > 4 * RelayTopology::fanOut && askers_.size() > 2 * held_.size();
+  bool const many = subscribers_.size() > 4 * RelayTopology::fanOut && subscribers_.size() > 2 * held_.size();
   if (!many) return;
-  std::erase_if(askers_, [&](auto const& item) { return now - item.second.askedAt > 2 * settings_.bounds.inTouch; });
+  std::erase_if(subscribers_,
+                [&](auto const& item) { return now - item.second.heardAt > 2 * settings_.bounds.inTouch; });
 }
 
 void UpdatePublisher::addTallies(vector<WorkerTally> const& tallies) {
@@ -58,18 +59,18 @@
   return tallies;
 }
 
-bool UpdatePublisher::isRecent(Asker const& asker, TimePoint now) const {
-  return now - asker.askedAt <= settings_.bounds.inTouch / 2;
+bool UpdatePublisher::isRecent(Subscriber const& subscriber, TimePoint now) const {
+  return now - subscriber.heardAt <= settings_.bounds.inTouch / 2;
 }
 
 vector<DataNode> UpdatePublisher::recentNodes(TimePoint now) const {
   vector<DataNode> nodes;
   std::set<string> names;
-  for (auto const& [name, asker] : askers_)
-    if (isRecent(asker, now) && names.insert(name).second) nodes.push_back(asker.self);
-  for (auto const& [name, asker] : askers_) {
-    if (!isRecent(asker, now)) continue;
-    for (DataNode const& node : asker.nodes)
+  for (auto const& [name, subscriber] : subscribers_)
+    if (isRecent(subscriber, now) && names.insert(name).second) nodes.push_back(subscriber.self);
+  for (auto const& [name, subscriber] : subscribers_) {
+    if (!isRecent(subscriber, now)) continue;
+    for (DataNode const& node : subscriber.nodes)
       if (names.insert(node.name).second) nodes.push_back(node);
   }
   return nodes;
@@ -94,13 +95,13 @@
   UpdateReply reply;
   reply.healthy = present.healthy && !crowded;
   reply.depth = present.depth;
-  reply.wantsNodes =
-      request.nodesDigest && !request.carriesNodes && askers_[request.self.name].nodesDigest != request.nodesDigest;
+  reply.wantsNodes = request.nodesDigest && !request.carriesNodes &&
+                     subscribers_[request.self.name].nodesDigest != request.nodesDigest;
   bool const newConfiguration = configurationVersion_ > request.configurationVersion;
   bool const hasUpdates = newConfiguration || common.digest() != request.commonDigest ||
                           zone.digest() != request.zoneDigest || reply.wantsNodes;
   bool const timeIsUp = now >= receivedAt + holdOf(request);
-  // An unhealthy node answers at once, but for askers that have nothing better to ask yet.
+  // An unhealthy node answers at once, but for subscribers that have nothing better to ask yet.
   bool const due = timeIsUp || (reply.healthy ? hasUpdates : !request.isFirst);
   if (!due) return std::nullopt;
   std::int64_t const proofAgeMs = std::chrono::duration_cast<Ms>(now - present.provenAt).count();
@@ -123,7 +124,7 @@
   if (request.format != updateFormat)
     throw Error(ErrorCode::badMessage, "format of updates " + std::to_string(request.format));
   TimePoint const receivedAt = Clock::now();
-  noteAsker(request, receivedAt);
+  noteSubscriber(request, receivedAt);
   bool const crowded = maxHeld_ && held_.size() >= maxHeld_;
   for (;;) {
     std::optional<UpdateReply> reply = answerIfDue(request, receivedAt, Clock::now(), crowded);
--- a/updates/publisher.hpp
+++ b/updates/update_publisher.hpp
@@ -36,14 +36,14 @@
   /// Answers a request as soon as there are updates for it.
   Task<UpdateReply> serve(UpdateRequest request);
   /// Notes who asks.
-  void noteAsker(UpdateRequest const& request, TimePoint now);
+  void noteSubscriber(UpdateRequest const& request, TimePoint now);
   /// The answer to a request if it is due now: there are updates, or the time is up, or this node is unhealthy.
   std::optional<UpdateReply> answerIfDue(UpdateRequest const& request, TimePoint receivedAt, TimePoint now,
                                          bool crowded);
 
   /// Nodes that asked here lately, and those that asked at them.
   vector<DataNode> recentNodes(TimePoint now) const;
-  /// How requests at workers went, as told by the askers since the last call.
+  /// How requests at workers went, as told by the subscribers since the last call.
   vector<WorkerTally> takeTallies();
   /// Adds tallies, or puts back what couldn't be passed on.
   void addTallies(vector<WorkerTally> const& tallies);
@@ -53,9 +53,9 @@
   std::uint64_t bytesSent() const { return bytesSent_; }
 
  private:
-  struct Asker {
+  struct Subscriber {
     DataNode self;
-    TimePoint askedAt;
+    TimePoint heardAt;
     std::uint64_t nodesDigest = 0;
     vector<DataNode> nodes;  ///< that asked at it
   };
@@ -63,7 +63,7 @@
     std::uint64_t fromDigest = 0, toDigest = 0;
     auto operator<=>(DeltaKey const&) const = default;
   };
-  bool isRecent(Asker const& asker, TimePoint now) const;
+  bool isRecent(Subscriber const& subscriber, TimePoint now) const;
   Ms holdOf(UpdateRequest const& request) const;
   string const& serializedDelta(VersionedTable const& table, std::uint64_t fromDigest);
 
@@ -74,9 +74,9 @@
   string configuration_;
   bool notifying_ = false;
   std::set<std::shared_ptr<asio::steady_timer>> held_;  ///< one a held request; cancelled when there is news
-  std::map<string, Asker> askers_;                      ///< by name
+  std::map<string, Subscriber> subscribers_;            ///< by name
   std::map<string, WorkerTally> tallies_;               ///< by worker
-  std::map<DeltaKey, string> serializedDeltas_;         ///< serialized once for all askers
+  std::map<DeltaKey, string> serializedDeltas_;         ///< serialized once for all subscribers
   std::uint64_t repliesSent_ = 0, bytesSent_ = 0;
 };
 
--- a/updates/sources.cpp
+++ b/updates/update_sources.cpp
@@ -1,4 +1,4 @@
-#include "updates/sources.hpp"
+#include "updates/update_sources.hpp"
 
 namespace tealshelf {
 
--- a/updates/sources.hpp
+++ b/updates/update_sources.hpp
@@ -11,7 +11,7 @@
   void set(vector<Address> parents, vector<Address> controls);
   /// The first that doesn't rest, relays before control nodes; else the one whose rest ends first.
   Address next(TimePoint now) const;
-  /// True if all rest, so that the asker should pause.
+  /// True if all rest, so that the subscriber should pause.
   bool allRest(TimePoint now) const;
   bool isParent(Address const& source) const;
   void noteAnswered(Address const& source) { failures_.erase(source); }
--- a/updates/update_subscriber.cpp
+++ b/updates/update_subscriber.cpp
@@ -1,6 +1,6 @@
 #include "updates/update_subscriber.hpp"
 
-#include "updates/relays.hpp"
+#include "updates/relay_topology.hpp"
 
 namespace tealshelf {
 
--- a/updates/update_subscriber.hpp
+++ b/updates/update_subscriber.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include "consensus/membership.hpp"
-#include "updates/sources.hpp"
 #include "updates/update_copy.hpp"
+#include "updates/update_sources.hpp"
 
 namespace tealshelf {
 
--- a/workers/outlier_detector.hpp
+++ b/workers/outlier_detector.hpp
@@ -27,7 +27,7 @@
 
   /// Adds how requests went at nodes that ask here.
   void record(vector<WorkerTally> const& tallies, TimePoint now);
-  /// Takes what another control node says of its askers; replaces what it said before.
+  /// Takes what another control node says of its subscribers; replaces what it said before.
   void receiveReport(NodeId from, vector<WorkerTally> const& tallies, TimePoint now);
   /// What the other control nodes are told: the counts of workers that failed something lately.
   vector<WorkerTally> report(TimePoint now) const;
