--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -10,4 +10,5 @@
 not_held=(--extra-arg=-Wno-unused-private-field)
 if [ $# -gt 0 ]; then files=("$@"); else mapfile -t files < <(git ls-files '*.cpp'); fi
 printf '%s\0' "${files[@]}" |
-  xargs -0 -n 1 -P "${LINT_JOBS:-$(nproc)}" clang-tidy-16 -p target/lint --quiet "${coroutines[@]}" "${not_held[@]}"
+  xargs -0 -n 1 -P "${LINT_JOBS:-$(nproc)}" clang-tidy-16 -p target/lint --quiet "${coroutines[@]}" "${not_held[@]}" \
+    2> >(grep -v ' warnings\? generated\.$' >&2)
