--- a/tests/configuration/change_simulation_test.cpp
+++ b/tests/configuration/change_simulation_test.cpp
@@ -224,14 +224,7 @@
   }
   /// All is healed; the chain that is in force then must explain the whole history.
   string judge() {
-    cluster_.cuts.clear();
-    cluster_.loss = 0;
-    for (std::size_t i = 0; i < cluster_.nodes().size(); ++i) {
-      if (!cluster_.nodes()[i].up)
-        cluster_.start(i);
-      else if (cluster_.nodes()[i].frozen)
-        cluster_.thaw(i);
-    }
+    cluster_.heal();
     cluster_.run(2500);
     for (sim::Cluster::Node& x : cluster_.nodes()) {
       if (!x.consensus->owns("configuration")) continue;
--- a/tests/consensus/consensus_sim.cpp
+++ b/tests/consensus/consensus_sim.cpp
@@ -256,6 +256,17 @@
   }
 }
 
+void Cluster::heal() {
+  cuts.clear();
+  loss = 0;
+  for (std::size_t i = 0; i < nodes_.size(); ++i) {
+    if (!nodes_[i].up)
+      start(i);
+    else if (nodes_[i].frozen)
+      thaw(i);
+  }
+}
+
 void Cluster::found(std::size_t i) {
   tealshelf::Membership first;
   first.number = MembershipNumber(1);
--- a/tests/consensus/consensus_sim.hpp
+++ b/tests/consensus/consensus_sim.hpp
@@ -250,6 +250,8 @@
 
  public:
   void thaw(std::size_t i);
+  /// Ends every cut, loss, stop and freeze.
+  void heal();
 
  private:
   std::mt19937_64 g_;
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -43,16 +43,6 @@
       break;
   }
 }
-static void heal(sim::Cluster& cluster) {
-  cluster.cuts.clear();
-  cluster.loss = 0;
-  for (std::size_t i = 0; i < cluster.nodes().size(); ++i) {
-    if (!cluster.nodes()[i].up)
-      cluster.start(i);
-    else if (cluster.nodes()[i].frozen)
-      cluster.thaw(i);
-  }
-}
 static string play(std::uint64_t seed, std::size_t n, bool breakSync, std::uint64_t& writes, std::uint64_t& reads,
                    bool syncAtStart = true) {
   sim::Cluster cluster(seed, n, breakSync);
@@ -70,7 +60,7 @@
     last = cluster.acked;
     cluster.check();
   }
-  heal(cluster);
+  cluster.heal();
   for (int k = 0; k < 1200 && cluster.broken.empty(); ++k) {
     cluster.step();
     cluster.check();
--- a/tests/consensus/membership_runs.hpp
+++ b/tests/consensus/membership_runs.hpp
@@ -34,14 +34,7 @@
 }
 /// Everyone is up again; says what is broken.
 inline string healed(Cluster& cluster) {
-  cluster.cuts.clear();
-  cluster.loss = 0;
-  for (std::size_t i = 0; i < cluster.nodes().size(); ++i) {
-    if (!cluster.nodes()[i].up)
-      cluster.start(i);
-    else if (cluster.nodes()[i].frozen)
-      cluster.thaw(i);
-  }
+  cluster.heal();
   for (int k = 0; k < 2500 && cluster.broken.empty(); ++k) {
     cluster.step();
     cluster.check();
