--- a/apps/control_plane.cpp
+++ b/apps/control_plane.cpp
@@ -25,6 +25,6 @@
     daemon.pages[string(lotsPage)] = [node] { return node->waitingLotsReport(); };
     daemon.pages[string(dutiesPage)] = [node] { return node->dutyReport(); };
     daemon.pages[string(talliesPage)] = [node] { return node->tallyReport(); };
-    daemon.minStopTime = settings.bounds.inTouch / 6;
+    daemon.minShutdownTime = settings.bounds.inTouch / 6;
   });
 }
--- a/apps/daemon.cpp
+++ b/apps/daemon.cpp
@@ -20,7 +20,7 @@
   daemon.stop();
   for (;;) {
     auto const elapsed = Clock::now() - startedAt;
-    bool const waits = elapsed < daemon.minStopTime || (!daemon.isIdle() && elapsed < limit);
+    bool const waits = elapsed < daemon.minShutdownTime || (!daemon.isIdle() && elapsed < limit);
     if (!waits) break;
     co_await sleepFor(settings.bounds.step / 4);
   }
--- a/apps/daemon.hpp
+++ b/apps/daemon.hpp
@@ -11,7 +11,7 @@
 struct Daemon {
   std::function<void()> stop;    ///< takes no new work
   std::function<bool()> isIdle;  ///< true once nothing is under way
-  Ms minStopTime{0};             ///< waits at least so long
+  Ms minShutdownTime{0};         ///< waits at least so long
   StatusPages pages;             ///< served beside the metrics
 };
 
--- a/apps/data_plane.cpp
+++ b/apps/data_plane.cpp
@@ -11,7 +11,7 @@
   daemon.stop = [node] { node->stop(); };
   daemon.isIdle = [node] { return node->activeRequests() == 0; };
   daemon.pages[string(prefixesPath)] = [node] { return node->prefixes().json(); };
-  daemon.minStopTime = settings.bounds.grace / 4;
+  daemon.minShutdownTime = settings.bounds.grace / 4;
 }
 
 void startStore(asio::io_context& io, Settings const& settings, Daemon& daemon) {
@@ -19,7 +19,7 @@
   node->start();
   daemon.stop = [node] { node->stop(); };
   daemon.isIdle = [] { return true; };
-  daemon.minStopTime = settings.bounds.inTouch / 6;
+  daemon.minShutdownTime = settings.bounds.inTouch / 6;
 }
 }  // namespace
 
--- a/apps/status_reader.cpp
+++ b/apps/status_reader.cpp
@@ -14,7 +14,7 @@
 namespace tealshelf {
 
 namespace {
-constexpr Ms answerLimit{5000};
+constexpr Ms responseTimeout{5000};
 constexpr std::uint64_t maxAnswerBytes = 64u << 20;
 
 /// Gets a page over HTTP; throws ErrorCode::notConnected if there is no good answer in time.
@@ -27,7 +27,7 @@
   asio::co_spawn(
       io,
       [&]() -> asio::awaitable<void> {
-        stream.expires_after(answerLimit);
+        stream.expires_after(responseTimeout);
         co_await stream.async_connect(endpointOf(from), asio::use_awaitable);
         http::request<http::empty_body> request(http::verb::get, path, 11);
         request.set(http::field::host, from.ip);
@@ -124,7 +124,7 @@
   return std::move(*address);
 }
 
-vector<MetricSample> samplesOf(string const& metricsText, string const& name) {
+vector<MetricSample> parseSamples(string const& metricsText, string const& name) {
   vector<MetricSample> samples;
   std::istringstream lines(metricsText);
   string line;
@@ -145,9 +145,9 @@
 }
 
 string trafficTable(string const& metricsText) {
-  vector<MetricSample> bytes = samplesOf(metricsText, "tealshelf_rpc_bytes_total");
+  vector<MetricSample> bytes = parseSamples(metricsText, "tealshelf_rpc_bytes_total");
   std::map<std::map<string, string>, double> messages;
-  for (MetricSample const& sample : samplesOf(metricsText, "tealshelf_rpc_messages_total"))
+  for (MetricSample const& sample : parseSamples(metricsText, "tealshelf_rpc_messages_total"))
     messages[sample.labels] = sample.value;
   std::sort(bytes.begin(), bytes.end(),
             [](MetricSample const& left, MetricSample const& right) { return left.value > right.value; });
--- a/apps/status_reader.hpp
+++ b/apps/status_reader.hpp
@@ -15,7 +15,7 @@
   double value = 0;
 };
 /// The samples of one metric; lines that can't be read are left out.
-vector<MetricSample> samplesOf(string const& metricsText, string const& name);
+vector<MetricSample> parseSamples(string const& metricsText, string const& name);
 
 /// A table of the messages between own processes, by bytes, the largest first.
 string trafficTable(string const& metricsText);
--- a/control/call_input.cpp
+++ b/control/call_input.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr std::size_t maxIdLength = 128;
-constexpr double maxOverSeconds = 24 * 3600;
+constexpr double maxDurationSeconds = 24 * 3600;
 }  // namespace
 
 string idInPath(string_view path, string_view prefix) {
@@ -24,10 +24,10 @@
   rapidjson::Value::ConstMemberIterator const over = document.FindMember("overS");
   if (over == document.MemberEnd() || !over->value.IsNumber()) throw Error(ErrorCode::badRetirement, "no overS");
   double const seconds = over->value.GetDouble();
-  if (!(seconds >= 0 && seconds <= maxOverSeconds)) throw Error(ErrorCode::badRetirement, "overS out of its range");
+  if (!(seconds >= 0 && seconds <= maxDurationSeconds)) throw Error(ErrorCode::badRetirement, "overS out of its range");
 }
 
-Error shownToCaller(Error const& error, CallKind kind) {
+Error errorForCaller(Error const& error, CallKind kind) {
   if (error.kind() != ErrorKind::undetermined || kind == CallKind::addition) return error;
   return Error(kind == CallKind::read ? ErrorCode::notReady : ErrorCode::changeUndecided, error.what());
 }
--- a/control/call_input.hpp
+++ b/control/call_input.hpp
@@ -22,6 +22,6 @@
 /// What a caller of the control interface is told: an error that leaves the call's end open becomes a 503, which no
 /// caller takes for final. A read has no end that could be open; it wasn't served. An addition's open end stays one, as
 /// a 503 promises there that nothing was counted.
-Error shownToCaller(Error const& error, CallKind kind);
+Error errorForCaller(Error const& error, CallKind kind);
 
 }  // namespace tealshelf
--- a/control/capacity_controller.cpp
+++ b/control/capacity_controller.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 /// So often in a lease the number of workers is looked at.
-constexpr int decisionsInLease = 6;
+constexpr int decisionsPerLease = 6;
 
 string orderBody(string const& service, ScalingOrder const& order) {
   rapidjson::StringBuffer buffer;
@@ -54,7 +54,7 @@
 
 Task<void> CapacityController::orderLoop() {
   for (;;) {
-    co_await sleepFor(std::max(backoff_.pause(), settings_.bounds.lease / decisionsInLease));
+    co_await sleepFor(std::max(backoff_.pause(), settings_.bounds.lease / decisionsPerLease));
     if (duties_.mayAct()) co_await decideAll();
   }
 }
--- a/control/configuration_handler.cpp
+++ b/control/configuration_handler.cpp
@@ -8,21 +8,21 @@
 /// Changes that wait for their turn: operators may have eight under way, each handed on by several nodes.
 constexpr std::size_t maxWaitingChanges = 32;
 /// Keys that one change adds or takes away and that are told one by one.
-constexpr std::size_t maxToldKeys = 20;
+constexpr std::size_t maxLoggedKeys = 20;
 
 using KeysByTenant = std::map<string, std::set<string>>;
 
 /// Tells of keys that are in one configuration and not in another, by tenant and fingerprint.
-void logKeysOnlyIn(KeysByTenant const& one, KeysByTenant const& other, string const& what) {
+void logKeysMissingFrom(KeysByTenant const& one, KeysByTenant const& other, string const& what) {
   std::size_t count = 0;
   for (auto const& [tenant, keys] : one) {
     auto const counterpart = other.find(tenant);
     for (string const& key : keys) {
       if (counterpart != other.end() && counterpart->second.contains(key)) continue;
-      if (++count <= maxToldKeys) logInfo("configuration", "key " + key + " of " + tenant + what);
+      if (++count <= maxLoggedKeys) logInfo("configuration", "key " + key + " of " + tenant + what);
     }
   }
-  if (count > maxToldKeys) logInfo("configuration", std::to_string(count) + " keys in all" + what);
+  if (count > maxLoggedKeys) logInfo("configuration", std::to_string(count) + " keys in all" + what);
 }
 }  // namespace
 
@@ -98,8 +98,8 @@
   if (published_ && (published_->needsKeys || configuration->needsKeys)) {
     KeysByTenant const before = keyFingerprints(publisher_.configuration());
     KeysByTenant const now = keyFingerprints(current->second);
-    logKeysOnlyIn(before, now, " is taken away");
-    logKeysOnlyIn(now, before, " is added");
+    logKeysMissingFrom(before, now, " is taken away");
+    logKeysMissingFrom(now, before, " is added");
   }
   publisher_.setConfiguration(configuration->version, current->second);
   published_ = configuration;
--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -84,7 +84,7 @@
     co_return isWarmUp ? warmUps_.take(request.subject, contact, now) : quotas_.take(request.subject, contact, now);
   });
   rpcServer_.on<ForwardedCall>([this](ForwardedCall call) -> Task<CallReply> {
-    if (call.budgetMs <= 0) call.budgetMs = callBudgetMs();
+    if (call.budgetMs <= 0) call.budgetMs = callTimeoutMs();
     co_return co_await route(std::move(call));
   });
   rpcServer_.start();
@@ -101,7 +101,7 @@
 }
 
 Task<HttpReply> ControlNode::handle(HttpCall call) {
-  ForwardedCall forwarded{call.verb, call.path, call.header("If-Match"), std::move(call.body), 0, callBudgetMs()};
+  ForwardedCall forwarded{call.verb, call.path, call.header("If-Match"), std::move(call.body), 0, callTimeoutMs()};
   bool const isAddition = call.verb == "POST" && call.path.starts_with(tallyPath);
   CallKind const kind = call.verb == "GET" ? CallKind::read : isAddition ? CallKind::addition : CallKind::change;
   HttpReply answer;
@@ -109,7 +109,7 @@
     CallReply const reply = co_await route(std::move(forwarded));
     answer = HttpReply{reply.status, reply.body, "application/json", {}};
   } catch (Error const& error) {
-    answer = errorReply(shownToCaller(error, kind));
+    answer = errorReply(errorForCaller(error, kind));
   }
   if (answer.status == httpStatusOf(ErrorKind::unavailable))
     answer.headers.emplace_back("Retry-After", retryAfterSeconds());
@@ -175,8 +175,8 @@
     warmUps_.setMembership(consensus.membership(), consensus.self(), now);
   }
   std::shared_ptr<Configuration const> const configuration = configuration_.published();
-  if (configuration && configuration != countedConfiguration_) quotas_.setConfiguration(configuration, now);
-  countedConfiguration_ = configuration;
+  if (configuration && configuration != quotaConfiguration_) quotas_.setConfiguration(configuration, now);
+  quotaConfiguration_ = configuration;
 }
 
 void ControlNode::updateWarmUps() {
--- a/control/control_node.hpp
+++ b/control/control_node.hpp
@@ -39,7 +39,7 @@
   Task<CallReply> route(ForwardedCall call);
   string retryAfterSeconds() const;
   /// Time in which a call is answered; its caller turns to another node soon after.
-  std::int64_t callBudgetMs() const { return (settings_.bounds.confirmWithin / 5).count(); }
+  std::int64_t callTimeoutMs() const { return (settings_.bounds.confirmWithin / 5).count(); }
   Task<void> sweepLoop();
   void onHeartbeat(HeartbeatMessage const& message);
   void onControlStateChange();
@@ -72,7 +72,7 @@
   DutyHolder duties_;
   UsageCollector usage_;
   CapacityController capacity_;
-  std::shared_ptr<Configuration const> countedConfiguration_;  ///< that quotas_ has
+  std::shared_ptr<Configuration const> quotaConfiguration_;  ///< that quotas_ has
   MembershipNumber publishedMembership_;
   bool wasHealthy_ = false;
   bool stopping_ = false;
--- a/control/duty_holder.cpp
+++ b/control/duty_holder.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 /// So often in a lease the ownership is confirmed, and the platform probed by a bare connection.
-constexpr int confirmationsInLease = 10, probesInLease = 3;
+constexpr int confirmationsPerLease = 10, probesPerLease = 3;
 string const recordKey = "holder";
 }  // namespace
 
@@ -19,7 +19,7 @@
       contact_(driver.consensus().self().id, settings.bounds.lease, Clock::now()),
       preference_(driver.consensus().self().id, settings.bounds.lease),
       claims_(metrics().counter("tealshelf_duties_claims_total", "Claims of the duties by this node")),
-      givenUp_(metrics().counter("tealshelf_duties_given_up_total", "Duties that this node gave up")),
+      relinquishments_(metrics().counter("tealshelf_duties_given_up_total", "Duties that this node gave up")),
       holds_(metrics().gauge("tealshelf_duties_held", "1 while this node may call the platform")),
       fence_(metrics().gauge("tealshelf_duties_fence", "Fencing token of this node's last claim")),
       silence_(metrics().gauge("tealshelf_platform_silence_seconds",
@@ -31,7 +31,7 @@
   if (!settings_.provider.exists()) return;
   driver_.consensus().addKeyspace(dutiesKeyspace);
   spawnTask(io_, "duties lease", leaseLoop());
-  spawnTask(io_, "platform probe", contactLoop());
+  spawnTask(io_, "platform probe", platformProbeLoop());
 }
 
 std::optional<DutyRecord> DutyHolder::record() const {
@@ -42,12 +42,12 @@
 
 Task<void> DutyHolder::leaseLoop() {
   for (;;) {
-    co_await sleepFor(settings_.bounds.lease / confirmationsInLease);
-    co_await keepLease();
+    co_await sleepFor(settings_.bounds.lease / confirmationsPerLease);
+    co_await maintainLease();
   }
 }
 
-Task<void> DutyHolder::keepLease() {
+Task<void> DutyHolder::maintainLease() {
   Consensus& consensus = driver_.consensus();
   preference_.noteOwnership(consensus.owns(dutiesKeyspace), Clock::now());
   std::set<NodeId> unfit = contact_.unfit(Clock::now());
@@ -95,7 +95,7 @@
 
 void DutyHolder::giveUp(string const& reason) {
   lease_.drop();
-  givenUp_.increment();
+  relinquishments_.increment();
   logWarning("duties", "gives the duties up: " + reason);
   driver_.consensus().relinquish(dutiesKeyspace);
   driver_.flush();
@@ -119,9 +119,9 @@
   co_return result == OperationResult::committed;
 }
 
-Task<void> DutyHolder::contactLoop() {
+Task<void> DutyHolder::platformProbeLoop() {
   for (;;) {
-    Ms const period = settings_.bounds.lease / probesInLease;
+    Ms const period = settings_.bounds.lease / probesPerLease;
     bool const isReached = co_await takesConnection(io_, settings_.provider.address, period);
     if (isReached) contact_.noteReached(Clock::now());
     co_await sleepFor(period);
--- a/control/duty_holder.hpp
+++ b/control/duty_holder.hpp
@@ -38,11 +38,11 @@
  private:
   Task<void> leaseLoop();
   /// One turn of the loop: claims what this node has come to own, or has its ownership confirmed.
-  Task<void> keepLease();
+  Task<void> maintainLease();
   Task<void> claim(Epoch epoch);
   Task<void> confirm(Epoch epoch);
   void giveUp(string const& reason);
-  Task<void> contactLoop();
+  Task<void> platformProbeLoop();
   /// Tells the consensus whom this node passes over as owner of the duties.
   void applyPreference(std::set<NodeId> unfit);
   void sample();
@@ -54,7 +54,7 @@
   PlatformClient platform_;
   PlatformContact contact_;
   DutyPreference preference_;
-  Counter claims_, givenUp_;
+  Counter claims_, relinquishments_;
   Gauge holds_, fence_, silence_;
   SamplerRegistration sampler_;
 };
--- a/control/retirement_handler.cpp
+++ b/control/retirement_handler.cpp
@@ -33,7 +33,7 @@
   if (!asked && !lots_.isKnownStore(node)) throw Error(ErrorCode::unknownNode, node);
   if (call.verb == "POST") {
     if (!asked) {
-      checkEnoughStay(node);
+      checkRemainingStores(node);
       vector<KeyChange> changes(1, KeyChange{retirementPrefix + node, "1", false});
       co_await keyspace_.commit(std::move(changes));
       logInfo("control", node + " is to be emptied");
@@ -48,7 +48,7 @@
   co_return CallReply{200, emptied ? "{\"state\":\"finished\"}" : "{\"state\":\"serving\"}"};
 }
 
-void RetirementHandler::checkEnoughStay(string const& node) const {
+void RetirementHandler::checkRemainingStores(string const& node) const {
   std::set<string> const retiring = retiringStores(driver_.consensus());
   std::size_t staying = 0;
   for (StoreRef const& store : lots_.liveStores(Clock::now()))
--- a/control/retirement_handler.hpp
+++ b/control/retirement_handler.hpp
@@ -14,7 +14,7 @@
 
  private:
   /// Throws ErrorCode::tooFewStores if the stores that stay couldn't hold enough copies.
-  void checkEnoughStay(string const& node) const;
+  void checkRemainingStores(string const& node) const;
 
   Settings const& settings_;
   ConsensusDriver& driver_;
--- a/control/rollout_handler.cpp
+++ b/control/rollout_handler.cpp
@@ -12,9 +12,9 @@
 namespace {
 string const collectionPath = "/rollouts";
 /// Decisions are made so often in inTouch.
-constexpr int decisionsInTouch = 80;
+constexpr int decisionsPerInTouch = 80;
 /// Quarters of inTouch that count as lately.
-constexpr int recentEvidence = 2;
+constexpr int recentWindowQuarters = 2;
 }  // namespace
 
 RolloutHandler::RolloutHandler(asio::io_context& io, Settings const& settings, RpcClient& rpc, ConsensusDriver& driver,
@@ -65,7 +65,7 @@
   auto const found = present.find(order.service);
   std::optional<RolloutRecord> record;
   if (found != present.end()) record = found->second;
-  Ms const elapsed = record ? elapsedOf(*record, Clock::now()) : Ms(0);
+  Ms const elapsed = record ? elapsedSinceOrder(*record, Clock::now()) : Ms(0);
   OrderDecision decision = decideOrder(record, order, majorityVersion(workers_.versionsOf(order.service)), elapsed,
                                        2 * settings_.bounds.confirmWithin);
   if (decision.kind == OrderDecision::Kind::refuse) throw Error(decision.code, order.service);
@@ -111,25 +111,25 @@
 
 /// The time since an order survives its owner: every control node notes when it saw a record. A process that has just
 /// started goes by the time of day, which may have been stepped, but never below what the record says.
-void RolloutHandler::noteSightings(TimePoint now) {
+void RolloutHandler::recordObservations(TimePoint now) {
   bool const justStarted = now - startedAt_ < settings_.bounds.inTouch;
   for (auto const& [service, record] : records()) {
-    Sighting& sighting = sightings_[service];
+    Observation& sighting = observations_[service];
     if (sighting.revision == record.revision) continue;
     Ms elapsed(record.elapsedMs);
     if (justStarted && record.orderedAtMs) elapsed = std::max(elapsed, Ms(wallClockMs() - record.orderedAtMs));
-    sighting = Sighting{record.revision, elapsed, now};
+    sighting = Observation{record.revision, elapsed, now};
   }
 }
 
-Ms RolloutHandler::elapsedOf(RolloutRecord const& record, TimePoint now) const {
-  auto const sighting = sightings_.find(record.service);
-  if (sighting == sightings_.end() || sighting->second.revision != record.revision) return Ms(record.elapsedMs);
+Ms RolloutHandler::elapsedSinceOrder(RolloutRecord const& record, TimePoint now) const {
+  auto const sighting = observations_.find(record.service);
+  if (sighting == observations_.end() || sighting->second.revision != record.revision) return Ms(record.elapsedMs);
   return sighting->second.elapsed + std::chrono::duration_cast<Ms>(now - sighting->second.at);
 }
 
-Ms RolloutHandler::inStage(RolloutRecord const& record, TimePoint now) const {
-  return elapsedOf(record, now) - Ms(record.elapsedMs);
+Ms RolloutHandler::timeInStage(RolloutRecord const& record, TimePoint now) const {
+  return elapsedSinceOrder(record, now) - Ms(record.elapsedMs);
 }
 
 vector<VersionTally> RolloutHandler::evidence() const {
@@ -140,8 +140,8 @@
 
 RolloutInputs RolloutHandler::inputsFor(RolloutRecord const& record, TimePoint now) const {
   RolloutInputs inputs;
-  inputs.elapsed = elapsedOf(record, now);
-  inputs.inStage = inStage(record, now);
+  inputs.elapsed = elapsedSinceOrder(record, now);
+  inputs.timeInStage = timeInStage(record, now);
   std::map<string, DataNode> const nodes = nodes_.allNodes(now);
   inputs.confirmed = !nodes.empty() && std::all_of(nodes.begin(), nodes.end(), [&record](auto const& item) {
     return item.second.rolloutConfirmed >= record.revision;
@@ -155,7 +155,7 @@
 }
 
 void RolloutHandler::noteEvidence(TimePoint now) {
-  Ms const window = settings_.bounds.inTouch * recentEvidence / 4;
+  Ms const window = settings_.bounds.inTouch * recentWindowQuarters / 4;
   bool const isDue = pastEvidence_.empty() || now - pastEvidence_.back().at >= window / 8;
   if (isDue) pastEvidence_.push_back({now, evidence()});
   // One of about the window's age is kept.
@@ -167,7 +167,7 @@
   VersionJudgement judgement = judgeVersion(record, all);
   if (judgement.verdict == VersionVerdict::bad || pastEvidence_.empty()) return judgement;
   if (now - pastEvidence_.front().at > settings_.bounds.inTouch) return judgement;
-  VersionJudgement const recent = judgeVersion(record, tallySince(pastEvidence_.front().tallies, all));
+  VersionJudgement const recent = judgeVersion(record, talliesSince(pastEvidence_.front().tallies, all));
   judgement.verdict = recent.verdict;
   judgement.reason = recent.reason;
   return judgement;
@@ -175,7 +175,7 @@
 
 Task<void> RolloutHandler::decideLoop() {
   for (;;) {
-    co_await sleepFor(settings_.bounds.inTouch / decisionsInTouch);
+    co_await sleepFor(settings_.bounds.inTouch / decisionsPerInTouch);
     if (changes_.locked()) continue;
     try {
       AsyncMutex::Lock const turn = co_await changes_.lock(Ms(0));
@@ -189,7 +189,7 @@
 Task<void> RolloutHandler::decide() {
   TimePoint const now = Clock::now();
   own_.add(publisher_.takeVersionTallies());
-  noteSightings(now);
+  recordObservations(now);
   std::map<string, RolloutRecord> const present = records();
   std::set<std::uint64_t> orders;
   for (auto const& [service, record] : present)
@@ -213,7 +213,7 @@
 
 bool RolloutHandler::publishCommitted() {
   bool changed = false;
-  noteSightings(Clock::now());
+  recordObservations(Clock::now());
   for (auto const& [service, record] : records()) {
     string const key = string(rolloutRowPrefix) + service;
     auto const published = publisher_.common.rows().find(key);
@@ -259,11 +259,11 @@
     writer.Key("elapsedMs");
     writer.Int64(inputs.elapsed.count());
     writer.Key("termMs");
-    writer.Int64(record.overMs);
+    writer.Int64(record.durationMs);
     writer.Key("sentToTarget");
     writer.Double(inputs.judgement.sentToTarget);
     writer.Key("sentInAll");
-    writer.Double(inputs.judgement.sentInAll);
+    writer.Double(inputs.judgement.sentTotal);
     text("reason", record.reason);
     writer.Key("unconfirmed");
     writer.StartArray();
--- a/control/rollout_handler.hpp
+++ b/control/rollout_handler.hpp
@@ -30,7 +30,7 @@
 
  private:
   /// When this process first saw a record's present revision.
-  struct Sighting {
+  struct Observation {
     std::uint64_t revision = 0;
     Ms elapsed{0};  ///< of the rollout, then
     TimePoint at;
@@ -41,14 +41,14 @@
   Task<void> commit(RolloutRecord record);
   std::map<string, RolloutRecord> records() const;
   /// Time since the order of a record's rollout.
-  Ms elapsedOf(RolloutRecord const& record, TimePoint now) const;
-  Ms inStage(RolloutRecord const& record, TimePoint now) const;
+  Ms elapsedSinceOrder(RolloutRecord const& record, TimePoint now) const;
+  Ms timeInStage(RolloutRecord const& record, TimePoint now) const;
   RolloutInputs inputsFor(RolloutRecord const& record, TimePoint now) const;
   vector<VersionTally> evidence() const;
   /// By all that was seen, and by what was seen lately: a fault may begin late.
   VersionJudgement judge(RolloutRecord const& record, TimePoint now) const;
   void noteEvidence(TimePoint now);
-  void noteSightings(TimePoint now);
+  void recordObservations(TimePoint now);
 
   asio::io_context& io_;
   Settings const& settings_;
@@ -64,8 +64,8 @@
     TimePoint at;
     vector<VersionTally> tallies;
   };
-  std::deque<PastEvidence> pastEvidence_;  ///< of the last moments, the oldest first
-  std::map<string, Sighting> sightings_;   ///< by service
+  std::deque<PastEvidence> pastEvidence_;       ///< of the last moments, the oldest first
+  std::map<string, Observation> observations_;  ///< by service
   TimePoint startedAt_ = Clock::now();
   AsyncMutex changes_;  ///< records are changed by one task at a time
 };
--- a/control/usage_collector.cpp
+++ b/control/usage_collector.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 /// So often in a window a control node brings on what it was told, and looks for windows to close and to send.
-constexpr int turnsInWindow = 20;
+constexpr int roundsPerWindow = 20;
 /// Reports that are committed while the platform takes none, in bytes: other windows wait at the nodes that counted.
 constexpr std::size_t maxUnsentBytes = 256u << 10;
 /// Times that the platform may reject a report before it is given up.
@@ -26,13 +26,13 @@
       closed_(metrics().counter("tealshelf_usage_windows_closed_total", "Windows of usage that this node closed")),
       sent_(metrics().counter("tealshelf_usage_reports_total", "Reports of usage by their answer", {{"end", "taken"}})),
       failed_(metrics().counter("tealshelf_usage_reports_total", "", {{"end", "not_taken"}})),
-      lag_(metrics().gauge("tealshelf_usage_open_windows", "Windows of usage that ended and aren't closed")),
+      unclosed_(metrics().gauge("tealshelf_usage_open_windows", "Windows of usage that ended and aren't closed")),
       unsent_(metrics().gauge("tealshelf_usage_unsent_reports", "Reports that the platform hasn't acknowledged")) {
   sampler_ = metrics().sample([this] {
     if (!settings_.provider.exists()) return;
     Status const present = status();
     unsent_.setCount(present.unsent);
-    lag_.setCount(present.closedThrough ? present.present.value - 1 - present.closedThrough->value : 0);
+    unclosed_.setCount(present.closedThrough ? present.present.value - 1 - present.closedThrough->value : 0);
   });
 }
 
@@ -72,7 +72,7 @@
   return receipt;
 }
 
-void UsageCollector::forgetClosed() {
+void UsageCollector::discardClosedWindows() {
   std::optional<UsageProgress> const progress = UsageLedger::progressIn(duties_.values());
   Ms const memory = settings_.bounds.usageDelay + settings_.bounds.reportWindow;
   WindowNumber const through = progress ? progress->closedThrough : WindowNumber();
@@ -81,26 +81,26 @@
 
 Task<void> UsageCollector::forwardLoop() {
   for (;;) {
-    co_await sleepFor(settings_.bounds.reportWindow / turnsInWindow);
+    co_await sleepFor(settings_.bounds.reportWindow / roundsPerWindow);
     time_.noteReading(driver_.consensus().self().id, wallClockMs(), Clock::now());
-    forgetClosed();
+    discardClosedWindows();
     std::optional<Address> const holder = driver_.ownerAddress(dutiesKeyspace);
     if (!holder || holder->ip == settings_.ip) continue;
     try {
-      co_await forwardTo(*holder);
+      co_await forwardUsageTo(*holder);
     } catch (Error const& error) {
       logDebug("duties", error.what());
     }
   }
 }
 
-Task<void> UsageCollector::forwardTo(Address holder) {
+Task<void> UsageCollector::forwardUsageTo(Address holder) {
   std::uint64_t const told = holder_.toldTo(holder);
   std::uint64_t const revision = table_.revision();
   CollectUsage message{settings_.nodeName, table_.changedSince(told), {}};
   for (auto& [service, load] : loads()) message.loads.push_back(load);
   if (message.nodes.empty() && message.loads.empty()) co_return;
-  UsageReceipt const receipt = co_await rpc_.call(holder, message, settings_.bounds.reportWindow / turnsInWindow * 2);
+  UsageReceipt const receipt = co_await rpc_.call(holder, message, settings_.bounds.reportWindow / roundsPerWindow * 2);
   holder_.noteTaken(holder, receipt.process, told, revision);
 }
 
@@ -114,7 +114,7 @@
 
 Task<void> UsageCollector::closeLoop() {
   for (;;) {
-    co_await sleepFor(settings_.bounds.reportWindow / turnsInWindow);
+    co_await sleepFor(settings_.bounds.reportWindow / roundsPerWindow);
     bool goesOn = duties_.mayAct();
     while (goesOn) goesOn = co_await closeNext();
   }
@@ -139,7 +139,7 @@
 
 Task<void> UsageCollector::sendLoop() {
   for (;;) {
-    co_await sleepFor(std::max(backoff_.pause(), settings_.bounds.reportWindow / turnsInWindow));
+    co_await sleepFor(std::max(backoff_.pause(), settings_.bounds.reportWindow / roundsPerWindow));
     if (!duties_.mayAct()) continue;
     vector<UsageRecord> records = UsageLedger::unsent(duties_.values());
     std::erase_if(records, [this](UsageRecord const& record) { return taken_.contains(record.window); });
--- a/control/usage_collector.hpp
+++ b/control/usage_collector.hpp
@@ -39,14 +39,14 @@
   std::int64_t trueNowMs() const;
   Task<void> forwardLoop();
   /// Brings the holder what it hasn't heard from here.
-  Task<void> forwardTo(Address holder);
+  Task<void> forwardUsageTo(Address holder);
   Task<void> closeLoop();
   /// Closes the next window if that is due; true if another may follow at once.
   Task<bool> closeNext();
   vector<string> unfinishedFor(WindowNumber window) const;
   Task<void> sendLoop();
   Task<void> sendOldest(UsageRecord record);
-  void forgetClosed();
+  void discardClosedWindows();
 
   asio::io_context& io_;
   Settings const& settings_;
@@ -65,7 +65,7 @@
   std::map<WindowNumber, int> rejections_;
   string lastAnswer_;
   Counter closed_, sent_, failed_;
-  Gauge lag_, unsent_;
+  Gauge unclosed_, unsent_;
   SamplerRegistration sampler_;
 };
 
--- a/control/worker_directory.cpp
+++ b/control/worker_directory.cpp
@@ -84,16 +84,16 @@
   bool const changed = registry_.merge(worker, Clock::now());
   if (changed) onChange();
   if (leaves)
-    co_await tellMajority(*registry_.find(id));
+    co_await notifyMajority(*registry_.find(id));
   else if (changed)
-    tellPeers(*registry_.find(id));
+    notifyPeers(*registry_.find(id));
   // Also where it was known: a heartbeat that another node told of may not be synced here yet.
   if (log_ && leaves) co_await log_->waitSynced();
   std::optional<Address> const reportTo = worker.removed || stopping_ ? std::nullopt : registrarFor(worker);
   co_return CallReply{200, reportTo ? "{\"reportTo\":\"" + reportTo->text() + "\"}" : "{}"};
 }
 
-std::shared_ptr<WorkerDirectory::PeerAnswers> WorkerDirectory::tellPeers(Worker worker) {
+std::shared_ptr<WorkerDirectory::PeerReplies> WorkerDirectory::notifyPeers(Worker worker) {
   TimePoint const now = Clock::now();
   Consensus const& consensus = driver_.consensus();
   HeartbeatMessage message;
@@ -101,7 +101,7 @@
   message.heartbeat.holdsAllKeys = message.heartbeat.holdsAllKeys && !stopping_;
   message.workers = {std::move(worker)};
   Ms const limit = settings_.bounds.drain / 5;
-  std::shared_ptr<PeerAnswers> const answers = std::make_shared<PeerAnswers>(io_, limit);
+  std::shared_ptr<PeerReplies> const answers = std::make_shared<PeerReplies>(io_, limit);
   for (Member const& member : consensus.membership().members) {
     if (member.id == self() || !consensus.isAlive(member.id, now)) continue;
     ++answers->outstanding;
@@ -116,8 +116,8 @@
 
 /// Control nodes that serve the data plane hear a majority, so one of those that they hear knows of the worker,
 /// whatever becomes of this node.
-Task<void> WorkerDirectory::tellMajority(Worker worker) {
-  std::shared_ptr<PeerAnswers> const answers = tellPeers(std::move(worker));
+Task<void> WorkerDirectory::notifyMajority(Worker worker) {
+  std::shared_ptr<PeerReplies> const answers = notifyPeers(std::move(worker));
   error_code ignored;
   if (answers->outstanding) co_await answers->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   Membership const& membership = driver_.consensus().membership();
@@ -148,21 +148,21 @@
     changed = registry_.mergeAll(message.workers, from, now);
   else
     for (Worker const& worker : message.workers) changed = registry_.merge(worker, now) || changed;
-  if (message.wholeRegistry || isSameAs(message)) {
+  if (message.wholeRegistry || matchesRegistryOf(message)) {
     mismatches_.erase(from);
     changed = mergedFrom_.insert(from).second || changed;
   } else if (message.registryDigest) {
-    noteDifference(message.heartbeat.sender, now);
+    handleMismatch(message.heartbeat.sender, now);
   }
   outliers_.receiveReport(from, message.tallies, now);
   return changed;
 }
 
-bool WorkerDirectory::isSameAs(HeartbeatMessage const& message) const {
+bool WorkerDirectory::matchesRegistryOf(HeartbeatMessage const& message) const {
   return message.registryDigest == registry_.digest().total();
 }
 
-void WorkerDirectory::noteDifference(Member const& sender, TimePoint now) {
+void WorkerDirectory::handleMismatch(Member const& sender, TimePoint now) {
   // A node that begins fetches at once, from one after the other; later one fetch in a while heals what was lost.
   bool const begins = !isComplete();
   int const mismatches = ++mismatches_[sender.id];
--- a/control/worker_directory.hpp
+++ b/control/worker_directory.hpp
@@ -49,24 +49,24 @@
 
  private:
   /// What the other control nodes answer to news of a worker.
-  struct PeerAnswers {
-    PeerAnswers(asio::io_context& io, Ms limit) : timer(io, limit) {}
+  struct PeerReplies {
+    PeerReplies(asio::io_context& io, Ms limit) : timer(io, limit) {}
     asio::steady_timer timer;  ///< ends when the time is up, or no answer is outstanding
     std::size_t outstanding = 0, taken = 0;
   };
 
   Worker workerFrom(ForwardedCall const& call, string const& id) const;
   /// Tells the other control nodes of a worker.
-  std::shared_ptr<PeerAnswers> tellPeers(Worker worker);
+  std::shared_ptr<PeerReplies> notifyPeers(Worker worker);
   /// The same for a worker that leaves: throws ErrorCode::notReady unless a majority knows of it. An acknowledgement
   /// binds every data-plane node, also if this node is being cut off and doesn't know it yet.
-  Task<void> tellMajority(Worker worker);
+  Task<void> notifyMajority(Worker worker);
   /// Where the next heartbeats of a worker should go: a control node of its zone if there is one.
   std::optional<Address> registrarFor(Worker const& worker) const;
   /// True if this registry and that of a heartbeat's sender are the same.
-  bool isSameAs(HeartbeatMessage const& message) const;
+  bool matchesRegistryOf(HeartbeatMessage const& message) const;
   /// Notes that a sender's registry differs, and has the difference fetched once that is due.
-  void noteDifference(Member const& sender, TimePoint now);
+  void handleMismatch(Member const& sender, TimePoint now);
   Task<void> fetchDifference(Member sender);
   void replayLog();
   void recordChanges();
--- a/rollouts/rollout_call.cpp
+++ b/rollouts/rollout_call.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr std::size_t maxNameLength = 256;
-constexpr double maxOverSeconds = 24 * 3600;
+constexpr double maxDurationSeconds = 24 * 3600;
 
 string nameIn(rapidjson::Value const& object, char const* field) {
   rapidjson::Value::ConstMemberIterator const member = object.FindMember(field);
@@ -22,12 +22,12 @@
   decision.record.service = order.service;
   decision.record.target = order.target;
   decision.record.stable = serving == order.target ? "" : serving;
-  decision.record.overMs = order.over.count();
+  decision.record.durationMs = order.over.count();
   decision.record.reason = "ordered";
   // Where the version serves already there is nothing to move.
   if (serving == order.target) {
     decision.record.state = RolloutState::finished;
-    decision.record.share = wholeShare;
+    decision.record.share = fullShare;
   }
   return decision;
 }
@@ -43,13 +43,13 @@
   rapidjson::Value::ConstMemberIterator const over = document.FindMember("overS");
   if (over == document.MemberEnd() || !over->value.IsNumber()) throw Error(ErrorCode::badRollout, "no overS");
   double const seconds = over->value.GetDouble();
-  if (!(seconds > 0 && seconds <= maxOverSeconds)) throw Error(ErrorCode::badRollout, "overS out of its range");
+  if (!(seconds > 0 && seconds <= maxDurationSeconds)) throw Error(ErrorCode::badRollout, "overS out of its range");
   order.over = Ms(static_cast<std::int64_t>(seconds * 1000));
   return order;
 }
 
 OrderDecision decideOrder(std::optional<RolloutRecord> const& present, RolloutOrder const& order, string const& serving,
-                          Ms elapsed, Ms repeatsEndAfter) {
+                          Ms elapsed, Ms repeatGrace) {
   if (!present) return beginning(order, serving);
   bool const isSame = present->target == order.target;
   if (present->isServing()) {
@@ -63,7 +63,7 @@
     decision.record.reason = "the operator ordered the old version back";
     return decision;
   }
-  bool const isRepeat = elapsed <= Ms(present->overMs) + repeatsEndAfter;
+  bool const isRepeat = elapsed <= Ms(present->durationMs) + repeatGrace;
   if (isSame && (present->state == RolloutState::finished || isRepeat)) return {};
   string const now = present->state == RolloutState::finished ? present->target : present->stable;
   return beginning(order, now.empty() ? serving : now);
--- a/rollouts/rollout_call.hpp
+++ b/rollouts/rollout_call.hpp
@@ -26,6 +26,6 @@
 /// - Any other order while one runs is refused.
 /// `serving` is the version that serves now, `elapsed` the time since the order of the record.
 OrderDecision decideOrder(std::optional<RolloutRecord> const& present, RolloutOrder const& order, string const& serving,
-                          Ms elapsed, Ms repeatsEndAfter);
+                          Ms elapsed, Ms repeatGrace);
 
 }  // namespace tealshelf
--- a/rollouts/rollout_machine.cpp
+++ b/rollouts/rollout_machine.cpp
@@ -10,12 +10,12 @@
 /// Parts of the budget that the last step may count on; the rest is for what is under way and not counted yet.
 constexpr double usedExposureFraction = 0.85, usedExposureMargin = 0.5;
 /// A stage lasts for this part of the term at least.
-constexpr int shortestStagePart = 20;
+constexpr int minStageDivisor = 20;
 /// Without any worker of the target version a rollout is given up after so many terms.
-constexpr int termsWithoutTarget = 2;
+constexpr int maxDurationsWithoutTarget = 2;
 
-std::uint32_t thousandths(double part) {
-  return static_cast<std::uint32_t>(std::clamp(part * wholeShare, 1.0, 1.0 * wholeShare));
+std::uint32_t toThousandths(double part) {
+  return static_cast<std::uint32_t>(std::clamp(part * fullShare, 1.0, 1.0 * fullShare));
 }
 
 RolloutRecord changed(RolloutRecord record, RolloutInputs const& inputs, string reason) {
@@ -27,7 +27,7 @@
 RolloutRecord ended(RolloutRecord const& record, RolloutInputs const& inputs, RolloutState state, string reason) {
   RolloutRecord next = changed(record, inputs, std::move(reason));
   next.state = state;
-  next.share = state == RolloutState::finished ? wholeShare : 0;
+  next.share = state == RolloutState::finished ? fullShare : 0;
   return next;
 }
 
@@ -39,9 +39,9 @@
   return next;
 }
 
-string budgetText(RolloutInputs const& inputs) {
+string trafficSummary(RolloutInputs const& inputs) {
   std::ostringstream text;
-  text << inputs.judgement.sentToTarget << " of " << inputs.judgement.sentInAll << " requests went to the new version";
+  text << inputs.judgement.sentToTarget << " of " << inputs.judgement.sentTotal << " requests went to the new version";
   return text.str();
 }
 }  // namespace
@@ -50,18 +50,18 @@
   RolloutPlan plan;
   plan.exposureFraction = bounds.exposureFraction;
   plan.exposureMargin = bounds.exposureMargin;
-  plan.shares = {thousandths(firstShare * bounds.exposureFraction), thousandths(secondShare * bounds.exposureFraction),
-                 wholeShare};
+  plan.shares = {toThousandths(firstShare * bounds.exposureFraction),
+                 toThousandths(secondShare * bounds.exposureFraction), fullShare};
   return plan;
 }
 
 bool fitsBudget(RolloutRecord const& record, RolloutPlan const& plan, RolloutInputs const& inputs) {
-  Ms const left = Ms(record.overMs) - inputs.elapsed;
+  Ms const left = Ms(record.durationMs) - inputs.elapsed;
   if (left <= Ms(0)) return true;
   double const elapsedMs = std::max(1.0, static_cast<double>(inputs.elapsed.count()));
-  double const toCome = inputs.judgement.sentInAll / elapsedMs * static_cast<double>(left.count());
+  double const toCome = inputs.judgement.sentTotal / elapsedMs * static_cast<double>(left.count());
   double const exposed = inputs.judgement.sentToTarget + toCome;
-  double const budget = usedExposureFraction * plan.exposureFraction * (inputs.judgement.sentInAll + toCome) +
+  double const budget = usedExposureFraction * plan.exposureFraction * (inputs.judgement.sentTotal + toCome) +
                         usedExposureMargin * plan.exposureMargin;
   return exposed <= budget;
 }
@@ -76,16 +76,16 @@
     if (!inputs.confirmed || !inputs.drained) return std::nullopt;
     return ended(record, inputs, RolloutState::finished, "nothing goes to or runs at the old version");
   }
-  bool const isLate = inputs.elapsed > termsWithoutTarget * Ms(record.overMs);
+  bool const isLate = inputs.elapsed > maxDurationsWithoutTarget * Ms(record.durationMs);
   if (!inputs.targetExists) {
     if (!isLate) return std::nullopt;
     return ended(record, inputs, RolloutState::reverted, "no worker has the new version");
   }
   if (!inputs.confirmed) return std::nullopt;
-  if (fitsBudget(record, plan, inputs)) return atStage(record, plan, inputs, lastStage, budgetText(inputs));
-  bool const lastedLongEnough = inputs.inStage >= Ms(record.overMs / shortestStagePart);
+  if (fitsBudget(record, plan, inputs)) return atStage(record, plan, inputs, lastStage, trafficSummary(inputs));
+  bool const lastedLongEnough = inputs.timeInStage >= Ms(record.durationMs / minStageDivisor);
   if (record.stage + 1 >= lastStage || !lastedLongEnough) return std::nullopt;
-  return atStage(record, plan, inputs, record.stage + 1, budgetText(inputs));
+  return atStage(record, plan, inputs, record.stage + 1, trafficSummary(inputs));
 }
 
 }  // namespace tealshelf
--- a/rollouts/rollout_machine.hpp
+++ b/rollouts/rollout_machine.hpp
@@ -15,7 +15,7 @@
 /// What a decision goes by.
 struct RolloutInputs {
   Ms elapsed{0};              ///< since the order
-  Ms inStage{0};              ///< since the present record was written
+  Ms timeInStage{0};          ///< since the present record was written
   bool confirmed = false;     ///< every node in touch has the present record
   bool drained = false;       ///< and none has a request under way at a version that it excludes
   bool targetExists = false;  ///< there are workers of the target version
--- a/rollouts/rollout_record.hpp
+++ b/rollouts/rollout_record.hpp
@@ -15,7 +15,7 @@
 namespace tealshelf {
 
 /// Shares are told in thousandths of a service's traffic.
-constexpr std::uint32_t wholeShare = 1000;
+constexpr std::uint32_t fullShare = 1000;
 
 struct RolloutRecord {
   string service, target;
@@ -25,14 +25,15 @@
   std::uint32_t share = 0;       ///< of the target version, in thousandths
   std::uint64_t order = 0;       ///< revision of the record with which this rollout began
   std::uint64_t revision = 0;    ///< rises with each change of any service's record
-  std::int64_t overMs = 0;       ///< the term, from the order
+  std::int64_t durationMs = 0;   ///< the term, from the order
   std::int64_t elapsedMs = 0;    ///< since the order, when this record was written
   std::int64_t orderedAtMs = 0;  ///< by the time of day of the owner that took the order
   string reason;                 ///< why the last change was made
   bool isServing() const { return state == RolloutState::serving; }
   /// True if the old version gets nothing any more.
-  bool isWhole() const { return state == RolloutState::finished || (isServing() && share >= wholeShare); }
-  MSGPACK_DEFINE(service, target, stable, state, stage, share, order, revision, overMs, elapsedMs, orderedAtMs, reason)
+  bool servesOnlyTarget() const { return state == RolloutState::finished || (isServing() && share >= fullShare); }
+  MSGPACK_DEFINE(service, target, stable, state, stage, share, order, revision, durationMs, elapsedMs, orderedAtMs,
+                 reason)
 };
 
 /// "serving", "finished" or "reverted".
--- a/rollouts/version_evidence.cpp
+++ b/rollouts/version_evidence.cpp
@@ -8,31 +8,32 @@
 
 namespace {
 /// Quantiles of the normal distribution for the lower bounds of a share and of a ratio of times.
-constexpr double shareQuantile = 2.6, timeQuantile = 3;
+constexpr double failureRateQuantile = 2.6, latencyQuantile = 3;
 /// A version fails more if the bound of its share lies so far above that of the old one, after so many failures.
-constexpr double leastExcess = 0.08;
-constexpr std::uint64_t leastFailures = 4;
+constexpr double minFailureRateExcess = 0.08;
+constexpr std::uint64_t minFailureCount = 4;
 /// A version is slower if the bound of its time is so many times the old one's, after so many answers of each.
-constexpr double leastSlowdown = 1.4;
-constexpr std::uint64_t leastTimes = 10;
+constexpr double minSlowdown = 1.4;
+constexpr std::uint64_t minLatencySamples = 10;
 
 /// Lower bound of a share after Wilson.
-double lowerBound(std::uint64_t hits, std::uint64_t total) {
+double wilsonLowerBound(std::uint64_t hits, std::uint64_t total) {
   double const n = static_cast<double>(total), share = static_cast<double>(hits) / n;
-  double const z2 = shareQuantile * shareQuantile;
+  double const z2 = failureRateQuantile * failureRateQuantile;
   double const center = share + z2 / (2 * n);
-  double const spread = shareQuantile * std::sqrt(share * (1 - share) / n + z2 / (4 * n * n));
+  double const spread = failureRateQuantile * std::sqrt(share * (1 - share) / n + z2 / (4 * n * n));
   return (center - spread) / (1 + z2 / n);
 }
 
-double shareOf(VersionTally const& tally) {
+double failureRate(VersionTally const& tally) {
   std::uint64_t const total = tally.failed + tally.succeeded;
   return total ? static_cast<double>(tally.failed) / static_cast<double>(total) : 0;
 }
 
 std::optional<string> failureReason(VersionTally const& target, VersionTally const& old) {
   std::uint64_t const total = target.failed + target.succeeded;
-  if (target.failed < leastFailures || lowerBound(target.failed, total) < shareOf(old) + leastExcess)
+  if (target.failed < minFailureCount ||
+      wilsonLowerBound(target.failed, total) < failureRate(old) + minFailureRateExcess)
     return std::nullopt;
   std::ostringstream text;
   text << target.failed << " of " << total << " answers failed, of the old version " << old.failed << " of "
@@ -41,10 +42,10 @@
 }
 
 std::optional<string> slownessReason(VersionTally const& target, VersionTally const& old) {
-  if (target.pace.count < leastTimes || old.pace.count < leastTimes) return std::nullopt;
+  if (target.pace.count < minLatencySamples || old.pace.count < minLatencySamples) return std::nullopt;
   double const difference = target.pace.mean() - old.pace.mean();
-  double const error = std::sqrt(target.pace.meanVariance() + old.pace.meanVariance());
-  if (difference - timeQuantile * error < std::log(leastSlowdown)) return std::nullopt;
+  double const error = std::sqrt(target.pace.varianceOfMean() + old.pace.varianceOfMean());
+  if (difference - latencyQuantile * error < std::log(minSlowdown)) return std::nullopt;
   std::ostringstream text;
   text << "answers take " << std::fixed << std::setprecision(1) << std::exp(difference) << " times as long, by "
        << target.pace.count << " of them";
@@ -65,20 +66,20 @@
   return tally;
 }
 
-void LogTimes::add(double milliseconds) {
+void LogLatencyStats::add(double milliseconds) {
   double const logarithm = std::log(std::max(milliseconds, 0.01));
   ++count;
   sum += logarithm;
   squares += logarithm * logarithm;
 }
 
-void LogTimes::add(LogTimes const& other) {
+void LogLatencyStats::add(LogLatencyStats const& other) {
   count += other.count;
   sum += other.sum;
   squares += other.squares;
 }
 
-double LogTimes::meanVariance() const {
+double LogLatencyStats::varianceOfMean() const {
   if (count < 2) return 0;
   double const n = static_cast<double>(count);
   return std::max(0.0, squares / n - mean() * mean()) / (n - 1);
@@ -104,7 +105,7 @@
   return true;
 }
 
-vector<VersionTally> tallySince(vector<VersionTally> const& earlier, vector<VersionTally> const& present) {
+vector<VersionTally> talliesSince(vector<VersionTally> const& earlier, vector<VersionTally> const& present) {
   VersionEvidence before, now;
   before.add(earlier);
   now.add(present);
@@ -157,7 +158,7 @@
     (tally.isTarget ? target : old).add(tally);
   }
   judgement.sentToTarget = static_cast<double>(targetInAll.sent);
-  judgement.sentInAll = judgement.sentToTarget + static_cast<double>(oldInAll.sent);
+  judgement.sentTotal = judgement.sentToTarget + static_cast<double>(oldInAll.sent);
   std::optional<string> reason = failureReason(targetInAll, oldInAll);
   if (reason) reason = "on all routes " + *reason;
   for (auto const& [route, versions] : routes) {
--- a/rollouts/version_evidence.hpp
+++ b/rollouts/version_evidence.hpp
@@ -5,14 +5,14 @@
 namespace tealshelf {
 
 /// Logarithms of a time, added up.
-struct LogTimes {
+struct LogLatencyStats {
   std::uint64_t count = 0;
   double sum = 0, squares = 0;
   void add(double milliseconds);
-  void add(LogTimes const& other);
+  void add(LogLatencyStats const& other);
   double mean() const { return count ? sum / static_cast<double>(count) : 0; }
   /// Variance of the mean.
-  double meanVariance() const;
+  double varianceOfMean() const;
   MSGPACK_DEFINE(count, sum, squares)
 };
 
@@ -24,7 +24,7 @@
   std::uint64_t sent = 0;       ///< requests that went to a worker
   std::uint64_t succeeded = 0;  ///< answers that were whole and no failure
   std::uint64_t failed = 0;     ///< answers by which the worker itself says that it failed
-  LogTimes pace;                ///< of a whole answer, or between the events of a stream
+  LogLatencyStats pace;         ///< of a whole answer, or between the events of a stream
   void add(VersionTally const& other);
   /// Takes away what was counted earlier; false, and nothing is changed, if that was more.
   bool subtract(VersionTally const& earlier);
@@ -58,7 +58,7 @@
 
 /// What came to tallies since an earlier state of them; those that became smaller, as a node was started again, count
 /// from there on.
-vector<VersionTally> tallySince(vector<VersionTally> const& earlier, vector<VersionTally> const& present);
+vector<VersionTally> talliesSince(vector<VersionTally> const& earlier, vector<VersionTally> const& present);
 
 /// What the evidence says of a version.
 enum class VersionVerdict { undecided, bad };
@@ -66,7 +66,7 @@
 struct VersionJudgement {
   VersionVerdict verdict = VersionVerdict::undecided;
   string reason;
-  double sentToTarget = 0, sentInAll = 0;
+  double sentToTarget = 0, sentTotal = 0;
 };
 
 /// Compares the target version with the old one on the same routes.
--- a/rollouts/version_groups.cpp
+++ b/rollouts/version_groups.cpp
@@ -8,8 +8,8 @@
 }
 
 /// Those of the target's workers that take part in a stage: the same at all nodes.
-vector<Worker const*> trialWorkers(vector<Worker const*> targets, std::uint32_t share) {
-  double const part = static_cast<double>(share) / wholeShare;
+vector<Worker const*> canaryWorkers(vector<Worker const*> targets, std::uint32_t share) {
+  double const part = static_cast<double>(share) / fullShare;
   double const wanted = std::ceil(part * static_cast<double>(targets.size()));
   std::size_t const count = std::max<std::size_t>(1, static_cast<std::size_t>(wanted));
   std::sort(targets.begin(), targets.end(),
@@ -31,20 +31,20 @@
 }
 
 bool isAdmitted(RolloutRecord const& record, string const& version) {
-  if (record.isWhole()) return version == record.target;
+  if (record.servesOnlyTarget()) return version == record.target;
   if (isOld(record, version)) return true;
   return record.isServing() && record.share > 0 && version == record.target;
 }
 
 VersionGroups groupByVersion(vector<Worker const*> const& workers, RolloutRecord const* record,
-                             UnorderedVersions unordered) {
+                             NoRolloutPolicy unordered) {
   VersionGroups groups;
   if (!record) {
     std::map<string, std::size_t> counts;
     for (Worker const* const worker : workers) ++counts[worker->version];
     string const admitted = majorityVersion(counts);
     for (Worker const* const worker : workers)
-      if (unordered == UnorderedVersions::allServe || worker->version == admitted) groups.stable.push_back(worker);
+      if (unordered == NoRolloutPolicy::allServe || worker->version == admitted) groups.stable.push_back(worker);
     return groups;
   }
   vector<Worker const*> targets;
@@ -52,11 +52,11 @@
     if (!isAdmitted(*record, worker->version)) continue;
     (worker->version == record->target ? targets : groups.stable).push_back(worker);
   }
-  if (record->isWhole()) {
+  if (record->servesOnlyTarget()) {
     groups.stable = std::move(targets);
   } else if (!targets.empty()) {
-    groups.trial = trialWorkers(std::move(targets), record->share);
-    groups.trialShare = record->share;
+    groups.trial = canaryWorkers(std::move(targets), record->share);
+    groups.canaryShare = record->share;
   }
   return groups;
 }
--- a/rollouts/version_groups.hpp
+++ b/rollouts/version_groups.hpp
@@ -5,13 +5,13 @@
 
 /// The workers of one service, by what may be sent to them. Workers in neither group get nothing.
 struct VersionGroups {
-  vector<Worker const*> stable;  ///< get the traffic that doesn't go to `trial`
-  vector<Worker const*> trial;   ///< get the target version's share; empty unless traffic is divided
-  std::uint32_t trialShare = 0;  ///< in thousandths
+  vector<Worker const*> stable;   ///< get the traffic that doesn't go to `trial`
+  vector<Worker const*> trial;    ///< get the target version's share; empty unless traffic is divided
+  std::uint32_t canaryShare = 0;  ///< in thousandths
 };
 
 /// How workers are treated whose service was never ordered to move.
-enum class UnorderedVersions {
+enum class NoRolloutPolicy {
   allServe,       ///< where versions are of no concern
   majorityServes  ///< a version that no order lets in gets nothing: the one that most workers have is the old one
 };
@@ -19,7 +19,7 @@
 /// Divides workers of a service that take requests. Of the target's workers only so many take part in a stage that each
 /// has an ordinary load: with a trickle for each, a fault under load would stay hidden until the last stage.
 VersionGroups groupByVersion(vector<Worker const*> const& workers, RolloutRecord const* record,
-                             UnorderedVersions unordered);
+                             NoRolloutPolicy unordered);
 
 /// True if a worker of a version may still be sent requests by what a record says.
 bool isAdmitted(RolloutRecord const& record, string const& version);
--- a/tests/control/call_input_test.cpp
+++ b/tests/control/call_input_test.cpp
@@ -36,17 +36,17 @@
 }
 TEST(callInput, whatIsOpenIsNeverFinal) {
   for (ErrorCode const code : {ErrorCode::noQuorum, ErrorCode::connectionLost, ErrorCode::timedOut}) {
-    LONGS_EQUAL(503, shownToCaller(Error(code), CallKind::change).status());
-    LONGS_EQUAL(112, static_cast<int>(shownToCaller(Error(code), CallKind::change).code()));
-    LONGS_EQUAL(210, static_cast<int>(shownToCaller(Error(code), CallKind::read).code()));
+    LONGS_EQUAL(503, errorForCaller(Error(code), CallKind::change).status());
+    LONGS_EQUAL(112, static_cast<int>(errorForCaller(Error(code), CallKind::change).code()));
+    LONGS_EQUAL(210, static_cast<int>(errorForCaller(Error(code), CallKind::read).code()));
   }
   // An addition that is open may count, so no promise is made.
-  LONGS_EQUAL(502, shownToCaller(Error(ErrorCode::additionUndecided), CallKind::addition).status());
-  LONGS_EQUAL(502, shownToCaller(Error(ErrorCode::timedOut), CallKind::addition).status());
-  LONGS_EQUAL(503, shownToCaller(Error(ErrorCode::notReady), CallKind::addition).status());
+  LONGS_EQUAL(502, errorForCaller(Error(ErrorCode::additionUndecided), CallKind::addition).status());
+  LONGS_EQUAL(502, errorForCaller(Error(ErrorCode::timedOut), CallKind::addition).status());
+  LONGS_EQUAL(503, errorForCaller(Error(ErrorCode::notReady), CallKind::addition).status());
   for (ErrorCode const code : {ErrorCode::noOwner, ErrorCode::busy, ErrorCode::notConnected, ErrorCode::changeUndecided,
                                ErrorCode::changeTooOld})
-    LONGS_EQUAL(503, shownToCaller(Error(code), CallKind::change).status());
-  LONGS_EQUAL(412, shownToCaller(Error(ErrorCode::versionConflict), CallKind::change).status());
-  LONGS_EQUAL(400, shownToCaller(Error(ErrorCode::badIfMatch), CallKind::change).status());
+    LONGS_EQUAL(503, errorForCaller(Error(code), CallKind::change).status());
+  LONGS_EQUAL(412, errorForCaller(Error(ErrorCode::versionConflict), CallKind::change).status());
+  LONGS_EQUAL(400, errorForCaller(Error(ErrorCode::badIfMatch), CallKind::change).status());
 }
--- a/tests/control/control_plane.hpp
+++ b/tests/control/control_plane.hpp
@@ -48,7 +48,7 @@
     return false;
   }
   /// Asks a node for its registry until it names a worker; false if it never does.
-  bool getsToKnow(std::size_t node, string const& id) {
+  bool waitForWorker(std::size_t node, string const& id) {
     TimePoint const end = Clock::now() + limit;
     bool known = false;
     while (!known && Clock::now() < end)
--- a/tests/control/evacuation_test.cpp
+++ b/tests/control/evacuation_test.cpp
@@ -58,7 +58,7 @@
   void begin(int warmupLeftMs) {
     CHECK(plane.callUntil(200, 0, "/settings", evacuatedConfiguration));
     CHECK(plane.callUntil(200, 0, "/servers/i-1", heartbeat(warmupLeftMs, 1)));
-    for (std::size_t node = 0; node < ControlPlane::nodeCount; ++node) CHECK(plane.getsToKnow(node, "i-1"));
+    for (std::size_t node = 0; node < ControlPlane::nodeCount; ++node) CHECK(plane.waitForWorker(node, "i-1"));
   }
   void tell(int warmupLeftMs, int callCount) {
     LONGS_EQUAL(200, plane.call(0, "PUT", "/servers/i-1", heartbeat(warmupLeftMs, callCount)));
--- a/tests/control/worker_directory_test.cpp
+++ b/tests/control/worker_directory_test.cpp
@@ -45,6 +45,6 @@
   CHECK(plane.callUntil(200, 0, workerPath, workerIn("ready", 1)));
   CHECK(plane.callUntil(200, 1, "/servers/i-2", workerIn("ready", 1)));
   plane.restartWithoutWorkers(2);
-  CHECK(plane.getsToKnow(2, "i-1"));
-  CHECK(plane.getsToKnow(2, "i-2"));
+  CHECK(plane.waitForWorker(2, "i-1"));
+  CHECK(plane.waitForWorker(2, "i-2"));
 }
--- a/tests/rollouts/rollout_call_test.cpp
+++ b/tests/rollouts/rollout_call_test.cpp
@@ -23,7 +23,7 @@
   record.target = "v2";
   record.stable = "v1";
   record.state = state;
-  record.overMs = 12000;
+  record.durationMs = 12000;
   return record;
 }
 }  // namespace
--- a/tests/rollouts/rollout_machine_test.cpp
+++ b/tests/rollouts/rollout_machine_test.cpp
@@ -20,7 +20,7 @@
   record.stage = stage;
   record.share = plan().shares.at(stage);
   record.order = record.revision = 1;
-  record.overMs = 15000;
+  record.durationMs = 15000;
   return record;
 }
 
@@ -28,10 +28,10 @@
 RolloutInputs calm(Ms elapsed, double share) {
   RolloutInputs inputs;
   inputs.elapsed = elapsed;
-  inputs.inStage = elapsed;
+  inputs.timeInStage = elapsed;
   inputs.confirmed = inputs.drained = inputs.targetExists = true;
-  inputs.judgement.sentInAll = 0.8 * static_cast<double>(elapsed.count());
-  inputs.judgement.sentToTarget = share * inputs.judgement.sentInAll;
+  inputs.judgement.sentTotal = 0.8 * static_cast<double>(elapsed.count());
+  inputs.judgement.sentToTarget = share * inputs.judgement.sentTotal;
   return inputs;
 }
 }  // namespace
@@ -41,7 +41,7 @@
 TEST(rolloutMachine, theFirstSharesArePartsOfTheBudget) {
   LONGS_EQUAL(3, plan().shares.size());
   CHECK(plan().shares[0] < plan().shares[1] && plan().shares[1] < 100);
-  LONGS_EQUAL(wholeShare, plan().shares[2]);
+  LONGS_EQUAL(fullShare, plan().shares[2]);
 }
 TEST(rolloutMachine, aStageWaitsForAllConfirmations) {
   RolloutInputs inputs = calm(Ms(3000), 0.015);
--- a/tests/rollouts/version_evidence_test.cpp
+++ b/tests/rollouts/version_evidence_test.cpp
@@ -79,12 +79,12 @@
   for (VersionTally& tally : old) tally.order = 3;
   VersionJudgement const judgement = judgeVersion(rollout(), old);
   CHECK(judgement.verdict == VersionVerdict::undecided);
-  DOUBLES_EQUAL(0, judgement.sentInAll, 0);
+  DOUBLES_EQUAL(0, judgement.sentTotal, 0);
 }
 TEST(versionEvidence, whatIsSentIsCountedForTheBudget) {
   VersionJudgement const judgement = judgeVersion(rollout(), tallies({0, 0, 8, 0, 900, 100}, 1));
   DOUBLES_EQUAL(100, judgement.sentToTarget, 0);
-  DOUBLES_EQUAL(1000, judgement.sentInAll, 0);
+  DOUBLES_EQUAL(1000, judgement.sentTotal, 0);
 }
 TEST(versionEvidence, whatCameSinceIsToldApart) {
   vector<VersionTally> const before = tallies({0, 0, 8, 0, 500, 200}, 1);
@@ -93,11 +93,11 @@
   now.add(tallies({0.5, 0, 8, 0, 100, 20}, 2));
   // In all that was seen the fault is hidden; in what came last it isn't.
   CHECK(judgeVersion(rollout(), now.all()).verdict == VersionVerdict::undecided);
-  CHECK(judgeVersion(rollout(), tallySince(before, now.all())).verdict == VersionVerdict::bad);
-  DOUBLES_EQUAL(120, judgeVersion(rollout(), tallySince(before, now.all())).sentInAll, 0);
+  CHECK(judgeVersion(rollout(), talliesSince(before, now.all())).verdict == VersionVerdict::bad);
+  DOUBLES_EQUAL(120, judgeVersion(rollout(), talliesSince(before, now.all())).sentTotal, 0);
 }
 TEST(versionEvidence, aNodeThatStartedAgainCountsFromThere) {
   vector<VersionTally> const before = tallies({0, 0, 8, 0, 500, 200}, 1);
   vector<VersionTally> const now = tallies({0, 0, 8, 0, 50, 10}, 2);
-  DOUBLES_EQUAL(60, judgeVersion(rollout(), tallySince(before, now)).sentInAll, 0);
+  DOUBLES_EQUAL(60, judgeVersion(rollout(), talliesSince(before, now)).sentTotal, 0);
 }
--- a/tests/rollouts/version_groups_test.cpp
+++ b/tests/rollouts/version_groups_test.cpp
@@ -39,26 +39,26 @@
 
 TEST(versionGroups, withoutAnOrderANewVersionGetsNothing) {
   Workers const workers(10, 10);
-  VersionGroups const groups = groupByVersion(workers.pointers, nullptr, UnorderedVersions::majorityServes);
+  VersionGroups const groups = groupByVersion(workers.pointers, nullptr, NoRolloutPolicy::majorityServes);
   LONGS_EQUAL(10, groups.stable.size());
   CHECK(allHave(groups.stable, "v1"));
   LONGS_EQUAL(0, groups.trial.size());
-  LONGS_EQUAL(20, groupByVersion(workers.pointers, nullptr, UnorderedVersions::allServe).stable.size());
+  LONGS_EQUAL(20, groupByVersion(workers.pointers, nullptr, NoRolloutPolicy::allServe).stable.size());
 }
 TEST(versionGroups, aStageUsesFewWorkersOfTheNewVersion) {
   Workers const workers(60, 60);
   RolloutRecord const stage = record(RolloutState::serving, 30);
-  VersionGroups const groups = groupByVersion(workers.pointers, &stage, UnorderedVersions::majorityServes);
+  VersionGroups const groups = groupByVersion(workers.pointers, &stage, NoRolloutPolicy::majorityServes);
   LONGS_EQUAL(60, groups.stable.size());
   LONGS_EQUAL(2, groups.trial.size());
   CHECK(allHave(groups.trial, "v2"));
-  LONGS_EQUAL(30, groups.trialShare);
+  LONGS_EQUAL(30, groups.canaryShare);
 }
 TEST(versionGroups, theLastStageExcludesTheOldVersion) {
   Workers const workers(4, 4);
   for (RolloutRecord const& last :
-       {record(RolloutState::serving, wholeShare), record(RolloutState::finished, wholeShare)}) {
-    VersionGroups const groups = groupByVersion(workers.pointers, &last, UnorderedVersions::majorityServes);
+       {record(RolloutState::serving, fullShare), record(RolloutState::finished, fullShare)}) {
+    VersionGroups const groups = groupByVersion(workers.pointers, &last, NoRolloutPolicy::majorityServes);
     LONGS_EQUAL(4, groups.stable.size());
     CHECK(allHave(groups.stable, "v2"));
     CHECK_FALSE(isAdmitted(last, "v1"));
@@ -67,7 +67,7 @@
 TEST(versionGroups, aRevertedVersionGetsNothing) {
   Workers const workers(4, 4);
   RolloutRecord const reverted = record(RolloutState::reverted, 0);
-  VersionGroups const groups = groupByVersion(workers.pointers, &reverted, UnorderedVersions::majorityServes);
+  VersionGroups const groups = groupByVersion(workers.pointers, &reverted, NoRolloutPolicy::majorityServes);
   LONGS_EQUAL(4, groups.stable.size());
   CHECK(allHave(groups.stable, "v1"));
   LONGS_EQUAL(0, groups.trial.size());
@@ -76,7 +76,7 @@
   Workers workers(4, 4);
   workers.all[0].version = "v3";
   RolloutRecord const stage = record(RolloutState::serving, 30);
-  VersionGroups const groups = groupByVersion(workers.pointers, &stage, UnorderedVersions::majorityServes);
+  VersionGroups const groups = groupByVersion(workers.pointers, &stage, NoRolloutPolicy::majorityServes);
   LONGS_EQUAL(3, groups.stable.size());
   CHECK_FALSE(isAdmitted(stage, "v3"));
 }
--- a/traffic/load_balancer.cpp
+++ b/traffic/load_balancer.cpp
@@ -192,7 +192,7 @@
   TimePoint const now = Clock::now();
   // Only a first try goes to a new version, so that a bad one fails no request for good.
   VersionGroups const& groups = view.groupsOf(request.service);
-  if (tried.empty() && !groups.trial.empty() && request.draw % wholeShare < groups.trialShare) {
+  if (tried.empty() && !groups.trial.empty() && request.draw % fullShare < groups.canaryShare) {
     Pick const trial = pickFrom(candidatesFor(view, request.service, Group::trial), request, tried, now);
     if (trial.worker) return trial;
   }
--- a/updates/fleet_view.cpp
+++ b/updates/fleet_view.cpp
@@ -182,8 +182,8 @@
   for (auto const& [id, worker] : workers_)
     if (worker.service == service && takesRequests(worker)) workers.push_back(&worker);
   auto const rollout = rollouts_.find(service);
-  UnorderedVersions const unordered =
-      settings_.isRuleInForce("rollout") ? UnorderedVersions::majorityServes : UnorderedVersions::allServe;
+  NoRolloutPolicy const unordered =
+      settings_.isRuleInForce("rollout") ? NoRolloutPolicy::majorityServes : NoRolloutPolicy::allServe;
   RolloutRecord const* const record = rollout == rollouts_.end() ? nullptr : &rollout->second;
   return groupsByService_[service] = groupByVersion(workers, record, unordered);
 }
@@ -240,7 +240,7 @@
 
 bool FleetView::awaitsConfirmations() const {
   return std::any_of(rollouts_.begin(), rollouts_.end(),
-                     [](auto const& item) { return item.second.isServing() && item.second.isWhole(); });
+                     [](auto const& item) { return item.second.isServing() && item.second.servesOnlyTarget(); });
 }
 
 vector<Member> FleetView::members() const {
