--- a/control/capacity_controller.cpp
+++ b/control/capacity_controller.cpp
@@ -28,8 +28,8 @@
       workers_(workers),
       evacuations_(evacuations),
       backoff_(settings.bounds.lease),
-      taken_(metrics().counter("tealshelf_capacity_orders_total", "Orders of workers by their answer",
-                               {{"end", "taken"}})),
+      accepted_(metrics().counter("tealshelf_capacity_orders_total", "Orders of workers by their answer",
+                                  {{"end", "taken"}})),
       failed_(metrics().counter("tealshelf_capacity_orders_total", "", {{"end", "not_taken"}})) {}
 
 void CapacityController::start() {
@@ -82,7 +82,7 @@
   PlatformCall call{"/capacity", orderBody(service, order)};
   PlatformAnswer const answer = co_await duties_.call(std::move(call));
   bool const isTaken = answer == PlatformAnswer::taken;
-  (isTaken ? taken_ : failed_).increment();
+  (isTaken ? accepted_ : failed_).increment();
   if (isTaken) policies_[service].noteOrdered(order, Clock::now());
   logInfo("duties", "capacity of " + service + " in " + order.zone + ": " + std::to_string(order.wanted) + ", " +
                         reason + ": " + string(nameOf(answer)));
--- a/control/capacity_controller.hpp
+++ b/control/capacity_controller.hpp
@@ -50,7 +50,7 @@
   std::map<string, ScalingPolicy> policies_;  ///< by service, of the present claim of the duties
   std::uint64_t fence_ = 0;                   ///< of that claim
   CallBackoff backoff_;
-  Counter taken_, failed_;
+  Counter accepted_, failed_;
 };
 
 }  // namespace tealshelf
--- a/control/duty_holder.cpp
+++ b/control/duty_holder.cpp
@@ -58,7 +58,7 @@
     co_return;
   }
   if (isUnfit) {
-    giveUp("another node reaches the platform and this one doesn't");
+    relinquish("another node reaches the platform and this one doesn't");
     co_return;
   }
   Epoch const epoch = consensus.epochOf(dutiesKeyspace);
@@ -93,7 +93,7 @@
   platform_.noteExtended();
 }
 
-void DutyHolder::giveUp(string const& reason) {
+void DutyHolder::relinquish(string const& reason) {
   lease_.drop();
   relinquishments_.increment();
   logWarning("duties", "gives the duties up: " + reason);
@@ -109,7 +109,7 @@
   if (wasReached) contact_.noteReached(Clock::now());
   // This fence is of no more use; the next claim takes a higher one.
   bool const isPresent = driver_.consensus().owns(dutiesKeyspace) && lease_.isClaimedUnder(epoch);
-  if (answer == PlatformAnswer::superseded && isPresent) giveUp("the platform has seen a higher fence");
+  if (answer == PlatformAnswer::superseded && isPresent) relinquish("the platform has seen a higher fence");
   co_return answer;
 }
 
--- a/control/duty_holder.hpp
+++ b/control/duty_holder.hpp
@@ -41,7 +41,7 @@
   Task<void> maintainLease();
   Task<void> claim(Epoch epoch);
   Task<void> confirm(Epoch epoch);
-  void giveUp(string const& reason);
+  void relinquish(string const& reason);
   Task<void> platformProbeLoop();
   /// Tells the consensus whom this node passes over as owner of the duties.
   void applyPreference(std::set<NodeId> unfit);
--- a/control/rollout_handler.cpp
+++ b/control/rollout_handler.cpp
@@ -49,14 +49,14 @@
   std::optional<CallReply> const forwarded = co_await keyspace_.forward(call);
   if (forwarded) co_return *forwarded;
   co_await keyspace_.confirmOwnership(end);
-  if (isOrder) co_return co_await take(std::move(order), end);
+  if (isOrder) co_return co_await acceptOrder(std::move(order), end);
   std::map<string, RolloutRecord> const present = records();
   auto const record = present.find(service);
   if (record == present.end()) throw Error(ErrorCode::unknownRollout, service);
   co_return CallReply{200, rolloutAsJson(record->second)};
 }
 
-Task<CallReply> RolloutHandler::take(RolloutOrder order, TimePoint end) {
+Task<CallReply> RolloutHandler::acceptOrder(RolloutOrder order, TimePoint end) {
   std::optional<std::set<string>> const known = services();
   if (!known) throw Error(ErrorCode::notReady, "no configuration yet");
   if (!known->contains(order.service)) throw Error(ErrorCode::badRollout, order.service);
@@ -133,8 +133,8 @@
 }
 
 vector<VersionTally> RolloutHandler::evidence() const {
-  vector<VersionTally> all = own_.all();
-  for (auto const& [node, tallies] : peers_) all.insert(all.end(), tallies.begin(), tallies.end());
+  vector<VersionTally> all = localEvidence_.all();
+  for (auto const& [node, tallies] : peerEvidence_) all.insert(all.end(), tallies.begin(), tallies.end());
   return all;
 }
 
@@ -188,15 +188,15 @@
 
 Task<void> RolloutHandler::decide() {
   TimePoint const now = Clock::now();
-  own_.add(publisher_.takeVersionTallies());
+  localEvidence_.add(publisher_.takeVersionTallies());
   recordObservations(now);
   std::map<string, RolloutRecord> const present = records();
   std::set<std::uint64_t> orders;
   for (auto const& [service, record] : present)
     if (record.isServing()) orders.insert(record.order);
-  own_.retain(orders);
+  localEvidence_.retain(orders);
   if (orders.empty()) {
-    peers_.clear();
+    peerEvidence_.clear();
     pastEvidence_.clear();
     co_return;
   }
@@ -227,14 +227,14 @@
 void RolloutHandler::receive(HeartbeatMessage const& message) {
   NodeId const from = message.heartbeat.sender.id;
   if (message.versionTallies.empty())
-    peers_.erase(from);
+    peerEvidence_.erase(from);
   else
-    peers_[from] = message.versionTallies;
+    peerEvidence_[from] = message.versionTallies;
 }
 
 void RolloutHandler::fillHeartbeat(HeartbeatMessage& message) {
-  own_.add(publisher_.takeVersionTallies());
-  message.versionTallies = own_.all();
+  localEvidence_.add(publisher_.takeVersionTallies());
+  message.versionTallies = localEvidence_.all();
 }
 
 string RolloutHandler::report() const {
--- a/control/rollout_handler.hpp
+++ b/control/rollout_handler.hpp
@@ -35,7 +35,7 @@
     Ms elapsed{0};  ///< of the rollout, then
     TimePoint at;
   };
-  Task<CallReply> take(RolloutOrder order, TimePoint end);
+  Task<CallReply> acceptOrder(RolloutOrder order, TimePoint end);
   Task<void> decideLoop();
   Task<void> decide();
   Task<void> commit(RolloutRecord record);
@@ -58,8 +58,8 @@
   NodeDirectory& nodes_;
   OwnedKeyspace keyspace_;
   RolloutPlan plan_;
-  VersionEvidence own_;                           ///< told by who asks for updates here
-  std::map<NodeId, vector<VersionTally>> peers_;  ///< told by who asks at other control nodes
+  VersionEvidence localEvidence_;                        ///< told by who asks for updates here
+  std::map<NodeId, vector<VersionTally>> peerEvidence_;  ///< told by who asks at other control nodes
   struct PastEvidence {
     TimePoint at;
     vector<VersionTally> tallies;
--- a/control/tally_handler.cpp
+++ b/control/tally_handler.cpp
@@ -41,7 +41,7 @@
   bool const isAddition = call.verb == "POST";
   TallyAddition addition;
   if (isAddition) addition = readAddition(call.body);
-  if (!store_.isServing()) co_return co_await passOn(std::move(call));
+  if (!store_.isServing()) co_return co_await forwardToMember(std::move(call));
   if (isAddition) {
     co_await store_.add(tally, addition.serverId, addition.changedBy, end);
     co_return CallReply{200, "{}"};
@@ -49,7 +49,7 @@
   co_return CallReply{200, "{\"total\":" + textOf(store_.total(tally)) + "}"};
 }
 
-Task<CallReply> TallyHandler::passOn(ForwardedCall call) {
+Task<CallReply> TallyHandler::forwardToMember(ForwardedCall call) {
   if (call.hops++ > 0) throw Error(ErrorCode::notReady, "tallies");
   TimePoint const end = Clock::now() + Ms(call.budgetMs);
   vector<Member> members = consensus_.membership().members;
--- a/control/tally_handler.hpp
+++ b/control/tally_handler.hpp
@@ -26,7 +26,7 @@
 
  private:
   /// Asks one member after the other, those of the own zone first.
-  Task<CallReply> passOn(ForwardedCall call);
+  Task<CallReply> forwardToMember(ForwardedCall call);
 
   Settings const& settings_;
   RpcClient& rpc_;
--- a/control/usage_collector.cpp
+++ b/control/usage_collector.cpp
@@ -142,7 +142,7 @@
     co_await sleepFor(std::max(backoff_.pause(), settings_.bounds.reportWindow / roundsPerWindow));
     if (!duties_.mayAct()) continue;
     vector<UsageRecord> records = UsageLedger::unsent(duties_.values());
-    std::erase_if(records, [this](UsageRecord const& record) { return taken_.contains(record.window); });
+    std::erase_if(records, [this](UsageRecord const& record) { return acknowledged_.contains(record.window); });
     if (!records.empty()) {
       UsageRecord oldest = std::move(records.front());
       co_await sendOldest(std::move(oldest));
@@ -150,10 +150,10 @@
     }
     // What the platform has is forgotten once nothing is left to send: a report may be sent again, but never another.
     vector<KeyChange> changes;
-    for (WindowNumber const window : taken_) changes.push_back(UsageLedger::settled(window));
+    for (WindowNumber const window : acknowledged_) changes.push_back(UsageLedger::settled(window));
     if (changes.empty()) continue;
     bool const isWritten = co_await duties_.commit(std::move(changes));
-    if (isWritten) taken_.clear();
+    if (isWritten) acknowledged_.clear();
   }
 }
 
@@ -165,7 +165,7 @@
   if (isRejected) logWarning("duties", "the platform rejects window " + std::to_string(record.window.value));
   if (answer == PlatformAnswer::taken || isRejected) {
     (isRejected ? failed_ : sent_).increment();
-    taken_.insert(record.window);
+    acknowledged_.insert(record.window);
     rejections_.erase(record.window);
     backoff_.noteTaken();
     co_return;
--- a/control/usage_collector.hpp
+++ b/control/usage_collector.hpp
@@ -60,8 +60,8 @@
   UsageReceiver holder_;
   LoadBoard loads_;
   TrueTime time_;
-  CallBackoff backoff_;           ///< of reports
-  std::set<WindowNumber> taken_;  ///< acknowledged by the platform, not yet written
+  CallBackoff backoff_;                  ///< of reports
+  std::set<WindowNumber> acknowledged_;  ///< acknowledged by the platform, not yet written
   std::map<WindowNumber, int> rejections_;
   string lastAnswer_;
   Counter closed_, sent_, failed_;
--- a/control/worker_directory.cpp
+++ b/control/worker_directory.cpp
@@ -107,7 +107,7 @@
     ++answers->outstanding;
     asio::co_spawn(io_, rpc_.call(settings_.controlAddress(member.ip), message, limit),
                    [answers](std::exception_ptr failure, HeartbeatReply) {
-                     if (!failure) ++answers->taken;
+                     if (!failure) ++answers->acknowledged;
                      if (!--answers->outstanding) answers->timer.cancel();
                    });
   }
@@ -121,7 +121,7 @@
   error_code ignored;
   if (answers->outstanding) co_await answers->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   Membership const& membership = driver_.consensus().membership();
-  std::size_t const informed = answers->taken + (membership.find(self()) ? 1 : 0);
+  std::size_t const informed = answers->acknowledged + (membership.find(self()) ? 1 : 0);
   if (informed < membership.quorum()) throw Error(ErrorCode::notReady, "no majority was told of a worker that leaves");
 }
 
--- a/control/worker_directory.hpp
+++ b/control/worker_directory.hpp
@@ -52,7 +52,7 @@
   struct PeerReplies {
     PeerReplies(asio::io_context& io, Ms limit) : timer(io, limit) {}
     asio::steady_timer timer;  ///< ends when the time is up, or no answer is outstanding
-    std::size_t outstanding = 0, taken = 0;
+    std::size_t outstanding = 0, acknowledged = 0;
   };
 
   Worker workerFrom(ForwardedCall const& call, string const& id) const;
--- a/rollouts/version_evidence.cpp
+++ b/rollouts/version_evidence.cpp
@@ -42,13 +42,13 @@
 }
 
 std::optional<string> slownessReason(VersionTally const& target, VersionTally const& old) {
-  if (target.pace.count < minLatencySamples || old.pace.count < minLatencySamples) return std::nullopt;
-  double const difference = target.pace.mean() - old.pace.mean();
-  double const error = std::sqrt(target.pace.varianceOfMean() + old.pace.varianceOfMean());
+  if (target.latency.count < minLatencySamples || old.latency.count < minLatencySamples) return std::nullopt;
+  double const difference = target.latency.mean() - old.latency.mean();
+  double const error = std::sqrt(target.latency.varianceOfMean() + old.latency.varianceOfMean());
   if (difference - latencyQuantile * error < std::log(minSlowdown)) return std::nullopt;
   std::ostringstream text;
   text << "answers take " << std::fixed << std::setprecision(1) << std::exp(difference) << " times as long, by "
-       << target.pace.count << " of them";
+       << target.latency.count << " of them";
   return text.str();
 }
 }  // namespace
@@ -59,10 +59,10 @@
   return tally;
 }
 
-VersionTally outcomeTally(bool succeeded, std::optional<double> paceMs) {
+VersionTally outcomeTally(bool succeeded, std::optional<double> latencyMs) {
   VersionTally tally;
   (succeeded ? tally.succeeded : tally.failed) = 1;
-  if (paceMs) tally.pace.add(*paceMs);
+  if (latencyMs) tally.latency.add(*latencyMs);
   return tally;
 }
 
@@ -89,19 +89,19 @@
   sent += other.sent;
   succeeded += other.succeeded;
   failed += other.failed;
-  pace.add(other.pace);
+  latency.add(other.latency);
 }
 
 bool VersionTally::subtract(VersionTally const& earlier) {
   bool const grew = sent >= earlier.sent && succeeded >= earlier.succeeded && failed >= earlier.failed &&
-                    pace.count >= earlier.pace.count;
+                    latency.count >= earlier.latency.count;
   if (!grew) return false;
   sent -= earlier.sent;
   succeeded -= earlier.succeeded;
   failed -= earlier.failed;
-  pace.count -= earlier.pace.count;
-  pace.sum -= earlier.pace.sum;
-  pace.squares -= earlier.pace.squares;
+  latency.count -= earlier.latency.count;
+  latency.sum -= earlier.latency.sum;
+  latency.squares -= earlier.latency.squares;
   return true;
 }
 
--- a/rollouts/version_evidence.hpp
+++ b/rollouts/version_evidence.hpp
@@ -24,17 +24,17 @@
   std::uint64_t sent = 0;       ///< requests that went to a worker
   std::uint64_t succeeded = 0;  ///< answers that were whole and no failure
   std::uint64_t failed = 0;     ///< answers by which the worker itself says that it failed
-  LogLatencyStats pace;         ///< of a whole answer, or between the events of a stream
+  LogLatencyStats latency;      ///< of a whole answer, or between the events of a stream
   void add(VersionTally const& other);
   /// Takes away what was counted earlier; false, and nothing is changed, if that was more.
   bool subtract(VersionTally const& earlier);
-  MSGPACK_DEFINE(order, service, route, isTarget, sent, succeeded, failed, pace)
+  MSGPACK_DEFINE(order, service, route, isTarget, sent, succeeded, failed, latency)
 };
 
 /// Of one request that went to a worker.
 VersionTally sentTally();
-/// Of one answer, with its pace if that can be told.
-VersionTally outcomeTally(bool succeeded, std::optional<double> paceMs);
+/// Of one answer, with its latency if that can be told.
+VersionTally outcomeTally(bool succeeded, std::optional<double> latencyMs);
 
 /// Tallies by rollout, route and version.
 class VersionEvidence {
--- a/rollouts/version_groups.cpp
+++ b/rollouts/version_groups.cpp
@@ -55,7 +55,7 @@
   if (record->servesOnlyTarget()) {
     groups.stable = std::move(targets);
   } else if (!targets.empty()) {
-    groups.trial = canaryWorkers(std::move(targets), record->share);
+    groups.canary = canaryWorkers(std::move(targets), record->share);
     groups.canaryShare = record->share;
   }
   return groups;
--- a/rollouts/version_groups.hpp
+++ b/rollouts/version_groups.hpp
@@ -5,8 +5,8 @@
 
 /// The workers of one service, by what may be sent to them. Workers in neither group get nothing.
 struct VersionGroups {
-  vector<Worker const*> stable;   ///< get the traffic that doesn't go to `trial`
-  vector<Worker const*> trial;    ///< get the target version's share; empty unless traffic is divided
+  vector<Worker const*> stable;   ///< get the traffic that doesn't go to `canary`
+  vector<Worker const*> canary;   ///< get the target version's share; empty unless traffic is divided
   std::uint32_t canaryShare = 0;  ///< in thousandths
 };
 
--- a/tests/rollouts/version_evidence_test.cpp
+++ b/tests/rollouts/version_evidence_test.cpp
@@ -36,7 +36,7 @@
     bool const fails = chance(random) < (tally.isTarget ? traffic.failing : traffic.oldFailing);
     (fails ? tally.failed : tally.succeeded) = 1;
     bool const slows = tally.isTarget && chance(random) < traffic.slowing;
-    if (!fails) tally.pace.add(time(random) * (slows ? traffic.factor : 1));
+    if (!fails) tally.latency.add(time(random) * (slows ? traffic.factor : 1));
     evidence.add(tally);
   }
   return evidence.all();
--- a/tests/rollouts/version_groups_test.cpp
+++ b/tests/rollouts/version_groups_test.cpp
@@ -42,7 +42,7 @@
   VersionGroups const groups = groupByVersion(workers.pointers, nullptr, NoRolloutPolicy::majorityServes);
   LONGS_EQUAL(10, groups.stable.size());
   CHECK(allHave(groups.stable, "v1"));
-  LONGS_EQUAL(0, groups.trial.size());
+  LONGS_EQUAL(0, groups.canary.size());
   LONGS_EQUAL(20, groupByVersion(workers.pointers, nullptr, NoRolloutPolicy::allServe).stable.size());
 }
 TEST(versionGroups, aStageUsesFewWorkersOfTheNewVersion) {
@@ -50,8 +50,8 @@
   RolloutRecord const stage = record(RolloutState::serving, 30);
   VersionGroups const groups = groupByVersion(workers.pointers, &stage, NoRolloutPolicy::majorityServes);
   LONGS_EQUAL(60, groups.stable.size());
-  LONGS_EQUAL(2, groups.trial.size());
-  CHECK(allHave(groups.trial, "v2"));
+  LONGS_EQUAL(2, groups.canary.size());
+  CHECK(allHave(groups.canary, "v2"));
   LONGS_EQUAL(30, groups.canaryShare);
 }
 TEST(versionGroups, theLastStageExcludesTheOldVersion) {
@@ -70,7 +70,7 @@
   VersionGroups const groups = groupByVersion(workers.pointers, &reverted, NoRolloutPolicy::majorityServes);
   LONGS_EQUAL(4, groups.stable.size());
   CHECK(allHave(groups.stable, "v1"));
-  LONGS_EQUAL(0, groups.trial.size());
+  LONGS_EQUAL(0, groups.canary.size());
 }
 TEST(versionGroups, aThirdVersionGetsNothingWhileTwoShare) {
   Workers workers(4, 4);
--- a/traffic/load_balancer.cpp
+++ b/traffic/load_balancer.cpp
@@ -147,7 +147,7 @@
   VersionGroups const& groups = view.groupsOf(service);
   bool const wantsWarmingUp = group == Group::warmingUp;
   vector<Candidate> candidates;
-  for (Worker const* const worker : group == Group::trial ? groups.trial : groups.stable)
+  for (Worker const* const worker : group == Group::canary ? groups.canary : groups.stable)
     if (view.warmUpOf(*worker).mayBeUnderWay == wantsWarmingUp)
       candidates.push_back({worker, hash64(worker->id), &workers_[worker->id]});
   return candidates;
@@ -192,9 +192,9 @@
   TimePoint const now = Clock::now();
   // Only a first try goes to a new version, so that a bad one fails no request for good.
   VersionGroups const& groups = view.groupsOf(request.service);
-  if (tried.empty() && !groups.trial.empty() && request.draw % fullShare < groups.canaryShare) {
-    Pick const trial = pickFrom(candidatesFor(view, request.service, Group::trial), request, tried, now);
-    if (trial.worker) return trial;
+  if (tried.empty() && !groups.canary.empty() && request.draw % fullShare < groups.canaryShare) {
+    Pick const canary = pickFrom(candidatesFor(view, request.service, Group::canary), request, tried, now);
+    if (canary.worker) return canary;
   }
   return pickFrom(candidatesFor(view, request.service, Group::stable), request, tried, now);
 }
--- a/traffic/load_balancer.hpp
+++ b/traffic/load_balancer.hpp
@@ -108,7 +108,7 @@
   };
 
   /// The group of workers that a request goes to, by the version, and whether they warm up.
-  enum class Group { stable, trial, warmingUp };
+  enum class Group { stable, canary, warmingUp };
   vector<Candidate> makeCandidates(FleetView const& view, string const& service, Group group);
   vector<Candidate> const& candidatesFor(FleetView const& view, string const& service, Group group);
   Pick pickFrom(vector<Candidate> const& candidates, PickRequest const& request, std::set<string> const& tried,
