--- a/rollouts/rollout_call.hpp
+++ b/rollouts/rollout_call.hpp
@@ -6,26 +6,26 @@
 /// An order to move a service's traffic to workers of another version.
 struct RolloutOrder {
   string service, target;
-  Ms over{0};
+  Ms duration{0};
 };
 
-/// Reads the body of `POST /rollouts`; throws ErrorCode::badRollout if it can't be read or a field is out of its range.
+/// Parses the body of `POST /rollouts`; throws ErrorCode::badRollout if it is malformed or a field is out of range.
 RolloutOrder parseRolloutOrder(string const& body);
 
-/// What becomes of an order.
+/// How an order is handled.
 struct OrderDecision {
   enum class Kind { acknowledge, write, refuse } kind = Kind::acknowledge;
-  RolloutRecord record;  ///< to be written, without its revision
+  RolloutRecord record;  ///< to write, without its revision
   ErrorCode code = ErrorCode::rolloutUnderWay;
 };
 
-/// Decides on an order by the record of the service, if there is one:
-/// - The same order again, while it is carried out or once it has ended, is acknowledged and changes nothing.
-/// - After a revert, the same order is a new one once its term and the time for repeats are over.
-/// - An order back to the old version while a rollout runs reverts it.
-/// - Any other order while one runs is refused.
-/// `serving` is the version that serves now, `elapsed` the time since the order of the record.
-OrderDecision decideOrder(std::optional<RolloutRecord> const& present, RolloutOrder const& order, string const& serving,
-                          Ms elapsed, Ms repeatGrace);
+/// Decides how to handle an order, by the record of the service's last rollout, if there is one:
+/// - A repeated order is acknowledged without effect, while the rollout is in progress and after it.
+/// - After a revert, the same order starts a new rollout once the duration of the old one and `repeatGrace` are over.
+/// - An order of the old version while a rollout is in progress reverts it.
+/// - Any other order while a rollout is in progress is refused.
+/// `currentVersion` is the version that serves now, `elapsed` the time since the order of the record.
+OrderDecision decideOrder(std::optional<RolloutRecord> const& present, RolloutOrder const& order,
+                          string const& currentVersion, Ms elapsed, Ms repeatGrace);
 
 }  // namespace tealshelf
--- a/rollouts/rollout_machine.cpp
+++ b/rollouts/rollout_machine.cpp
@@ -5,13 +5,13 @@
 namespace tealshelf {
 
 namespace {
-/// Shares of the first stages, in parts of the fraction that a bad version may get.
+/// Shares of the first two stages, as fractions of Bounds::exposureFraction.
 constexpr double firstShare = 0.15, secondShare = 0.3;
-/// Parts of the budget that the last step may count on; the rest is for what is under way and not counted yet.
+/// Fractions of the exposure budget that the last stage may use; the rest is for requests that aren't counted yet.
 constexpr double usedExposureFraction = 0.85, usedExposureMargin = 0.5;
-/// A stage lasts for this part of the term at least.
+/// A stage lasts at least the rollout's duration divided by this.
 constexpr int minStageDivisor = 20;
-/// Without any worker of the target version a rollout is given up after so many terms.
+/// A rollout without a worker of the target version is reverted after so many times its duration.
 constexpr int maxDurationsWithoutTarget = 2;
 
 std::uint32_t toThousandths(double part) {
@@ -59,9 +59,9 @@
   Ms const left = Ms(record.durationMs) - inputs.elapsed;
   if (left <= Ms(0)) return true;
   double const elapsedMs = std::max(1.0, static_cast<double>(inputs.elapsed.count()));
-  double const toCome = inputs.judgement.sentTotal / elapsedMs * static_cast<double>(left.count());
-  double const exposed = inputs.judgement.sentToTarget + toCome;
-  double const budget = usedExposureFraction * plan.exposureFraction * (inputs.judgement.sentTotal + toCome) +
+  double const remaining = inputs.judgement.sentTotal / elapsedMs * static_cast<double>(left.count());
+  double const exposed = inputs.judgement.sentToTarget + remaining;
+  double const budget = usedExposureFraction * plan.exposureFraction * (inputs.judgement.sentTotal + remaining) +
                         usedExposureMargin * plan.exposureMargin;
   return exposed <= budget;
 }
@@ -74,12 +74,12 @@
   std::uint64_t const lastStage = plan.shares.size() - 1;
   if (record.stage >= lastStage) {
     if (!inputs.confirmed || !inputs.drained) return std::nullopt;
-    return ended(record, inputs, RolloutState::finished, "nothing goes to or runs at the old version");
+    return ended(record, inputs, RolloutState::finished, "the old version gets no requests and has none in flight");
   }
   bool const isLate = inputs.elapsed > maxDurationsWithoutTarget * Ms(record.durationMs);
   if (!inputs.targetExists) {
     if (!isLate) return std::nullopt;
-    return ended(record, inputs, RolloutState::reverted, "no worker has the new version");
+    return ended(record, inputs, RolloutState::reverted, "the new version still has no workers");
   }
   if (!inputs.confirmed) return std::nullopt;
   if (fitsBudget(record, plan, inputs)) return atStage(record, plan, inputs, lastStage, trafficSummary(inputs));
--- a/rollouts/version_evidence.cpp
+++ b/rollouts/version_evidence.cpp
@@ -7,16 +7,18 @@
 namespace tealshelf {
 
 namespace {
-/// Quantiles of the normal distribution for the lower bounds of a share and of a ratio of times.
+/// Quantiles of the normal distribution for the lower bounds of a failure rate and of a ratio of latencies.
 constexpr double failureRateQuantile = 2.6, latencyQuantile = 3;
-/// A version fails more if the bound of its share lies so far above that of the old one, after so many failures.
+/// A version fails more if the lower bound of its failure rate exceeds the old version's rate by so much, after so many
+/// failures.
 constexpr double minFailureRateExcess = 0.08;
 constexpr std::uint64_t minFailureCount = 4;
-/// A version is slower if the bound of its time is so many times the old one's, after so many answers of each.
+/// A version is slower if the lower bound of its latency is so many times the old version's, after so many samples of
+/// each.
 constexpr double minSlowdown = 1.4;
 constexpr std::uint64_t minLatencySamples = 10;
 
-/// Lower bound of a share after Wilson.
+/// Lower bound of the Wilson score interval of a proportion.
 double wilsonLowerBound(std::uint64_t hits, std::uint64_t total) {
   double const n = static_cast<double>(total), share = static_cast<double>(hits) / n;
   double const z2 = failureRateQuantile * failureRateQuantile;
@@ -36,7 +38,7 @@
       wilsonLowerBound(target.failed, total) < failureRate(old) + minFailureRateExcess)
     return std::nullopt;
   std::ostringstream text;
-  text << target.failed << " of " << total << " answers failed, of the old version " << old.failed << " of "
+  text << target.failed << " of " << total << " responses failed, at the old version " << old.failed << " of "
        << old.failed + old.succeeded;
   return text.str();
 }
@@ -47,8 +49,8 @@
   double const error = std::sqrt(target.latency.varianceOfMean() + old.latency.varianceOfMean());
   if (difference - latencyQuantile * error < std::log(minSlowdown)) return std::nullopt;
   std::ostringstream text;
-  text << "answers take " << std::fixed << std::setprecision(1) << std::exp(difference) << " times as long, by "
-       << target.latency.count << " of them";
+  text << "responses take " << std::fixed << std::setprecision(1) << std::exp(difference) << " times as long, over "
+       << target.latency.count << " samples";
   return text.str();
 }
 }  // namespace
@@ -109,13 +111,13 @@
   VersionEvidence before, now;
   before.add(earlier);
   now.add(present);
-  vector<VersionTally> grown = now.all();
-  for (VersionTally& tally : grown)
+  vector<VersionTally> increase = now.all();
+  for (VersionTally& tally : increase)
     for (VersionTally const& old : before.all()) {
       bool const isSame = old.order == tally.order && old.route == tally.route && old.isTarget == tally.isTarget;
       if (isSame) tally.subtract(old);
     }
-  return grown;
+  return increase;
 }
 
 void VersionEvidence::add(VersionTally const& tally) {
@@ -149,17 +151,17 @@
 
 VersionJudgement judgeVersion(RolloutRecord const& record, vector<VersionTally> const& tallies) {
   VersionJudgement judgement;
-  VersionTally targetInAll, oldInAll;
+  VersionTally targetTotal, oldTotal;
   std::map<string, std::pair<VersionTally, VersionTally>> routes;  // target and old
   for (VersionTally const& tally : tallies) {
     if (tally.order != record.order || tally.service != record.service) continue;
-    (tally.isTarget ? targetInAll : oldInAll).add(tally);
+    (tally.isTarget ? targetTotal : oldTotal).add(tally);
     auto& [target, old] = routes[tally.route];
     (tally.isTarget ? target : old).add(tally);
   }
-  judgement.sentToTarget = static_cast<double>(targetInAll.sent);
-  judgement.sentTotal = judgement.sentToTarget + static_cast<double>(oldInAll.sent);
-  std::optional<string> reason = failureReason(targetInAll, oldInAll);
+  judgement.sentToTarget = static_cast<double>(targetTotal.sent);
+  judgement.sentTotal = judgement.sentToTarget + static_cast<double>(oldTotal.sent);
+  std::optional<string> reason = failureReason(targetTotal, oldTotal);
   if (reason) reason = "on all routes " + *reason;
   for (auto const& [route, versions] : routes) {
     if (reason) break;
--- a/rollouts/version_groups.cpp
+++ b/rollouts/version_groups.cpp
@@ -7,7 +7,7 @@
   return version != record.target && (record.stable.empty() || version == record.stable);
 }
 
-/// Those of the target's workers that take part in a stage: the same at all nodes.
+/// The workers of the target version that get a stage's share. Sorted by hash, so that all nodes choose the same ones.
 vector<Worker const*> canaryWorkers(vector<Worker const*> targets, std::uint32_t share) {
   double const part = static_cast<double>(share) / fullShare;
   double const wanted = std::ceil(part * static_cast<double>(targets.size()));
@@ -37,14 +37,14 @@
 }
 
 VersionGroups groupByVersion(vector<Worker const*> const& workers, RolloutRecord const* record,
-                             NoRolloutPolicy unordered) {
+                             NoRolloutPolicy policy) {
   VersionGroups groups;
   if (!record) {
     std::map<string, std::size_t> counts;
     for (Worker const* const worker : workers) ++counts[worker->version];
     string const admitted = majorityVersion(counts);
     for (Worker const* const worker : workers)
-      if (unordered == NoRolloutPolicy::allServe || worker->version == admitted) groups.stable.push_back(worker);
+      if (policy == NoRolloutPolicy::allServe || worker->version == admitted) groups.stable.push_back(worker);
     return groups;
   }
   vector<Worker const*> targets;
--- a/rollouts/version_groups.hpp
+++ b/rollouts/version_groups.hpp
@@ -3,29 +3,28 @@
 
 namespace tealshelf {
 
-/// The workers of one service, by what may be sent to them. Workers in neither group get nothing.
+/// The workers of one service by the traffic that they may get. Workers in neither group get none.
 struct VersionGroups {
-  vector<Worker const*> stable;   ///< get the traffic that doesn't go to `canary`
-  vector<Worker const*> canary;   ///< get the target version's share; empty unless traffic is divided
+  vector<Worker const*> stable;   ///< get all traffic that doesn't go to `canary`
+  vector<Worker const*> canary;   ///< get `canaryShare`; empty unless traffic is split
   std::uint32_t canaryShare = 0;  ///< in thousandths
 };
 
-/// How workers are treated whose service was never ordered to move.
+/// Which workers of a service get traffic if no rollout of the service was ever ordered.
 enum class NoRolloutPolicy {
-  allServe,       ///< where versions are of no concern
-  majorityServes  ///< a version that no order lets in gets nothing: the one that most workers have is the old one
+  allServe,       ///< workers of all versions
+  majorityServes  ///< workers of the version that most workers have: any other needs a rollout first
 };
 
-/// Divides workers of a service that take requests. Of the target's workers only so many take part in a stage that each
-/// has an ordinary load: with a trickle for each, a fault under load would stay hidden until the last stage.
-VersionGroups groupByVersion(vector<Worker const*> const& workers, RolloutRecord const* record,
-                             NoRolloutPolicy unordered);
+/// Groups the workers of a service that accept requests. A stage uses only as many workers of the target version as its
+/// share fills with an ordinary load: if all of them got a little, a fault under load would show in the last stage
+/// only.
+VersionGroups groupByVersion(vector<Worker const*> const& workers, RolloutRecord const* record, NoRolloutPolicy policy);
 
-/// True if a worker of a version may still be sent requests by what a record says.
+/// True if a rollout's record allows requests to workers of a version.
 bool isAdmitted(RolloutRecord const& record, string const& version);
 
-/// The version that most workers have, by how many have each; of several, the one of the smallest name; "" if there are
-/// none.
+/// The version with the most workers; of several, the first by name; "" if there is none.
 string majorityVersion(std::map<string, std::size_t> const& workersByVersion);
 
 }  // namespace tealshelf
--- a/tests/rollouts/rollout_call_test.cpp
+++ b/tests/rollouts/rollout_call_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 using Kind = OrderDecision::Kind;
-Ms const repeats{10000};
+Ms const repeatGrace{10000};
 
 int codeOf(string const& body) {
   try {
@@ -34,7 +34,7 @@
   RolloutOrder const order = parseRolloutOrder("{\"service\":\"s\",\"targetVersion\":\"v2\",\"overS\":1.5}");
   STRCMP_EQUAL("s", order.service.c_str());
   STRCMP_EQUAL("v2", order.target.c_str());
-  LONGS_EQUAL(1500, order.over.count());
+  LONGS_EQUAL(1500, order.duration.count());
 }
 TEST(rolloutCall, badOrdersAreRefused) {
   for (string const& body : {string(), string("[]"), string("{\"service\":\"s\",\"targetVersion\":\"v2\"}"),
@@ -46,41 +46,41 @@
                              "{\"service\":\"" + string(300, 's') + "\",\"targetVersion\":\"v2\",\"overS\":1}"})
     LONGS_EQUAL(412, codeOf(body));
 }
-TEST(rolloutCall, aFirstOrderBegins) {
-  OrderDecision const decision = decideOrder(std::nullopt, {"s", "v2", Ms(12000)}, "v1", Ms(0), repeats);
+TEST(rolloutCall, aFirstOrderStartsARollout) {
+  OrderDecision const decision = decideOrder(std::nullopt, {"s", "v2", Ms(12000)}, "v1", Ms(0), repeatGrace);
   CHECK(decision.kind == Kind::write);
   CHECK(decision.record.isServing());
   STRCMP_EQUAL("v1", decision.record.stable.c_str());
 }
-TEST(rolloutCall, repeatsAreAcknowledgedWhateverTheState) {
+TEST(rolloutCall, repeatedOrdersAreAcknowledgedInAnyState) {
   for (RolloutState const state : {RolloutState::serving, RolloutState::finished, RolloutState::reverted})
-    CHECK(decideOrder(present(state), {"s", "v2", Ms(12000)}, "v1", Ms(13000), repeats).kind == Kind::acknowledge);
+    CHECK(decideOrder(present(state), {"s", "v2", Ms(12000)}, "v1", Ms(13000), repeatGrace).kind == Kind::acknowledge);
 }
 TEST(rolloutCall, aRevertedVersionMayBeOrderedAgainLater) {
   OrderDecision const decision =
-      decideOrder(present(RolloutState::reverted), {"s", "v2", Ms(12000)}, "v1", Ms(30000), repeats);
+      decideOrder(present(RolloutState::reverted), {"s", "v2", Ms(12000)}, "v1", Ms(30000), repeatGrace);
   CHECK(decision.kind == Kind::write);
   CHECK(decision.record.isServing());
   STRCMP_EQUAL("v1", decision.record.stable.c_str());
 }
-TEST(rolloutCall, theOldVersionOrderedBackRevertsAtOnce) {
+TEST(rolloutCall, anOrderOfTheOldVersionRevertsAtOnce) {
   OrderDecision const decision =
-      decideOrder(present(RolloutState::serving), {"s", "v1", Ms(12000)}, "v1", Ms(3000), repeats);
+      decideOrder(present(RolloutState::serving), {"s", "v1", Ms(12000)}, "v1", Ms(3000), repeatGrace);
   CHECK(decision.kind == Kind::write);
   CHECK(decision.record.state == RolloutState::reverted);
   STRCMP_EQUAL("v2", decision.record.target.c_str());
 }
-TEST(rolloutCall, aThirdVersionWaits) {
-  CHECK(decideOrder(present(RolloutState::serving), {"s", "v3", Ms(12000)}, "v1", Ms(3000), repeats).kind ==
+TEST(rolloutCall, aThirdVersionIsRefusedWhileARolloutIsInProgress) {
+  CHECK(decideOrder(present(RolloutState::serving), {"s", "v3", Ms(12000)}, "v1", Ms(3000), repeatGrace).kind ==
         Kind::refuse);
 }
-TEST(rolloutCall, theNextRolloutBeginsAtTheVersionThatFinished) {
+TEST(rolloutCall, theNextRolloutStartsFromTheVersionThatFinished) {
   OrderDecision const decision =
-      decideOrder(present(RolloutState::finished), {"s", "v3", Ms(12000)}, "v2", Ms(60000), repeats);
+      decideOrder(present(RolloutState::finished), {"s", "v3", Ms(12000)}, "v2", Ms(60000), repeatGrace);
   CHECK(decision.kind == Kind::write);
   STRCMP_EQUAL("v2", decision.record.stable.c_str());
 }
-TEST(rolloutCall, aVersionThatServesAlreadyIsFinished) {
-  OrderDecision const decision = decideOrder(std::nullopt, {"s", "v1", Ms(12000)}, "v1", Ms(0), repeats);
+TEST(rolloutCall, anOrderOfTheCurrentVersionIsFinishedAtOnce) {
+  OrderDecision const decision = decideOrder(std::nullopt, {"s", "v1", Ms(12000)}, "v1", Ms(0), repeatGrace);
   CHECK(decision.record.state == RolloutState::finished);
 }
--- a/tests/rollouts/rollout_machine_test.cpp
+++ b/tests/rollouts/rollout_machine_test.cpp
@@ -24,8 +24,8 @@
   return record;
 }
 
-/// Inputs of a calm rollout: 800 requests a second in all, and the share of the stage at the target version.
-RolloutInputs calm(Ms elapsed, double share) {
+/// Inputs of a rollout without faults: 800 requests a second, of which `share` go to the target version.
+RolloutInputs healthy(Ms elapsed, double share) {
   RolloutInputs inputs;
   inputs.elapsed = elapsed;
   inputs.timeInStage = elapsed;
@@ -38,19 +38,19 @@
 
 TEST_GROUP(rolloutMachine){};
 
-TEST(rolloutMachine, theFirstSharesArePartsOfTheBudget) {
+TEST(rolloutMachine, theFirstSharesAreWithinTheExposureBudget) {
   LONGS_EQUAL(3, plan().shares.size());
   CHECK(plan().shares[0] < plan().shares[1] && plan().shares[1] < 100);
   LONGS_EQUAL(fullShare, plan().shares[2]);
 }
 TEST(rolloutMachine, aStageWaitsForAllConfirmations) {
-  RolloutInputs inputs = calm(Ms(3000), 0.015);
+  RolloutInputs inputs = healthy(Ms(3000), 0.015);
   LONGS_EQUAL(1, nextRecord(serving(0), plan(), inputs)->stage);
   inputs.confirmed = false;
   CHECK_FALSE(nextRecord(serving(0), plan(), inputs).has_value());
 }
 TEST(rolloutMachine, aBadVersionIsRevertedInAnyStageWithoutConfirmations) {
-  RolloutInputs inputs = calm(Ms(3000), 0.015);
+  RolloutInputs inputs = healthy(Ms(3000), 0.015);
   inputs.confirmed = inputs.drained = false;
   inputs.judgement.verdict = VersionVerdict::bad;
   for (std::uint64_t stage = 0; stage < 3; ++stage) {
@@ -59,10 +59,10 @@
     LONGS_EQUAL(0, next->share);
   }
 }
-TEST(rolloutMachine, allTrafficMovesOnlyWhereTheBudgetHoldsAgainstAFaultThatBeginsThen) {
+TEST(rolloutMachine, allTrafficMovesOnlyOnceAFaultThatBeginsThenFitsTheBudget) {
   std::optional<Ms> moved;
   for (Ms elapsed(1000); elapsed < Ms(15000) && !moved; elapsed += Ms(50)) {
-    std::optional<RolloutRecord> const next = nextRecord(serving(1), plan(), calm(elapsed, 0.03));
+    std::optional<RolloutRecord> const next = nextRecord(serving(1), plan(), healthy(elapsed, 0.03));
     if (next && next->stage == 2) moved = elapsed;
   }
   CHECK(moved.has_value());
@@ -72,24 +72,24 @@
   CHECK(exposed <= 0.1 * total + 50);
   CHECK(exposed > 0.05 * total);
 }
-TEST(rolloutMachine, finishedWaitsUntilNothingRunsAtTheOldVersion) {
-  RolloutInputs inputs = calm(Ms(14900), 0.1);
+TEST(rolloutMachine, finishedWaitsUntilTheOldVersionIsDrained) {
+  RolloutInputs inputs = healthy(Ms(14900), 0.1);
   inputs.drained = false;
   CHECK_FALSE(nextRecord(serving(2), plan(), inputs).has_value());
   inputs.drained = true;
   CHECK(nextRecord(serving(2), plan(), inputs)->state == RolloutState::finished);
 }
-TEST(rolloutMachine, aVersionThatNobodyHasGetsNothingAndIsGivenUp) {
-  RolloutInputs inputs = calm(Ms(15000), 0);
+TEST(rolloutMachine, aVersionWithoutWorkersStaysInItsStageAndIsRevertedLater) {
+  RolloutInputs inputs = healthy(Ms(15000), 0);
   inputs.targetExists = false;
   CHECK_FALSE(nextRecord(serving(0), plan(), inputs).has_value());
   inputs.elapsed = Ms(30001);
   CHECK(nextRecord(serving(0), plan(), inputs)->state == RolloutState::reverted);
 }
-TEST(rolloutMachine, anEndedRolloutStays) {
+TEST(rolloutMachine, anEndedRolloutDoesNotChange) {
   RolloutRecord record = serving(2);
   record.state = RolloutState::finished;
-  RolloutInputs inputs = calm(Ms(15000), 0.1);
+  RolloutInputs inputs = healthy(Ms(15000), 0.1);
   inputs.judgement.verdict = VersionVerdict::bad;
   CHECK_FALSE(nextRecord(record, plan(), inputs).has_value());
 }
--- a/tests/rollouts/version_evidence_test.cpp
+++ b/tests/rollouts/version_evidence_test.cpp
@@ -14,9 +14,9 @@
   return record;
 }
 
-/// Requests of one route: some at the old version, few at the new one, whose answers fail or take longer in a share.
+/// Requests of one route: many at the old version and few at the new one, of which a fraction fails or is slow.
 struct Traffic {
-  double failing = 0, slowing = 0, factor = 8;
+  double failing = 0, slow = 0, slowdown = 8;
   double oldFailing = 0.01;
   int oldCount = 1000, newCount = 100;
 };
@@ -35,68 +35,68 @@
     tally.sent = 1;
     bool const fails = chance(random) < (tally.isTarget ? traffic.failing : traffic.oldFailing);
     (fails ? tally.failed : tally.succeeded) = 1;
-    bool const slows = tally.isTarget && chance(random) < traffic.slowing;
-    if (!fails) tally.latency.add(time(random) * (slows ? traffic.factor : 1));
+    bool const isSlow = tally.isTarget && chance(random) < traffic.slow;
+    if (!fails) tally.latency.add(time(random) * (isSlow ? traffic.slowdown : 1));
     evidence.add(tally);
   }
   return evidence.all();
 }
 
-/// Of 500 seeds, how many judge the version as bad.
-int foundBad(Traffic const& traffic) {
-  int found = 0;
+/// How many of 500 seeds give the verdict `bad`.
+int countBadVerdicts(Traffic const& traffic) {
+  int count = 0;
   for (std::uint64_t seed = 1; seed <= 500; ++seed)
-    found += judgeVersion(rollout(), tallies(traffic, seed)).verdict == VersionVerdict::bad;
-  return found;
+    count += judgeVersion(rollout(), tallies(traffic, seed)).verdict == VersionVerdict::bad;
+  return count;
 }
 }  // namespace
 
-/// A version is judged by how its answers differ from those of the old one on the same routes.
+/// A version is judged by how its responses differ from those of the old one on the same routes.
 TEST_GROUP(versionEvidence){};
 
-TEST(versionEvidence, goodVersionsAreHardlyEverTakenBack) {
-  CHECK(foundBad({0.01, 0, 8, 0.01, 1000, 100}) <= 2);
-  CHECK(foundBad({0.01, 0, 8, 0.01, 300, 12}) <= 2);
-  // Both fail alike: an overload, not the version.
-  CHECK(foundBad({0.3, 0, 8, 0.3, 1000, 100}) <= 2);
+TEST(versionEvidence, goodVersionsAreRarelyJudgedBad) {
+  CHECK(countBadVerdicts({0.01, 0, 8, 0.01, 1000, 100}) <= 2);
+  CHECK(countBadVerdicts({0.01, 0, 8, 0.01, 300, 12}) <= 2);
+  // Both versions fail at the same rate: an overload, not a fault of the version.
+  CHECK(countBadVerdicts({0.3, 0, 8, 0.3, 1000, 100}) <= 2);
 }
 TEST(versionEvidence, failuresAreFoundInFewRequests) {
-  CHECK(foundBad({0.5, 0, 8, 0.01, 500, 20}) >= 490);
-  CHECK(foundBad({0.4, 0, 8, 0.05, 500, 80}) >= 490);
+  CHECK(countBadVerdicts({0.5, 0, 8, 0.01, 500, 20}) >= 490);
+  CHECK(countBadVerdicts({0.4, 0, 8, 0.05, 500, 80}) >= 490);
 }
-TEST(versionEvidence, slownessOfAPartIsFound) {
-  CHECK(foundBad({0.01, 0.5, 8, 0.01, 500, 150}) >= 490);
-  CHECK(foundBad({0.01, 1, 4, 0.01, 500, 40}) >= 490);
+TEST(versionEvidence, slowResponsesAreFound) {
+  CHECK(countBadVerdicts({0.01, 0.5, 8, 0.01, 500, 150}) >= 490);
+  CHECK(countBadVerdicts({0.01, 1, 4, 0.01, 500, 40}) >= 490);
 }
-TEST(versionEvidence, aFaultOnOneRouteOfManyIsFound) {
+TEST(versionEvidence, aFaultOnOneOfManyRoutesIsFound) {
   VersionEvidence evidence;
   for (char const* const route : {"a", "b", "c"}) evidence.add(tallies({0.01, 0, 8, 0.01, 1000, 200}, 3, route));
   evidence.add(tallies({0.4, 0, 8, 0.01, 100, 30}, 3, "d"));
   CHECK(judgeVersion(rollout(), evidence.all()).verdict == VersionVerdict::bad);
 }
-TEST(versionEvidence, whatBelongsToAnotherRolloutDoesNotCount) {
+TEST(versionEvidence, talliesOfAnotherRolloutDoNotCount) {
   vector<VersionTally> old = tallies({1, 0, 8, 0.01, 100, 100}, 1);
   for (VersionTally& tally : old) tally.order = 3;
   VersionJudgement const judgement = judgeVersion(rollout(), old);
   CHECK(judgement.verdict == VersionVerdict::undecided);
   DOUBLES_EQUAL(0, judgement.sentTotal, 0);
 }
-TEST(versionEvidence, whatIsSentIsCountedForTheBudget) {
+TEST(versionEvidence, sentRequestsAreCounted) {
   VersionJudgement const judgement = judgeVersion(rollout(), tallies({0, 0, 8, 0, 900, 100}, 1));
   DOUBLES_EQUAL(100, judgement.sentToTarget, 0);
   DOUBLES_EQUAL(1000, judgement.sentTotal, 0);
 }
-TEST(versionEvidence, whatCameSinceIsToldApart) {
+TEST(versionEvidence, aFaultThatBeginsLateIsFoundInRecentTallies) {
   vector<VersionTally> const before = tallies({0, 0, 8, 0, 500, 200}, 1);
   VersionEvidence now;
   now.add(before);
   now.add(tallies({0.5, 0, 8, 0, 100, 20}, 2));
-  // In all that was seen the fault is hidden; in what came last it isn't.
+  // The fault is hidden in the sum of all tallies, and shows in the recent ones.
   CHECK(judgeVersion(rollout(), now.all()).verdict == VersionVerdict::undecided);
   CHECK(judgeVersion(rollout(), talliesSince(before, now.all())).verdict == VersionVerdict::bad);
   DOUBLES_EQUAL(120, judgeVersion(rollout(), talliesSince(before, now.all())).sentTotal, 0);
 }
-TEST(versionEvidence, aNodeThatStartedAgainCountsFromThere) {
+TEST(versionEvidence, talliesOfARestartedNodeCountWhole) {
   vector<VersionTally> const before = tallies({0, 0, 8, 0, 500, 200}, 1);
   vector<VersionTally> const now = tallies({0, 0, 8, 0, 50, 10}, 2);
   DOUBLES_EQUAL(60, judgeVersion(rollout(), talliesSince(before, now)).sentTotal, 0);
--- a/tests/rollouts/version_groups_test.cpp
+++ b/tests/rollouts/version_groups_test.cpp
@@ -37,7 +37,7 @@
 
 TEST_GROUP(versionGroups){};
 
-TEST(versionGroups, withoutAnOrderANewVersionGetsNothing) {
+TEST(versionGroups, aNewVersionWithoutARolloutGetsNothing) {
   Workers const workers(10, 10);
   VersionGroups const groups = groupByVersion(workers.pointers, nullptr, NoRolloutPolicy::majorityServes);
   LONGS_EQUAL(10, groups.stable.size());
@@ -72,7 +72,7 @@
   CHECK(allHave(groups.stable, "v1"));
   LONGS_EQUAL(0, groups.canary.size());
 }
-TEST(versionGroups, aThirdVersionGetsNothingWhileTwoShare) {
+TEST(versionGroups, aThirdVersionGetsNothingDuringARollout) {
   Workers workers(4, 4);
   workers.all[0].version = "v3";
   RolloutRecord const stage = record(RolloutState::serving, 30);
