--- a/control/call_input.cpp
+++ b/control/call_input.cpp
@@ -20,11 +20,14 @@
 void checkRetirement(string const& body) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
-  if (document.HasParseError() || !document.IsObject()) throw Error(ErrorCode::badRetirement, "not an object");
+  if (document.HasParseError() || !document.IsObject())
+    throw Error(ErrorCode::badRetirement, "the body isn't a JSON object");
   rapidjson::Value::ConstMemberIterator const over = document.FindMember("overS");
-  if (over == document.MemberEnd() || !over->value.IsNumber()) throw Error(ErrorCode::badRetirement, "no overS");
+  if (over == document.MemberEnd() || !over->value.IsNumber())
+    throw Error(ErrorCode::badRetirement, "overS must be a number of seconds");
   double const seconds = over->value.GetDouble();
-  if (!(seconds >= 0 && seconds <= maxDurationSeconds)) throw Error(ErrorCode::badRetirement, "overS out of its range");
+  if (!(seconds >= 0 && seconds <= maxDurationSeconds))
+    throw Error(ErrorCode::badRetirement, "overS must be from 0 to a day");
 }
 
 Error errorForCaller(Error const& error, CallKind kind) {
--- a/control/capacity_controller.cpp
+++ b/control/capacity_controller.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// So often in a lease the number of workers is looked at.
+/// How often the number of workers is evaluated.
 constexpr int decisionsPerLease = 6;
 
 string orderBody(string const& service, ScalingOrder const& order) {
@@ -28,7 +28,7 @@
       workers_(workers),
       evacuations_(evacuations),
       backoff_(settings.bounds.lease),
-      accepted_(metrics().counter("tealshelf_capacity_orders_total", "Orders of workers by their answer",
+      accepted_(metrics().counter("tealshelf_capacity_orders_total", "Orders of workers by the platform's answer",
                                   {{"end", "taken"}})),
       failed_(metrics().counter("tealshelf_capacity_orders_total", "", {{"end", "not_taken"}})) {}
 
@@ -60,7 +60,7 @@
 }
 
 Task<void> CapacityController::decideAll() {
-  // Another holder may have ordered since this node's last claim.
+  // Another holder may have placed orders since this node's last claim.
   if (fence_ != duties_.fence()) policies_.clear();
   fence_ = duties_.fence();
   std::shared_ptr<Configuration const> const present = configuration();
@@ -71,8 +71,8 @@
     ScalingDecision const decision = policies_[name].decide(inputsFor(service, allLoads), Clock::now());
     for (ScalingOrder const& wanted : decision.orders) {
       if (!duties_.mayAct() || fence_ != duties_.fence()) co_return;
-      bool const isTaken = co_await order(name, wanted, decision.reason);
-      if (!isTaken) co_return backoff_.noteNotTaken();
+      bool const isAccepted = co_await order(name, wanted, decision.reason);
+      if (!isAccepted) co_return backoff_.noteNotTaken();
       backoff_.noteTaken();
     }
   }
@@ -81,12 +81,13 @@
 Task<bool> CapacityController::order(string service, ScalingOrder order, string reason) {
   PlatformCall call{"/capacity", orderBody(service, order)};
   PlatformAnswer const answer = co_await duties_.call(std::move(call));
-  bool const isTaken = answer == PlatformAnswer::taken;
-  (isTaken ? accepted_ : failed_).increment();
-  if (isTaken) policies_[service].noteOrdered(order, Clock::now());
-  logInfo("duties", "capacity of " + service + " in " + order.zone + ": " + std::to_string(order.wanted) + ", " +
-                        reason + ": " + string(nameOf(answer)));
-  co_return isTaken;
+  bool const isAccepted = answer == PlatformAnswer::taken;
+  (isAccepted ? accepted_ : failed_).increment();
+  if (isAccepted) policies_[service].noteOrdered(order, Clock::now());
+  logInfo("duties", "ordered a total of " + std::to_string(order.wanted) + " workers of service " + service +
+                        " in zone " + order.zone + " (" + reason +
+                        "); answer of the platform: " + string(nameOf(answer)));
+  co_return isAccepted;
 }
 
 vector<CapacityController::View> CapacityController::views() const {
@@ -98,10 +99,10 @@
     if (!service.scaling) continue;
     View view{name, inputsFor(service, allLoads), {}, {}};
     auto const policy = policies_.find(name);
-    // A copy: the policy's memory is of its own decisions only.
-    ScalingPolicy trial = policy == policies_.end() ? ScalingPolicy() : policy->second;
-    view.ordered = trial.ordered();
-    view.decision = trial.decide(view.inputs, Clock::now());
+    // A copy, as a decision changes the policy's state.
+    ScalingPolicy preview = policy == policies_.end() ? ScalingPolicy() : policy->second;
+    view.ordered = preview.ordered();
+    view.decision = preview.decide(view.inputs, Clock::now());
     views.push_back(std::move(view));
   }
   return views;
--- a/control/capacity_controller.hpp
+++ b/control/capacity_controller.hpp
@@ -7,39 +7,39 @@
 
 namespace tealshelf {
 
-/// Orders workers at the platform while this node holds the duties, as the policy decides for each service whose
-/// number of workers may change.
+/// Orders workers from the platform while this node holds the duties, as the scaling policy decides for each service
+/// with scaling settings.
 ///
 /// Runs on the io thread. Everything passed in must outlive it.
 class CapacityController {
  public:
   CapacityController(asio::io_context& io, Settings const& settings, DutyHolder& duties, WorkerDirectory const& workers,
                      EvacuationHandler const& evacuations);
-  /// Does nothing where the platform has no such duty.
+  /// Does nothing if the settings have no scaling duty.
   void start();
 
-  /// Gives the configuration in force; null before there is one.
+  /// Returns the active configuration; null before there is one.
   std::function<std::shared_ptr<Configuration const>()> configuration;
-  /// Gives what all nodes have to do, by service.
+  /// Returns the load of all nodes, by service.
   std::function<std::map<string, ServiceLoad>()> loads;
-  /// True while a new version of a service gets a part of its traffic.
+  /// True while a rollout of a service is in progress.
   std::function<bool(string const& service)> isRollingOut;
 
-  /// What is known of one service, and what the policy makes of it.
+  /// The state of one service, and what the policy would decide now.
   struct View {
     string service;
     ScalingInputs inputs;
     ScalingDecision decision;
-    std::map<string, std::uint64_t> ordered;  ///< that the platform took from this node, by zone
+    std::map<string, std::uint64_t> ordered;  ///< workers that the platform accepted from this node, by zone
   };
-  /// For those on call, also at nodes that don't hold the duties: nothing is ordered by it.
+  /// For the status page, also at nodes that don't hold the duties. Orders nothing.
   vector<View> views() const;
 
  private:
   ScalingInputs inputsFor(ServiceSettings const& service, std::map<string, ServiceLoad> const& allLoads) const;
   Task<void> orderLoop();
   Task<void> decideAll();
-  /// True if the platform took it.
+  /// Returns true if the platform accepted the order.
   Task<bool> order(string service, ScalingOrder order, string reason);
 
   asio::io_context& io_;
@@ -47,8 +47,8 @@
   DutyHolder& duties_;
   WorkerDirectory const& workers_;
   EvacuationHandler const& evacuations_;
-  std::map<string, ScalingPolicy> policies_;  ///< by service, of the present claim of the duties
-  std::uint64_t fence_ = 0;                   ///< of that claim
+  std::map<string, ScalingPolicy> policies_;  ///< by service, for the current claim of the duties
+  std::uint64_t fence_ = 0;                   ///< fencing token of that claim
   CallBackoff backoff_;
   Counter accepted_, failed_;
 };
--- a/control/configuration_handler.cpp
+++ b/control/configuration_handler.cpp
@@ -5,24 +5,24 @@
 namespace tealshelf {
 
 namespace {
-/// Changes that wait for their turn: operators may have eight under way, each handed on by several nodes.
+/// Changes that may queue: operators may have eight in flight, each forwarded by several nodes.
 constexpr std::size_t maxWaitingChanges = 32;
-/// Keys that one change adds or takes away and that are told one by one.
+/// Keys added or removed by one change that are logged one by one.
 constexpr std::size_t maxLoggedKeys = 20;
 
 using KeysByTenant = std::map<string, std::set<string>>;
 
-/// Tells of keys that are in one configuration and not in another, by tenant and fingerprint.
+/// Logs the keys of one configuration that are missing from the other one, by tenant and fingerprint.
 void logKeysMissingFrom(KeysByTenant const& one, KeysByTenant const& other, string const& what) {
   std::size_t count = 0;
   for (auto const& [tenant, keys] : one) {
     auto const counterpart = other.find(tenant);
     for (string const& key : keys) {
       if (counterpart != other.end() && counterpart->second.contains(key)) continue;
-      if (++count <= maxLoggedKeys) logInfo("configuration", "key " + key + " of " + tenant + what);
+      if (++count <= maxLoggedKeys) logInfo("configuration", "key " + key + " of tenant " + tenant + what);
     }
   }
-  if (count > maxLoggedKeys) logInfo("configuration", std::to_string(count) + " keys in all" + what);
+  if (count > maxLoggedKeys) logInfo("configuration", std::to_string(count) + " keys in total" + what);
 }
 }  // namespace
 
@@ -56,7 +56,8 @@
   TimePoint const until = startedAt_ + settings_.bounds.inTouch;
   while (!driver_.survivesRequiredLosses() && Clock::now() < until &&
          !keyspace_.values().contains(currentConfigurationKey)) {
-    if (Clock::now() >= end) throw Error(ErrorCode::notReady, "the membership is still too small");
+    if (Clock::now() >= end)
+      throw Error(ErrorCode::notReady, "the control plane has too few members to survive the required losses");
     co_await sleepFor(settings_.bounds.inTouch / 60);
   }
 }
@@ -66,14 +67,15 @@
   co_await awaitFirstMembership(end);
   Epoch const epoch = co_await keyspace_.confirmOwnership(end);
   Values const& values = keyspace_.values();
-  if (undecided_.isOpen(epoch.number, values)) throw Error(ErrorCode::changeUndecided, "a change before it is open");
+  if (undecided_.isOpen(epoch.number, values))
+    throw Error(ErrorCode::changeUndecided, "the outcome of an earlier change is still unknown");
   ChangeRequest const request{call.ifMatch, std::move(call.body)};
   ChangeDecision const decision = decideChange(values, request);
   if (decision.verdict == ChangeVerdict::apply) {
     co_await apply(decision, epoch);
   } else if (decision.verdict != ChangeVerdict::acknowledgeAgain) {
     Error const refusal(decision.code, decision.detail);
-    logInfo("control", string("a configuration was refused: ") + refusal.what());
+    logInfo("control", string("refused a change of the configuration: ") + refusal.what());
     throw refusal;
   }
   co_return CallReply{200, "{}"};
@@ -98,14 +100,14 @@
   if (published_ && (published_->needsKeys || configuration->needsKeys)) {
     KeysByTenant const before = keyFingerprints(publisher_.configuration());
     KeysByTenant const now = keyFingerprints(current->second);
-    logKeysMissingFrom(before, now, " is taken away");
-    logKeysMissingFrom(now, before, " is added");
+    logKeysMissingFrom(before, now, " was removed");
+    logKeysMissingFrom(now, before, " was added");
   }
   publisher_.setConfiguration(configuration->version, current->second);
   published_ = configuration;
   for (Route const& route : configuration->routes)
     if (route.kind == RouteKind::bulk) driver_.consensus().addKeyspace(LotCoordinator::keyspaceOf(route.host));
-  logInfo("configuration", "version " + std::to_string(configuration->version) + " is in force");
+  logInfo("configuration", "configuration version " + std::to_string(configuration->version) + " is active");
   return true;
 }
 
--- a/control/configuration_handler.hpp
+++ b/control/configuration_handler.hpp
@@ -13,7 +13,7 @@
   ConfigurationHandler(asio::io_context& io, Settings const& settings, RpcClient& rpc, ConsensusDriver& driver,
                        UpdatePublisher& publisher);
   Task<CallReply> handle(ForwardedCall call);
-  /// Hands the newest committed configuration to the publisher; true if it is newer than the published one.
+  /// Passes the newest committed configuration to the publisher; true if it is newer than the published one.
   bool publishCommitted();
   /// The published configuration; null before there is one.
   std::shared_ptr<Configuration const> published() const { return published_; }
@@ -21,7 +21,7 @@
  private:
   Task<CallReply> read(TimePoint end);
   Task<CallReply> change(ForwardedCall call, TimePoint end);
-  /// The first configuration waits a while for a membership that survives the losses that it should.
+  /// Delays the first configuration until the membership survives the required losses, or for `inTouch` from the start.
   Task<void> awaitFirstMembership(TimePoint end);
   Task<void> apply(ChangeDecision decision, Epoch epoch);
 
@@ -29,7 +29,7 @@
   ConsensusDriver& driver_;
   UpdatePublisher& publisher_;
   OwnedKeyspace keyspace_;
-  AsyncMutex changes_;  ///< one change is decided and written at a time
+  AsyncMutex changes_;  ///< serializes deciding and writing of changes
   UndecidedChange undecided_;
   std::shared_ptr<Configuration const> published_;
   TimePoint startedAt_ = Clock::now();
--- a/control/control_metrics.hpp
+++ b/control/control_metrics.hpp
@@ -5,8 +5,8 @@
 
 namespace tealshelf {
 
-/// What a control node tells about itself. Lots are counted by the owners of their keyspaces only, so that the sum over
-/// the nodes counts each once.
+/// Metrics of a control node. Lots are counted only by the owners of their keyspaces, so that the sum over the nodes
+/// counts each once.
 class ControlMetrics {
  public:
   ControlMetrics();
--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -90,7 +90,7 @@
   rpcServer_.start();
   httpServer_.start();
   spawnTask(io_, "control sweep", sweepLoop());
-  logInfo("control", settings_.nodeName + " serves control at " + settings_.control.text());
+  logInfo("control", "control node " + settings_.nodeName + " listens on " + settings_.control.text());
 }
 
 void ControlNode::stop() {
@@ -127,7 +127,7 @@
   throw Error(ErrorCode::unknownPath, call.path.substr(0, 40));
 }
 
-/// Seconds after which a caller that was told "not now" may come again.
+/// The value of Retry-After, in seconds.
 string ControlNode::retryAfterSeconds() const {
   std::ostringstream text;
   text << static_cast<double>(settings_.bounds.confirmWithin.count()) / 16000;
@@ -143,7 +143,7 @@
   }
 }
 
-/// Takes in what another control node says of workers and data-plane nodes.
+/// Merges what another control node reports about workers, data-plane nodes, rollouts, duties and tallies.
 void ControlNode::onHeartbeat(HeartbeatMessage const& message) {
   TimePoint const now = Clock::now();
   bool const changed = workers_.receive(message, now);
@@ -186,7 +186,7 @@
 
 void ControlNode::publish() {
   workers_.publishRows();
-  // Before the data plane hears of a worker, so that the first question finds its limit.
+  // Before the data plane learns of a worker, so that the first request for credit finds its limit.
   updateWarmUps();
   publishMembers();
   publisher_.notifyAfter(settings_.bounds.inTouch / 80);
@@ -196,17 +196,17 @@
   Membership const& membership = driver_.consensus().membership();
   publishedMembership_ = membership.number;
   string const prefix(memberRowPrefix);
-  std::set<string> present;
+  std::set<string> currentKeys;
   for (Member const& member : membership.members) {
     string const key = prefix + hex(member.id.value);
     publisher_.common.put(key, serialize(member));
-    present.insert(key);
+    currentKeys.insert(key);
   }
-  vector<string> former;
+  vector<string> staleKeys;
   Values const& rows = publisher_.common.rows();
   for (auto row = rows.lower_bound(prefix); row != rows.end() && row->first.starts_with(prefix); ++row)
-    if (!present.contains(row->first)) former.push_back(row->first);
-  for (string const& key : former) publisher_.common.erase(key);
+    if (!currentKeys.contains(row->first)) staleKeys.push_back(row->first);
+  for (string const& key : staleKeys) publisher_.common.erase(key);
 }
 
 string ControlNode::tenantReport() const {
--- a/control/control_node.hpp
+++ b/control/control_node.hpp
@@ -15,21 +15,21 @@
 
 namespace tealshelf {
 
-/// The control plane of one machine: puts its parts together, routes calls to the handler of their resource, and
-/// publishes what the data plane shall know.
+/// One node of the control plane: owns its components, routes calls to the handler of their resource, and publishes
+/// updates to the data plane.
 class ControlNode {
  public:
   ControlNode(asio::io_context& io, Settings const& settings);
   void start();
-  /// Hands everything over and ends inside the grace.
+  /// Hands all keyspaces over to other nodes and stops accepting calls.
   void stop();
 
-  /// For those on call: the rollouts, and the use of tenants' limits, as JSON texts.
+  /// Status pages as JSON texts: rollouts, and the use of tenants' limits.
   string rolloutReport() const { return rollouts_.report(); }
   string tenantReport() const;
-  /// Lots whose recovery waits, as a JSON text.
+  /// Lots whose recovery is waiting, as a JSON text.
   string waitingLotsReport() const { return lots_.waitingReport(); }
-  /// The duties at the platform, and the orders of workers, as a JSON text.
+  /// The duties at the platform and the orders of workers, as a JSON text.
   string dutyReport() const { return tealshelf::dutyReport(settings_, duties_, usage_, capacity_); }
   /// The tallies, as a JSON text.
   string tallyReport() const { return tallyStore_.report(); }
@@ -38,17 +38,17 @@
   Task<HttpReply> handle(HttpCall call);
   Task<CallReply> route(ForwardedCall call);
   string retryAfterSeconds() const;
-  /// Time in which a call is answered; its caller turns to another node soon after.
+  /// Time in which a call is answered; its caller tries another node soon after.
   std::int64_t callTimeoutMs() const { return (settings_.bounds.confirmWithin / 5).count(); }
   Task<void> sweepLoop();
   void onHeartbeat(HeartbeatMessage const& message);
   void onControlStateChange();
-  /// Brings the published table up to the registry and the membership, and tells those who ask.
+  /// Updates the published tables from the registry and the membership, and notifies the subscribers.
   void publish();
   void publishMembers();
-  /// Brings the counting of requests up to the committed configuration and the membership.
+  /// Updates the tenants' quotas from the committed configuration and the membership.
   void updateQuotas();
-  /// Brings the counting of requests at workers that warm up to the registry.
+  /// Updates the limits of workers that warm up from the registry.
   void updateWarmUps();
 
   asio::io_context& io_;
@@ -72,7 +72,7 @@
   DutyHolder duties_;
   UsageCollector usage_;
   CapacityController capacity_;
-  std::shared_ptr<Configuration const> quotaConfiguration_;  ///< that quotas_ has
+  std::shared_ptr<Configuration const> quotaConfiguration_;  ///< last passed to quotas_
   MembershipNumber publishedMembership_;
   bool wasHealthy_ = false;
   bool stopping_ = false;
--- a/control/duty_holder.cpp
+++ b/control/duty_holder.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// So often in a lease the ownership is confirmed, and the platform probed by a bare connection.
+/// How often the ownership is confirmed, and the platform probed by opening a TCP connection.
 constexpr int confirmationsPerLease = 10, probesPerLease = 3;
 string const recordKey = "holder";
 }  // namespace
@@ -19,11 +19,12 @@
       contact_(driver.consensus().self().id, settings.bounds.lease, Clock::now()),
       preference_(driver.consensus().self().id, settings.bounds.lease),
       claims_(metrics().counter("tealshelf_duties_claims_total", "Claims of the duties by this node")),
-      relinquishments_(metrics().counter("tealshelf_duties_given_up_total", "Duties that this node gave up")),
+      relinquishments_(
+          metrics().counter("tealshelf_duties_given_up_total", "Times that this node relinquished the duties")),
       holds_(metrics().gauge("tealshelf_duties_held", "1 while this node may call the platform")),
       fence_(metrics().gauge("tealshelf_duties_fence", "Fencing token of this node's last claim")),
       silence_(metrics().gauge("tealshelf_platform_silence_seconds",
-                               "Since this node last reached the platform, or started")) {
+                               "Seconds since this node last reached the platform, or started")) {
   sampler_ = metrics().sample([this] { sample(); });
 }
 
@@ -58,7 +59,7 @@
     co_return;
   }
   if (isUnfit) {
-    relinquish("another node reaches the platform and this one doesn't");
+    relinquish("another node reaches the platform, this one doesn't");
     co_return;
   }
   Epoch const epoch = consensus.epochOf(dutiesKeyspace);
@@ -72,7 +73,7 @@
   std::optional<DutyRecord> const known = record();
   bool const hadPredecessor = known.has_value();
   DutyRecord next = known.value_or(DutyRecord());
-  string const former = next.holderName;
+  string const previousHolder = next.holderName;
   ++next.fence;
   next.holder = consensus.self().id;
   next.holderName = settings_.nodeName;
@@ -81,8 +82,8 @@
   if (result != OperationResult::committed) co_return;
   lease_.noteClaimed(epoch, next.fence, hadPredecessor, Clock::now());
   claims_.increment();
-  logInfo("duties", "holds the duties under fence " + std::to_string(next.fence) +
-                        (hadPredecessor ? ", after " + former : string()));
+  logInfo("duties", "this node holds the duties under fence " + std::to_string(next.fence) +
+                        (hadPredecessor ? "; the previous holder was " + previousHolder : string()));
 }
 
 Task<void> DutyHolder::confirm(Epoch epoch) {
@@ -96,7 +97,7 @@
 void DutyHolder::relinquish(string const& reason) {
   lease_.drop();
   relinquishments_.increment();
-  logWarning("duties", "gives the duties up: " + reason);
+  logWarning("duties", "this node relinquishes the duties: " + reason);
   driver_.consensus().relinquish(dutiesKeyspace);
   driver_.flush();
   driver_.sendHeartbeats();
@@ -107,9 +108,9 @@
   PlatformAnswer const answer = co_await platform_.call(std::move(call));
   bool const wasReached = answer != PlatformAnswer::unanswered && answer != PlatformAnswer::notHolder;
   if (wasReached) contact_.noteReached(Clock::now());
-  // This fence is of no more use; the next claim takes a higher one.
-  bool const isPresent = driver_.consensus().owns(dutiesKeyspace) && lease_.isClaimedUnder(epoch);
-  if (answer == PlatformAnswer::superseded && isPresent) relinquish("the platform has seen a higher fence");
+  // The platform refuses this fence from now on; the next claim takes a higher one.
+  bool const isCurrent = driver_.consensus().owns(dutiesKeyspace) && lease_.isClaimedUnder(epoch);
+  if (answer == PlatformAnswer::superseded && isCurrent) relinquish("the platform has seen a higher fence");
   co_return answer;
 }
 
@@ -122,8 +123,8 @@
 Task<void> DutyHolder::platformProbeLoop() {
   for (;;) {
     Ms const period = settings_.bounds.lease / probesPerLease;
-    bool const isReached = co_await takesConnection(io_, settings_.provider.address, period);
-    if (isReached) contact_.noteReached(Clock::now());
+    bool const isReachable = co_await takesConnection(io_, settings_.provider.address, period);
+    if (isReachable) contact_.noteReached(Clock::now());
     co_await sleepFor(period);
   }
 }
--- a/control/duty_holder.hpp
+++ b/control/duty_holder.hpp
@@ -8,28 +8,28 @@
 
 namespace tealshelf {
 
-/// Holds the duties at the platform while this node owns the keyspace `duties`: claims them under the next fencing
-/// token, keeps the lease, makes the calls, and gives them up where another node reaches the platform and this one
-/// doesn't. docs/design-duties.md.
+/// Holds the duties, the calls that one control node at a time makes to the platform, while this node owns the keyspace
+/// `duties`: claims them under the next fencing token, maintains the lease, makes the calls, and relinquishes them if
+/// another node reaches the platform and this one doesn't. See docs/design-duties.md.
 ///
 /// Runs on the io thread. Everything passed in must outlive it.
 class DutyHolder {
  public:
   DutyHolder(asio::io_context& io, Settings const& settings, ConsensusDriver& driver);
-  /// Does nothing where the platform has no duties.
+  /// Does nothing if the settings name no platform.
   void start();
 
   /// True while this node holds the duties and may call the platform.
   bool mayAct() const { return lease_.mayAct(Clock::now()); }
-  /// Calls the platform under the fencing token. Where the platform knows a higher one the duties are given up.
+  /// Calls the platform with the fencing token. Relinquishes the duties if the platform has seen a higher one.
   Task<PlatformAnswer> call(PlatformCall call);
-  /// Writes changes of the keyspace; false unless they were committed while this node held the duties.
+  /// Writes changes to the keyspace; false unless they were committed while this node held the duties.
   Task<bool> commit(vector<KeyChange> changes);
-  /// The committed values of the keyspace, as far as this node knows them; valid until the next wait.
+  /// The committed values of the keyspace, as far as this node knows them; valid until the next co_await.
   Values const& values() const { return driver_.consensus().committedValues(dutiesKeyspace); }
   std::optional<DutyRecord> record() const;
   std::uint64_t fence() const { return lease_.fence(); }
-  /// How long ago this node last reached the platform, or started.
+  /// Time since this node last reached the platform, or started.
   Ms platformSilence() const { return contact_.silence(Clock::now()); }
 
   void receive(HeartbeatMessage const& message);
@@ -37,13 +37,13 @@
 
  private:
   Task<void> leaseLoop();
-  /// One turn of the loop: claims what this node has come to own, or has its ownership confirmed.
+  /// Claims the duties if this node has become the owner, then confirms its ownership.
   Task<void> maintainLease();
   Task<void> claim(Epoch epoch);
   Task<void> confirm(Epoch epoch);
   void relinquish(string const& reason);
   Task<void> platformProbeLoop();
-  /// Tells the consensus whom this node passes over as owner of the duties.
+  /// Tells the consensus which nodes this one passes over as owner of the duties.
   void applyPreference(std::set<NodeId> unfit);
   void sample();
 
--- a/control/duty_report.hpp
+++ b/control/duty_report.hpp
@@ -4,7 +4,7 @@
 
 namespace tealshelf {
 
-/// The duties at the platform as one control node has them, as a JSON text for those on call.
+/// Status page of the duties at the platform as one control node sees them, as a JSON text.
 string dutyReport(Settings const& settings, DutyHolder const& duties, UsageCollector const& usage,
                   CapacityController const& capacity);
 
--- a/control/evacuation_handler.cpp
+++ b/control/evacuation_handler.cpp
@@ -48,14 +48,14 @@
   AsyncMutex::Lock const turn = co_await changes_.lock(Ms(remainingMs(end)));
   std::map<string, Evacuation> present = records();
   Evacuation next = present[zone];
-  bool const isWanted = call.verb == "POST";
-  if (next.isActive == isWanted) co_return CallReply{200, "{}"};
+  bool const evacuates = call.verb == "POST";
+  if (next.isActive == evacuates) co_return CallReply{200, "{}"};
   next.zone = zone;
-  next.isActive = isWanted;
+  next.isActive = evacuates;
   ++next.revision;
   vector<KeyChange> changes(1, KeyChange{evacuationPrefix + zone, serialize(next), false});
   co_await keyspace_.commit(std::move(changes));
-  logInfo("control", zone + (isWanted ? " is evacuated" : " is no longer evacuated"));
+  logInfo("control", "zone " + zone + (evacuates ? " is evacuated" : " is no longer evacuated"));
   driver_.onChange();
   co_return CallReply{200, "{}"};
 }
--- a/control/evacuation_handler.hpp
+++ b/control/evacuation_handler.hpp
@@ -6,18 +6,19 @@
 
 namespace tealshelf {
 
-/// Handles `/evacuation/ZONE`: the operator asks that a zone's workers get nothing (POST), and withdraws that (DELETE).
+/// Handles `/evacuation/ZONE`: the operator stops all requests to a zone's workers (POST), and resumes them (DELETE).
 class EvacuationHandler {
  public:
   EvacuationHandler(asio::io_context& io, Settings const& settings, RpcClient& rpc, ConsensusDriver& driver,
                     UpdatePublisher& publisher);
-  /// Acknowledges an order once a majority has it. Orders may be repeated. Throws unknownZone, noOwner, noQuorum.
+  /// Acknowledges an order once a majority has it; a repeated order changes nothing. Throws unknownZone, noOwner,
+  /// noQuorum.
   Task<CallReply> handle(ForwardedCall call);
   /// Publishes the committed records; true if one is newer than what was published.
   bool publishCommitted();
-  /// True while a zone's workers shall get nothing, by the committed records.
+  /// True while the committed records say that a zone is evacuated.
   bool isActive(string const& zone) const;
-  /// Revision of a zone's record as published here; 0 if the zone was never evacuated.
+  /// Published revision of a zone's record; 0 if the zone was never evacuated.
   std::uint64_t revisionOf(string const& zone) const;
 
  private:
@@ -27,7 +28,7 @@
   ConsensusDriver& driver_;
   UpdatePublisher& publisher_;
   OwnedKeyspace keyspace_;
-  AsyncMutex changes_;                         ///< two orders must not build on the same revision
+  AsyncMutex changes_;                         ///< serializes orders, so that each gets a revision of its own
   std::map<string, std::uint64_t> revisions_;  ///< by zone, as published
 };
 
--- a/control/messages.hpp
+++ b/control/messages.hpp
@@ -1,39 +1,39 @@
 #pragma once
 #include "fleet/nodes.hpp"
 
-/// Calls between control nodes on what workers and operators told them.
+/// Messages between control nodes that forward calls of workers and operators and compare registries of workers.
 namespace tealshelf {
 
-/// Answer to a call of a worker or an operator.
+/// Reply to a call of a worker or an operator.
 struct CallReply {
   int status = 200;
   string body;
   MSGPACK_DEFINE(status, body)
 };
 
-/// A call of a worker or an operator, handed on to the owner of its keyspace.
+/// A call of a worker or an operator, forwarded to the owner of its keyspace.
 struct ForwardedCall {
   using Reply = CallReply;
   static constexpr RpcMethod method = RpcMethod::forwardCall;
   string verb, path, ifMatch, body;
   int hops = 0;
-  std::int64_t budgetMs = 0;  ///< time that is left for its answer
+  std::int64_t budgetMs = 0;  ///< time that remains for the reply
   MSGPACK_DEFINE(verb, path, ifMatch, body, hops, budgetMs)
 };
 
-/// The part of a registry of workers that differs from the asker's.
+/// The buckets of a registry of workers that differ from the requester's.
 struct RegistryDifference {
-  bool isComplete = false;        ///< false: the answerer may itself lack workers of these buckets
-  vector<std::uint32_t> buckets;  ///< in which the registries differ
-  vector<Worker> workers;         ///< all that the answerer has in them
+  bool isComplete = false;        ///< false: the sender may itself lack workers of these buckets
+  vector<std::uint32_t> buckets;  ///< buckets in which the registries differ
+  vector<Worker> workers;         ///< all workers of the sender in these buckets
   MSGPACK_DEFINE(isComplete, buckets, workers)
 };
 
-/// Asks for what differs from the asker's registry of workers.
+/// Requests the buckets that differ from the requester's registry of workers.
 struct CompareRegistry {
   using Reply = RegistryDifference;
   static constexpr RpcMethod method = RpcMethod::compareRegistry;
-  vector<std::uint64_t> buckets;  ///< digests, see RegistryDigest
+  vector<std::uint64_t> buckets;  ///< digests of the requester's buckets, see RegistryDigest
   MSGPACK_DEFINE(buckets)
 };
 
--- a/control/node_directory.cpp
+++ b/control/node_directory.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// A list that changed goes with so many heartbeats, and again with each of a larger number.
+/// A changed list is sent with this many heartbeats, and then repeated at this interval, in heartbeats.
 constexpr int heartbeatsAfterChange = 3, heartbeatsBetweenRepeats = 16;
 }  // namespace
 
@@ -16,8 +16,8 @@
 }
 
 void NodeDirectory::fillHeartbeat(HeartbeatMessage& message, bool isExtra) {
-  vector<DataNode> const here = publisher_.recentNodes(Clock::now());
-  message.nodesDigest = RelayTopology::digest(here);
+  vector<DataNode> const localNodes = publisher_.recentNodes(Clock::now());
+  message.nodesDigest = RelayTopology::digest(localNodes);
   if (message.nodesDigest != sentDigest_) {
     sentDigest_ = message.nodesDigest;
     heartbeatsSinceChange_ = 0;
@@ -25,7 +25,7 @@
   message.carriesNodes = isExtra || heartbeatsSinceChange_ < heartbeatsAfterChange ||
                          heartbeatsSinceChange_ % heartbeatsBetweenRepeats == 0;
   if (!isExtra) ++heartbeatsSinceChange_;
-  if (message.carriesNodes) message.nodes = here;
+  if (message.carriesNodes) message.nodes = localNodes;
 }
 
 std::map<string, DataNode> NodeDirectory::allNodes(TimePoint now) const {
@@ -42,7 +42,7 @@
   std::map<string, DataNode> const all = allNodes(Clock::now());
   bool changed = false;
   for (auto const& [name, node] : all) {
-    // Confirmations are for control alone.
+    // Confirmations of rollouts are for control nodes only.
     DataNode published = node;
     published.rolloutConfirmed = published.rolloutDrained = 0;
     changed = publisher_.zones[node.zone].put(name, serialize(published)) || changed;
--- a/control/node_directory.hpp
+++ b/control/node_directory.hpp
@@ -4,22 +4,22 @@
 
 namespace tealshelf {
 
-/// The data-plane nodes that are alive, by who asks for updates here and at the other control nodes.
+/// The live data-plane nodes: those that request updates from this node or from another control node.
 class NodeDirectory {
  public:
   NodeDirectory(Settings const& settings, UpdatePublisher& publisher) : settings_(settings), publisher_(publisher) {}
-  /// Takes in what another control node says of who asks there.
+  /// Notes the data-plane nodes that another control node reports.
   void receive(HeartbeatMessage const& message, TimePoint now);
-  /// Adds who asks here to a heartbeat, when that is due.
+  /// Adds the data-plane nodes that request updates from this node to a heartbeat, if that is due.
   void fillHeartbeat(HeartbeatMessage& message, bool isExtra);
-  /// Brings the published lists of the zones' nodes up to date.
+  /// Updates the published lists of each zone's nodes.
   void publish();
 
-  /// All data-plane nodes that are alive, by name.
+  /// All live data-plane nodes, by name.
   std::map<string, DataNode> allNodes(TimePoint now) const;
 
  private:
-  /// Who asks at another control node.
+  /// The data-plane nodes that request updates from another control node.
   struct PeerNodes {
     vector<DataNode> nodes;
     TimePoint receivedAt;
--- a/control/owned_keyspace.hpp
+++ b/control/owned_keyspace.hpp
@@ -4,20 +4,20 @@
 
 namespace tealshelf {
 
-/// Orders of operators that may wait while another one of the same handler is being written.
+/// Operators' orders that may queue at one handler.
 constexpr std::size_t maxWaitingOrders = 64;
 
-/// What the handlers of calls about one keyspace have in common: they run at its owner, and only as long as a majority
-/// says that it is the owner.
+/// A keyspace whose calls are handled by its owner, and only while a majority confirms the ownership. Shared by the
+/// handlers of such calls.
 class OwnedKeyspace {
  public:
   OwnedKeyspace(Settings const& settings, RpcClient& rpc, ConsensusDriver& driver, string name)
       : settings_(settings), rpc_(rpc), driver_(driver), name_(std::move(name)) {}
 
-  /// The owner's answer, if another node owns the keyspace; nothing once this node does. Throws noOwner, or what the
-  /// other node threw.
+  /// Forwards a call to the owner and returns its reply; nothing if this node is the owner. Throws noOwner, or what the
+  /// owner threw.
   Task<std::optional<CallReply>> forward(ForwardedCall call) const;
-  /// Makes sure that this node owns the keyspace; throws ErrorCode::noQuorum otherwise.
+  /// Has a majority confirm that this node owns the keyspace; throws ErrorCode::noQuorum otherwise.
   Task<Epoch> confirmOwnership(TimePoint end) const;
   /// Writes changes; throws ErrorCode::changeUndecided unless they were committed.
   Task<void> commit(vector<KeyChange> changes) const;
--- a/control/retirement_handler.cpp
+++ b/control/retirement_handler.cpp
@@ -29,31 +29,31 @@
   std::optional<CallReply> const forwarded = co_await keyspace_.forward(call);
   if (forwarded) co_return *forwarded;
   co_await keyspace_.confirmOwnership(end);
-  bool const asked = keyspace_.values().contains(retirementPrefix + node);
-  if (!asked && !lots_.isKnownStore(node)) throw Error(ErrorCode::unknownNode, node);
+  bool const isRetiring = keyspace_.values().contains(retirementPrefix + node);
+  if (!isRetiring && !lots_.isKnownStore(node)) throw Error(ErrorCode::unknownNode, node);
   if (call.verb == "POST") {
-    if (!asked) {
+    if (!isRetiring) {
       checkRemainingStores(node);
       vector<KeyChange> changes(1, KeyChange{retirementPrefix + node, "1", false});
       co_await keyspace_.commit(std::move(changes));
-      logInfo("control", node + " is to be emptied");
+      logInfo("control", "store " + node + " is retiring; its lots move to other stores");
     }
     co_return CallReply{200, "{}"};
   }
-  bool emptied = false;
-  if (asked) {
+  bool isEmpty = false;
+  if (isRetiring) {
     std::uint64_t const lots = co_await lots_.countLotsRelyingOn(node);
-    emptied = lots == 0;
+    isEmpty = lots == 0;
   }
-  co_return CallReply{200, emptied ? "{\"state\":\"finished\"}" : "{\"state\":\"serving\"}"};
+  co_return CallReply{200, isEmpty ? "{\"state\":\"finished\"}" : "{\"state\":\"serving\"}"};
 }
 
 void RetirementHandler::checkRemainingStores(string const& node) const {
   std::set<string> const retiring = retiringStores(driver_.consensus());
-  std::size_t staying = 0;
+  std::size_t remaining = 0;
   for (StoreRef const& store : lots_.liveStores(Clock::now()))
-    if (store.name != node && !retiring.contains(store.name)) ++staying;
-  if (staying < static_cast<std::size_t>(settings_.surviveMachines) + 1) throw Error(ErrorCode::tooFewStores);
+    if (store.name != node && !retiring.contains(store.name)) ++remaining;
+  if (remaining < static_cast<std::size_t>(settings_.surviveMachines) + 1) throw Error(ErrorCode::tooFewStores);
 }
 
 }  // namespace tealshelf
--- a/control/retirement_handler.hpp
+++ b/control/retirement_handler.hpp
@@ -4,16 +4,16 @@
 
 namespace tealshelf {
 
-/// Handles `/retire/NODE`: the operator has a store emptied before its machine is taken away.
+/// Handles `/retire/NODE`: the operator has the lots of a store moved before its machine is removed.
 class RetirementHandler {
  public:
   RetirementHandler(Settings const& settings, RpcClient& rpc, ConsensusDriver& driver, LotCoordinator& lots);
   Task<CallReply> handle(ForwardedCall call);
-  /// Names of the stores that shall be emptied, as far as this node knows.
+  /// Names of the retiring stores, as far as this node knows.
   static std::set<string> retiringStores(Consensus const& consensus);
 
  private:
-  /// Throws ErrorCode::tooFewStores if the stores that stay couldn't hold enough copies.
+  /// Throws ErrorCode::tooFewStores if fewer stores would remain than a lot needs copies.
   void checkRemainingStores(string const& node) const;
 
   Settings const& settings_;
--- a/control/rollout_handler.cpp
+++ b/control/rollout_handler.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 string const collectionPath = "/rollouts";
-/// Decisions are made so often in inTouch.
+/// Decisions in a time of Bounds::inTouch.
 constexpr int decisionsPerInTouch = 80;
-/// Quarters of inTouch that count as lately.
+/// Length of the window of recent evidence, in quarters of Bounds::inTouch.
 constexpr int recentWindowQuarters = 2;
 }  // namespace
 
@@ -30,7 +30,7 @@
       changes_(io, maxWaitingOrders) {}
 
 void RolloutHandler::start() {
-  // Elsewhere the first order makes the keyspace known.
+  // Otherwise the first order adds the keyspace.
   if (settings_.isRuleInForce("rollout")) driver_.consensus().addKeyspace(rolloutsKeyspace);
   spawnTask(io_, "rollouts", decideLoop());
 }
@@ -58,7 +58,7 @@
 
 Task<CallReply> RolloutHandler::acceptOrder(RolloutOrder order, TimePoint end) {
   std::optional<std::set<string>> const known = services();
-  if (!known) throw Error(ErrorCode::notReady, "no configuration yet");
+  if (!known) throw Error(ErrorCode::notReady, "there is no configuration yet");
   if (!known->contains(order.service)) throw Error(ErrorCode::badRollout, order.service);
   AsyncMutex::Lock const turn = co_await changes_.lock(Ms(remainingMs(end)));
   std::map<string, RolloutRecord> const present = records();
@@ -70,8 +70,8 @@
                                        2 * settings_.bounds.confirmWithin);
   if (decision.kind == OrderDecision::Kind::refuse) throw Error(decision.code, order.service);
   if (decision.kind == OrderDecision::Kind::acknowledge) co_return CallReply{200, "{}"};
-  bool const begins = decision.record.isServing() || !record;
-  if (begins) {
+  bool const isNewRollout = decision.record.isServing() || !record;
+  if (isNewRollout) {
     decision.record.order = 0;
     decision.record.share = decision.record.isServing() ? plan_.shares.front() : decision.record.share;
     decision.record.orderedAtMs = wallClockMs();
@@ -87,9 +87,10 @@
   for (auto const& [service, known] : records()) highest = std::max(highest, known.revision);
   record.revision = highest + 1;
   if (!record.order) record.order = record.revision;
-  logInfo("rollouts", record.service + " to " + record.target + ": " + string(nameOf(record.state)) + ", stage " +
-                          std::to_string(record.stage) + ", share " + std::to_string(record.share) + "/1000 after " +
-                          std::to_string(record.elapsedMs) + " ms: " + record.reason);
+  logInfo("rollouts", "rollout of " + record.service + " to version " + record.target + ": " +
+                          string(nameOf(record.state)) + ", stage " + std::to_string(record.stage) + ", share " +
+                          std::to_string(record.share) + "/1000 after " + std::to_string(record.elapsedMs) +
+                          " ms: " + record.reason);
   vector<KeyChange> changes(1, KeyChange{record.service, serialize(record), false});
   co_await keyspace_.commit(std::move(changes));
   driver_.onChange();
@@ -109,23 +110,24 @@
   return record != present.end() && record->second.isServing();
 }
 
-/// The time since an order survives its owner: every control node notes when it saw a record. A process that has just
-/// started goes by the time of day, which may have been stepped, but never below what the record says.
+/// Every control node notes when it first saw each revision, so that a new owner knows the time since the order. A
+/// process that has just started uses the wall clock, which may have been stepped, but at least the record's time.
 void RolloutHandler::recordObservations(TimePoint now) {
   bool const justStarted = now - startedAt_ < settings_.bounds.inTouch;
   for (auto const& [service, record] : records()) {
-    Observation& sighting = observations_[service];
-    if (sighting.revision == record.revision) continue;
+    Observation& observation = observations_[service];
+    if (observation.revision == record.revision) continue;
     Ms elapsed(record.elapsedMs);
     if (justStarted && record.orderedAtMs) elapsed = std::max(elapsed, Ms(wallClockMs() - record.orderedAtMs));
-    sighting = Observation{record.revision, elapsed, now};
+    observation = Observation{record.revision, elapsed, now};
   }
 }
 
 Ms RolloutHandler::elapsedSinceOrder(RolloutRecord const& record, TimePoint now) const {
-  auto const sighting = observations_.find(record.service);
-  if (sighting == observations_.end() || sighting->second.revision != record.revision) return Ms(record.elapsedMs);
-  return sighting->second.elapsed + std::chrono::duration_cast<Ms>(now - sighting->second.at);
+  auto const observation = observations_.find(record.service);
+  if (observation == observations_.end() || observation->second.revision != record.revision)
+    return Ms(record.elapsedMs);
+  return observation->second.elapsed + std::chrono::duration_cast<Ms>(now - observation->second.at);
 }
 
 Ms RolloutHandler::timeInStage(RolloutRecord const& record, TimePoint now) const {
@@ -158,7 +160,7 @@
   Ms const window = settings_.bounds.inTouch * recentWindowQuarters / 4;
   bool const isDue = pastEvidence_.empty() || now - pastEvidence_.back().at >= window / 8;
   if (isDue) pastEvidence_.push_back({now, evidence()});
-  // One of about the window's age is kept.
+  // The first snapshot stays at about the window's age.
   while (pastEvidence_.size() > 1 && now - pastEvidence_[1].at >= window) pastEvidence_.pop_front();
 }
 
@@ -181,7 +183,7 @@
       AsyncMutex::Lock const turn = co_await changes_.lock(Ms(0));
       co_await decide();
     } catch (Error const& error) {
-      logInfo("rollouts", string("a change wasn't written: ") + error.what());
+      logInfo("rollouts", string("a change of a rollout failed and will be decided again: ") + error.what());
     }
   }
 }
--- a/control/rollout_handler.hpp
+++ b/control/rollout_handler.hpp
@@ -8,7 +8,7 @@
 
 namespace tealshelf {
 
-/// Handles `/rollouts`: takes the operator's orders, and moves the traffic of services in stages while this node owns
+/// Handles `/rollouts`: accepts the operator's orders, and moves the traffic of services in stages while this node owns
 /// the keyspace of rollouts.
 class RolloutHandler {
  public:
@@ -16,23 +16,23 @@
                  UpdatePublisher& publisher, WorkerDirectory& workers, NodeDirectory& nodes);
   void start();
   Task<CallReply> handle(ForwardedCall call);
-  /// Gives the names of the services of the present configuration; nothing before there is one.
+  /// Returns the names of the configured services; nothing before there is a configuration.
   std::function<std::optional<std::set<string>>()> services;
   /// Publishes the committed records; true if one is newer than what was published.
   bool publishCommitted();
 
-  /// True while a rollout of a service is under way.
+  /// True while a rollout of a service is in progress.
   bool isUnderWay(string const& service) const;
   void receive(HeartbeatMessage const& message);
   void fillHeartbeat(HeartbeatMessage& message);
-  /// The present records with what is known of them, as a JSON text for those on call.
+  /// Status page of the rollouts, as a JSON text.
   string report() const;
 
  private:
-  /// When this process first saw a record's present revision.
+  /// When this process first saw the current revision of a record.
   struct Observation {
     std::uint64_t revision = 0;
-    Ms elapsed{0};  ///< of the rollout, then
+    Ms elapsed{0};  ///< time since the order, at that moment
     TimePoint at;
   };
   Task<CallReply> acceptOrder(RolloutOrder order, TimePoint end);
@@ -45,7 +45,7 @@
   Ms timeInStage(RolloutRecord const& record, TimePoint now) const;
   RolloutInputs inputsFor(RolloutRecord const& record, TimePoint now) const;
   vector<VersionTally> evidence() const;
-  /// By all that was seen, and by what was seen lately: a fault may begin late.
+  /// Judges by all evidence and by the recent evidence, as a fault may begin late.
   VersionJudgement judge(RolloutRecord const& record, TimePoint now) const;
   void noteEvidence(TimePoint now);
   void recordObservations(TimePoint now);
@@ -58,16 +58,16 @@
   NodeDirectory& nodes_;
   OwnedKeyspace keyspace_;
   RolloutPlan plan_;
-  VersionEvidence localEvidence_;                        ///< told by who asks for updates here
-  std::map<NodeId, vector<VersionTally>> peerEvidence_;  ///< told by who asks at other control nodes
+  VersionEvidence localEvidence_;                        ///< from data-plane nodes that request updates here
+  std::map<NodeId, vector<VersionTally>> peerEvidence_;  ///< from other control nodes
   struct PastEvidence {
     TimePoint at;
     vector<VersionTally> tallies;
   };
-  std::deque<PastEvidence> pastEvidence_;       ///< of the last moments, the oldest first
+  std::deque<PastEvidence> pastEvidence_;       ///< recent snapshots, the oldest first
   std::map<string, Observation> observations_;  ///< by service
   TimePoint startedAt_ = Clock::now();
-  AsyncMutex changes_;  ///< records are changed by one task at a time
+  AsyncMutex changes_;  ///< serializes changes of records
 };
 
 }  // namespace tealshelf
--- a/control/tally_handler.cpp
+++ b/control/tally_handler.cpp
@@ -8,26 +8,28 @@
 
 namespace {
 constexpr std::size_t maxCallerIdLength = 128;
-/// The largest number that JSON readers agree on.
+/// The largest integer that all JSON readers represent exactly.
 constexpr std::int64_t maxChange = std::int64_t(1) << 53;
 }  // namespace
 
 TallyAddition readAddition(string const& body) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
-  if (document.HasParseError() || !document.IsObject()) throw Error(ErrorCode::badAddition, "not an object");
+  if (document.HasParseError() || !document.IsObject())
+    throw Error(ErrorCode::badAddition, "the body isn't a JSON object");
   rapidjson::Value::ConstMemberIterator const id = document.FindMember("serverId");
-  if (id == document.MemberEnd() || !id->value.IsString()) throw Error(ErrorCode::badAddition, "no serverId");
+  if (id == document.MemberEnd() || !id->value.IsString())
+    throw Error(ErrorCode::badAddition, "serverId must be a string");
   rapidjson::Value::ConstMemberIterator const change = document.FindMember("changedBy");
   if (change == document.MemberEnd() || !change->value.IsInt64())
-    throw Error(ErrorCode::badAddition, "changedBy isn't a whole number");
+    throw Error(ErrorCode::badAddition, "changedBy must be an integer");
   TallyAddition addition;
   addition.serverId.assign(id->value.GetString(), id->value.GetStringLength());
   addition.changedBy = change->value.GetInt64();
   if (addition.serverId.empty() || addition.serverId.size() > maxCallerIdLength)
-    throw Error(ErrorCode::badAddition, "serverId is empty or too long");
+    throw Error(ErrorCode::badAddition, "serverId must have 1 to 128 bytes");
   if (addition.changedBy > maxChange || addition.changedBy < -maxChange)
-    throw Error(ErrorCode::badAddition, "changedBy is out of its range");
+    throw Error(ErrorCode::badAddition, "changedBy must be within -2^53 and 2^53");
   return addition;
 }
 
@@ -50,7 +52,7 @@
 }
 
 Task<CallReply> TallyHandler::forwardToMember(ForwardedCall call) {
-  if (call.hops++ > 0) throw Error(ErrorCode::notReady, "tallies");
+  if (call.hops++ > 0) throw Error(ErrorCode::notReady, "the call was forwarded to a node that doesn't serve tallies");
   TimePoint const end = Clock::now() + Ms(call.budgetMs);
   vector<Member> members = consensus_.membership().members;
   std::stable_partition(members.begin(), members.end(),
@@ -62,13 +64,13 @@
     try {
       co_return co_await rpc_.call(settings_.controlAddress(member.ip), call, Ms(call.budgetMs));
     } catch (Error const& error) {
-      // What may have been counted there is counted once wherever it is sent again.
       bool const isFinal = error.kind() != ErrorKind::rejected && error.kind() != ErrorKind::undetermined;
       if (isFinal) throw;
+      // An addition that may have been counted is left to its caller, who may retry it at any node: it counts once.
       if (error.kind() == ErrorKind::undetermined && call.verb == "POST") throw;
     }
   }
-  throw Error(ErrorCode::notReady, "no member that keeps tallies could be reached");
+  throw Error(ErrorCode::notReady, "no member that serves tallies was reached");
 }
 
 }  // namespace tealshelf
--- a/control/tally_handler.hpp
+++ b/control/tally_handler.hpp
@@ -5,27 +5,27 @@
 
 namespace tealshelf {
 
-/// What a caller adds to a tally.
+/// A change that a caller adds to a tally.
 struct TallyAddition {
   string serverId;
   std::int64_t changedBy = 0;
 };
-/// Reads the body of an addition: an object with `serverId`, 1 to 128 characters, and `changedBy`, a whole number of at
-/// most 2^53 either way. Throws ErrorCode::badAddition for anything else.
+/// Parses the body of an addition: an object with `serverId`, 1 to 128 bytes, and `changedBy`, an integer from -2^53 to
+/// 2^53. Throws ErrorCode::badAddition for anything else.
 TallyAddition readAddition(string const& body);
 
-/// What the paths of tallies begin with.
+/// Path prefix of tallies.
 constexpr string_view tallyPath = "/tallies/";
 
-/// Handles `/tallies/ID`: applications add to tallies and read them, on either side of a cut. A node that isn't a
-/// member, or is still catching up, passes the call on to one that is.
+/// Handles `/tallies/ID`: applications add to tallies and read them, on both sides of a network partition. A node that
+/// isn't a member, or is still catching up, forwards the call to a member.
 class TallyHandler {
  public:
   TallyHandler(Settings const& settings, RpcClient& rpc, Consensus const& consensus, TallyStore& store);
   Task<CallReply> handle(ForwardedCall call);
 
  private:
-  /// Asks one member after the other, those of the own zone first.
+  /// Tries one member after the other, those of this node's zone first.
   Task<CallReply> forwardToMember(ForwardedCall call);
 
   Settings const& settings_;
--- a/control/usage_collector.cpp
+++ b/control/usage_collector.cpp
@@ -3,11 +3,12 @@
 namespace tealshelf {
 
 namespace {
-/// So often in a window a control node brings on what it was told, and looks for windows to close and to send.
+/// How often a control node forwards usage, closes windows and sends reports.
 constexpr int roundsPerWindow = 20;
-/// Reports that are committed while the platform takes none, in bytes: other windows wait at the nodes that counted.
+/// Size of the committed reports that the platform hasn't acknowledged, above which no further window is closed: later
+/// windows wait at the nodes that counted them.
 constexpr std::size_t maxUnsentBytes = 256u << 10;
-/// Times that the platform may reject a report before it is given up.
+/// Rejections by the platform after which a report is dropped.
 constexpr int maxRejections = 8;
 }  // namespace
 
@@ -24,9 +25,10 @@
       time_(settings.bounds.inTouch / 2),
       backoff_(settings.bounds.lease),
       closed_(metrics().counter("tealshelf_usage_windows_closed_total", "Windows of usage that this node closed")),
-      sent_(metrics().counter("tealshelf_usage_reports_total", "Reports of usage by their answer", {{"end", "taken"}})),
+      sent_(metrics().counter("tealshelf_usage_reports_total", "Reports of usage by the platform's answer",
+                              {{"end", "taken"}})),
       failed_(metrics().counter("tealshelf_usage_reports_total", "", {{"end", "not_taken"}})),
-      unclosed_(metrics().gauge("tealshelf_usage_open_windows", "Windows of usage that ended and aren't closed")),
+      unclosed_(metrics().gauge("tealshelf_usage_open_windows", "Windows of usage that have ended and aren't closed")),
       unsent_(metrics().gauge("tealshelf_usage_unsent_reports", "Reports that the platform hasn't acknowledged")) {
   sampler_ = metrics().sample([this] {
     if (!settings_.provider.exists()) return;
@@ -95,13 +97,13 @@
 }
 
 Task<void> UsageCollector::forwardUsageTo(Address holder) {
-  std::uint64_t const told = holder_.toldTo(holder);
+  std::uint64_t const sentRevision = holder_.toldTo(holder);
   std::uint64_t const revision = table_.revision();
-  CollectUsage message{settings_.nodeName, table_.changedSince(told), {}};
+  CollectUsage message{settings_.nodeName, table_.changedSince(sentRevision), {}};
   for (auto& [service, load] : loads()) message.loads.push_back(load);
   if (message.nodes.empty() && message.loads.empty()) co_return;
   UsageReceipt const receipt = co_await rpc_.call(holder, message, settings_.bounds.reportWindow / roundsPerWindow * 2);
-  holder_.noteTaken(holder, receipt.process, told, revision);
+  holder_.noteTaken(holder, receipt.process, sentRevision, revision);
 }
 
 vector<string> UsageCollector::unfinishedFor(WindowNumber window) const {
@@ -115,8 +117,8 @@
 Task<void> UsageCollector::closeLoop() {
   for (;;) {
     co_await sleepFor(settings_.bounds.reportWindow / roundsPerWindow);
-    bool goesOn = duties_.mayAct();
-    while (goesOn) goesOn = co_await closeNext();
+    bool mayContinue = duties_.mayAct();
+    while (mayContinue) mayContinue = co_await closeNext();
   }
 }
 
@@ -129,8 +131,8 @@
   vector<string> const missing = unfinishedFor(*window);
   if (!ledger_.mayClose(*window, trueNowMs(), missing)) co_return false;
   if (!missing.empty())
-    logWarning("duties", "window " + std::to_string(window->value) + " is closed without " +
-                             std::to_string(missing.size()) + " nodes, first " + missing.front());
+    logWarning("duties", "usage window " + std::to_string(window->value) + " is closed without reports of " +
+                             std::to_string(missing.size()) + " nodes, the first is " + missing.front());
   vector<KeyChange> changes = UsageLedger::closing(*window, table_.totals(*window));
   bool const isClosed = co_await duties_.commit(std::move(changes));
   if (isClosed) closed_.increment();
@@ -148,7 +150,7 @@
       co_await sendOldest(std::move(oldest));
       continue;
     }
-    // What the platform has is forgotten once nothing is left to send: a report may be sent again, but never another.
+    // Acknowledged reports are removed once no other is left to send. A report may be sent twice, always unchanged.
     vector<KeyChange> changes;
     for (WindowNumber const window : acknowledged_) changes.push_back(UsageLedger::settled(window));
     if (changes.empty()) continue;
@@ -162,7 +164,9 @@
   PlatformAnswer const answer = co_await duties_.call(std::move(call));
   lastAnswer_ = nameOf(answer);
   bool const isRejected = answer == PlatformAnswer::rejected && ++rejections_[record.window] >= maxRejections;
-  if (isRejected) logWarning("duties", "the platform rejects window " + std::to_string(record.window.value));
+  if (isRejected)
+    logWarning("duties", "the platform rejected the report of usage window " + std::to_string(record.window.value) +
+                             " " + std::to_string(maxRejections) + " times; the report is dropped");
   if (answer == PlatformAnswer::taken || isRejected) {
     (isRejected ? failed_ : sent_).increment();
     acknowledged_.insert(record.window);
@@ -172,7 +176,8 @@
   }
   failed_.increment();
   backoff_.noteNotTaken();
-  logDebug("duties", "window " + std::to_string(record.window.value) + ": " + lastAnswer_);
+  logDebug("duties", "the report of usage window " + std::to_string(record.window.value) +
+                         " will be sent again; answer of the platform: " + lastAnswer_);
 }
 
 UsageCollector::Status UsageCollector::status() const {
--- a/control/usage_collector.hpp
+++ b/control/usage_collector.hpp
@@ -8,29 +8,29 @@
 
 namespace tealshelf {
 
-/// Takes in what data-plane nodes report of tenants' use and of services' load, and brings it to the holder of the
-/// duties. While this node is the holder it closes the windows and sends their reports to the platform.
+/// Collects what data-plane nodes report of tenants' usage and services' load, and forwards it to the holder of the
+/// duties. While this node is the holder, closes the windows of usage and sends their reports to the platform.
 ///
 /// Runs on the io thread. Everything passed in must outlive it.
 class UsageCollector {
  public:
   UsageCollector(asio::io_context& io, Settings const& settings, RpcClient& rpc, ConsensusDriver& driver,
                  NodeDirectory const& nodes, DutyHolder& duties);
-  /// Does nothing where the platform has no duties.
+  /// Does nothing if the settings name no platform.
   void start(RpcServer& server);
 
   void receive(HeartbeatMessage const& message);
   static void fillHeartbeat(HeartbeatMessage& message) { message.wallMs = wallClockMs(); }
-  /// What all nodes have to do, by service, as far as it was told here.
+  /// Load of all nodes by service, as far as it was reported to this node.
   std::map<string, ServiceLoad> loads() const { return loads_.sums(Clock::now()); }
 
-  /// How the reports of usage stand, for those on call.
+  /// Progress of the reports of usage, for the status page.
   struct Status {
-    std::optional<WindowNumber> closedThrough;  ///< nothing before the first window
+    std::optional<WindowNumber> closedThrough;  ///< empty before the first window
     WindowNumber present;
     std::size_t unsent = 0;     ///< reports that the platform hasn't acknowledged
     vector<string> unfinished;  ///< nodes that the next window waits for
-    string lastAnswer;          ///< of the platform; "" before the first
+    string lastAnswer;          ///< of the platform; "" before the first answer
   };
   Status status() const;
 
@@ -38,10 +38,10 @@
   UsageReceipt receipt() const;
   std::int64_t trueNowMs() const;
   Task<void> forwardLoop();
-  /// Brings the holder what it hasn't heard from here.
+  /// Sends the holder what changed since its last receipt.
   Task<void> forwardUsageTo(Address holder);
   Task<void> closeLoop();
-  /// Closes the next window if that is due; true if another may follow at once.
+  /// Closes the next window if that is due; true if another one may be closed at once.
   Task<bool> closeNext();
   vector<string> unfinishedFor(WindowNumber window) const;
   Task<void> sendLoop();
@@ -61,7 +61,7 @@
   LoadBoard loads_;
   TrueTime time_;
   CallBackoff backoff_;                  ///< of reports
-  std::set<WindowNumber> acknowledged_;  ///< acknowledged by the platform, not yet written
+  std::set<WindowNumber> acknowledged_;  ///< acknowledged by the platform, not yet recorded in the keyspace
   std::map<WindowNumber, int> rejections_;
   string lastAnswer_;
   Counter closed_, sent_, failed_;
--- a/control/worker_directory.cpp
+++ b/control/worker_directory.cpp
@@ -6,11 +6,11 @@
 namespace tealshelf {
 
 namespace {
-/// The part of the disk's space that the log of workers may use.
+/// Fraction of the disk's space that the log of workers may use.
 constexpr double logShare = 0.15;
 
-/// After so many heartbeats in a row with another registry, what differs is fetched: changes that are under way make
-/// registries differ for a moment.
+/// Consecutive heartbeats with a different registry before the difference is fetched: changes that are being spread
+/// make registries differ for a moment.
 constexpr int maxMismatches = 2;
 }  // namespace
 
@@ -87,7 +87,7 @@
     co_await notifyMajority(*registry_.find(id));
   else if (changed)
     notifyPeers(*registry_.find(id));
-  // Also where it was known: a heartbeat that another node told of may not be synced here yet.
+  // Also if nothing changed: the state may have come from another node and not be synced to this disk yet.
   if (log_ && leaves) co_await log_->waitSynced();
   std::optional<Address> const reportTo = worker.removed || stopping_ ? std::nullopt : registrarFor(worker);
   co_return CallReply{200, reportTo ? "{\"reportTo\":\"" + reportTo->text() + "\"}" : "{}"};
@@ -114,15 +114,16 @@
   return answers;
 }
 
-/// Control nodes that serve the data plane hear a majority, so one of those that they hear knows of the worker,
-/// whatever becomes of this node.
+/// Control nodes that serve the data plane are in contact with a majority, so at least one node of it knows of the
+/// worker even if this node fails.
 Task<void> WorkerDirectory::notifyMajority(Worker worker) {
   std::shared_ptr<PeerReplies> const answers = notifyPeers(std::move(worker));
   error_code ignored;
   if (answers->outstanding) co_await answers->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   Membership const& membership = driver_.consensus().membership();
   std::size_t const informed = answers->acknowledged + (membership.find(self()) ? 1 : 0);
-  if (informed < membership.quorum()) throw Error(ErrorCode::notReady, "no majority was told of a worker that leaves");
+  if (informed < membership.quorum())
+    throw Error(ErrorCode::notReady, "no majority acknowledged that the worker leaves");
 }
 
 std::optional<Address> WorkerDirectory::registrarFor(Worker const& worker) const {
@@ -163,11 +164,11 @@
 }
 
 void WorkerDirectory::handleMismatch(Member const& sender, TimePoint now) {
-  // A node that begins fetches at once, from one after the other; later one fetch in a while heals what was lost.
-  bool const begins = !isComplete();
+  // A starting node fetches at once, from one node after the other; later an occasional fetch repairs lost updates.
+  bool const isStarting = !isComplete();
   int const mismatches = ++mismatches_[sender.id];
-  bool const rests = now - fetchedAt_ < 4 * driver_.heartbeatPeriod();
-  if (fetching_ || (!begins && (rests || mismatches < maxMismatches))) return;
+  bool const recentlyFetched = now - fetchedAt_ < 4 * driver_.heartbeatPeriod();
+  if (fetching_ || (!isStarting && (recentlyFetched || mismatches < maxMismatches))) return;
   mismatches_.erase(sender.id);
   fetching_ = true;
   spawnTask(io_, "registry", fetchDifference(sender));
@@ -181,7 +182,7 @@
   try {
     difference = co_await rpc_.call(settings_.controlAddress(sender.ip), request, settings_.bounds.inTouch / 4);
   } catch (Error const& error) {
-    logDebug("workers", string("a registry wasn't told: ") + error.what());
+    logDebug("workers", "can't fetch the registry of workers from " + sender.ip + ": " + error.what());
     answered = false;
   }
   TimePoint const now = Clock::now();
@@ -206,7 +207,7 @@
     if (service.warmsUp() && grantsAnything(allowance)) allowances[name] = allowance;
   }
   std::map<string, RateAllowance> limits;
-  // Most deployments bound nothing, and this is asked for at each change of a worker.
+  // Most deployments set no limits, and this runs at each change of a worker.
   if (allowances.empty()) return limits;
   registry_.forEachPresent([&](Worker const& worker) {
     auto const allowance = allowances.find(worker.service);
@@ -237,7 +238,7 @@
 RegistryDifference WorkerDirectory::differenceFor(CompareRegistry const& request) const {
   std::set<std::uint32_t> const buckets = registry_.digest().differingFrom(request.buckets);
   RegistryDifference difference;
-  // Before its own registry can be complete, a node doesn't call it so.
+  // An empty registry is complete only once all live workers had time to send a heartbeat.
   difference.isComplete = registry_.size() || isComplete();
   difference.buckets.assign(buckets.begin(), buckets.end());
   difference.workers = registry_.presentIn(buckets);
@@ -258,8 +259,9 @@
   vector<OutlierDetector::EjectionChange> const changes = outliers_.evaluate(registry_.present(), self(), now);
   for (OutlierDetector::EjectionChange const& change : changes) {
     registry_.setEjected(change.worker, change.ejected);
-    string const what = change.ejected ? " fails more than its like and is ejected" : " is tried again";
-    logInfo("workers", change.worker + what);
+    string const what =
+        change.ejected ? " is ejected: it fails more than other workers of its service" : " is no longer ejected";
+    logInfo("workers", "worker " + change.worker + what);
   }
   return !changes.empty();
 }
--- a/control/worker_directory.hpp
+++ b/control/worker_directory.hpp
@@ -8,64 +8,64 @@
 
 namespace tealshelf {
 
-/// Handles `/servers/ID`, the heartbeats of workers, and keeps the registry of workers: on this node's disk, at the
-/// other control nodes by way of their heartbeats, and in what is published to the data plane.
+/// Handles `/servers/ID`, the heartbeats of workers. Keeps the registry of workers on this node's disk, synchronizes it
+/// with the other control nodes by heartbeats, and publishes it to the data plane.
 class WorkerDirectory {
  public:
   WorkerDirectory(asio::io_context& io, Settings const& settings, RpcClient& rpc, ConsensusDriver& driver,
                   UpdatePublisher& publisher);
   Task<CallReply> handle(ForwardedCall call);
-  /// No more heartbeats are directed to this node.
+  /// From now on replies don't direct heartbeats of workers to this node.
   void stop() { stopping_ = true; }
 
-  /// Takes in what another control node says of workers; true if something changed. If its registry stays another one
-  /// than this, what differs is fetched from it.
+  /// Merges the workers that another control node reports; true if something changed. If its registry stays different
+  /// from this one, the difference is fetched.
   bool receive(HeartbeatMessage const& message, TimePoint now);
   void fillHeartbeat(HeartbeatMessage& message, bool isExtra);
-  /// What this registry has in the buckets in which the asker's differs.
+  /// The buckets of this registry that differ from the requester's.
   RegistryDifference differenceFor(CompareRegistry const& request) const;
 
-  /// Puts changed workers on the disk, without waiting, and in the published table.
+  /// Writes changed workers to the log, without waiting for the disk, and to the published table.
   void publishRows();
-  /// Marks workers as lost whose heartbeats are missing; true if there is one.
+  /// Marks workers without recent heartbeats as lost; true if there is one.
   bool expire() { return registry_.expire(Clock::now()); }
-  /// Ejects workers that fail more than their like, and takes ejected ones back; true if something changed.
+  /// Ejects workers that fail more than others of their service, and readmits ejected ones; true if something changed.
   bool evaluateOutliers();
-  /// True once the registries of a majority are in this one, or all live workers have sent a heartbeat.
+  /// True once the registries of a majority are merged, or all live workers had time to send a heartbeat.
   bool isComplete() const;
-  /// Live workers of a service that take requests, by version.
+  /// Number of live workers of a service that accept requests, by version.
   std::map<string, std::size_t> versionsOf(string const& service) const;
-  /// The workers of a service in one zone that take requests.
+  /// The workers of a service in one zone that accept requests.
   struct ZoneCount {
     std::uint64_t workers = 0, slots = 0;
   };
   std::map<string, ZoneCount> zonesOf(string const& service) const;
-  /// What all nodes together may send to each worker that warms up, or may do so, by its id.
+  /// Limits on what all nodes together may send to each worker that is or may be warming up, by worker id.
   std::map<string, RateAllowance> warmUpLimits(Configuration const& configuration) const;
-  /// Gives the revision of a zone's evacuation, 0 for none.
+  /// Returns the revision of a zone's evacuation; 0 for none.
   std::function<std::uint64_t(string const& zone)> zoneRevision;
-  /// Called when the registry changed.
+  /// Called when the registry has changed.
   std::function<void()> onChange;
 
  private:
-  /// What the other control nodes answer to news of a worker.
+  /// Replies of the other control nodes to a notification about a worker.
   struct PeerReplies {
     PeerReplies(asio::io_context& io, Ms limit) : timer(io, limit) {}
-    asio::steady_timer timer;  ///< ends when the time is up, or no answer is outstanding
+    asio::steady_timer timer;  ///< expires at the timeout; cancelled once no reply is outstanding
     std::size_t outstanding = 0, acknowledged = 0;
   };
 
   Worker workerFrom(ForwardedCall const& call, string const& id) const;
-  /// Tells the other control nodes of a worker.
+  /// Notifies the other control nodes of a worker.
   std::shared_ptr<PeerReplies> notifyPeers(Worker worker);
-  /// The same for a worker that leaves: throws ErrorCode::notReady unless a majority knows of it. An acknowledgement
-  /// binds every data-plane node, also if this node is being cut off and doesn't know it yet.
+  /// The same for a worker that leaves; throws ErrorCode::notReady unless a majority knows of it. Once acknowledged, no
+  /// data-plane node may send to the worker, even if this node is partitioned and hasn't noticed yet.
   Task<void> notifyMajority(Worker worker);
-  /// Where the next heartbeats of a worker should go: a control node of its zone if there is one.
+  /// The control node to which a worker should send its next heartbeats: one of its zone if there is one.
   std::optional<Address> registrarFor(Worker const& worker) const;
-  /// True if this registry and that of a heartbeat's sender are the same.
+  /// True if this registry has the same digest as that of a heartbeat's sender.
   bool matchesRegistryOf(HeartbeatMessage const& message) const;
-  /// Notes that a sender's registry differs, and has the difference fetched once that is due.
+  /// Counts a heartbeat with a different registry, and fetches the difference if that is due.
   void handleMismatch(Member const& sender, TimePoint now);
   Task<void> fetchDifference(Member sender);
   void replayLog();
@@ -80,8 +80,8 @@
   WorkerRegistry registry_;
   OutlierDetector outliers_;
   std::unique_ptr<DurableLog> log_;   ///< null without a disk
-  std::set<NodeId> mergedFrom_;       ///< nodes whose whole registry was taken in
-  std::map<NodeId, int> mismatches_;  ///< heartbeats in a row with another registry
+  std::set<NodeId> mergedFrom_;       ///< nodes whose whole registry was merged
+  std::map<NodeId, int> mismatches_;  ///< consecutive heartbeats with a different registry, by sender
   bool fetching_ = false;             ///< a difference is being fetched
   TimePoint fetchedAt_;
   std::uint64_t publishedRevision_ = 0;
