--- a/apps/control_plane.cpp
+++ b/apps/control_plane.cpp
@@ -5,12 +5,12 @@
 int main(int argc, char** argv) {
   using namespace tealshelf;
   CLI::App app(
-      "The control plane of tealshelf: configuration, registry of workers, members, leases, lots and their stamps.",
+      "The control plane of tealshelf: configuration, registry of workers, membership, leases, and records of lots.",
       "tealshelf-control-plane");
   app.set_version_flag("--version", string(versionText));
   DaemonOptions options;
   addOptions(app, options);
-  app.add_subcommand("serve", "serve workers, operators and the other nodes");
+  app.add_subcommand("serve", "run a control node for workers, operators and the other nodes");
   addStatusCommands(app);
   app.require_subcommand(1);
   CLI11_PARSE(app, argc, argv);
--- a/apps/daemon.cpp
+++ b/apps/daemon.cpp
@@ -13,35 +13,35 @@
 namespace {
 constexpr int maxPort = 65535;
 
-/// Lets the daemon finish what is under way, for nine tenths of the grace at the most.
+/// Stops the daemon and waits for work in progress, for at most nine tenths of the grace period.
 Task<void> shutDown(asio::io_context& io, Settings const& settings, Daemon& daemon) {
   TimePoint const startedAt = Clock::now();
   Ms const limit = settings.bounds.grace * 9 / 10;
   daemon.stop();
   for (;;) {
     auto const elapsed = Clock::now() - startedAt;
-    bool const waits = elapsed < daemon.minShutdownTime || (!daemon.isIdle() && elapsed < limit);
-    if (!waits) break;
+    bool const mustWait = elapsed < daemon.minShutdownTime || (!daemon.isIdle() && elapsed < limit);
+    if (!mustWait) break;
     co_await sleepFor(settings.bounds.step / 4);
   }
   io.stop();
 }
 
-/// Checks the settings file again at each SIGHUP; its values count from the next start on.
-void recheckSettingsOnHangUp(asio::signal_set& signals, Settings const& settings) {
-  signals.async_wait([&](error_code error, int) {
-    if (error) return;
+/// Validates the settings file at each SIGHUP. Its values take effect at the next start.
+void validateSettingsOnHangUp(asio::signal_set& signals, Settings const& settings) {
+  signals.async_wait([&](error_code failure, int) {
+    if (failure) return;
     try {
       loadSettings(settings.path);
-      logInfo("settings", "the settings file was read again");
-    } catch (std::exception const& fault) {
-      logWarning("settings", fault.what());
+      logInfo("settings", "the settings file is valid; changed values take effect at the next start");
+    } catch (std::exception const& error) {
+      logWarning("settings", error.what());
     }
-    recheckSettingsOnHangUp(signals, settings);
+    validateSettingsOnHangUp(signals, settings);
   });
 }
 
-/// Logs what went between this process and others, for debugging.
+/// Logs the RPC traffic of this process periodically, for debugging.
 Task<void> logTraffic(Ms period) {
   for (;;) {
     co_await sleepFor(period);
@@ -50,14 +50,14 @@
   }
 }
 
-/// Runs until the context is stopped; what a handler throws ends no process.
+/// Runs until the context is stopped. An exception from a handler is logged and doesn't end the process.
 void runUntilStopped(asio::io_context& io) {
   for (;;) {
     try {
       io.run();
       return;
     } catch (std::exception const& error) {
-      logError("run", error.what());
+      logError("run", string("a handler threw an exception: ") + error.what());
     }
   }
 }
@@ -65,9 +65,9 @@
 
 void addOptions(CLI::App& app, DaemonOptions& options) {
   app.add_option("--settings", options.settingsPath,
-                 "the settings file (else TEALSHELF_BOOT, else /etc/tealshelf/boot.conf)");
+                 "the settings file (default: $TEALSHELF_BOOT, or /etc/tealshelf/boot.conf)");
   app.add_option("--log-level", options.logLevel, "debug, info, warning or error");
-  app.add_option("--metrics-port", options.metricsPort, "serve GET /metrics at this port of the machine's address")
+  app.add_option("--metrics-port", options.metricsPort, "serve GET /metrics on this port of the node's IP address")
       ->check(CLI::Range(1, maxPort));
 }
 
@@ -82,10 +82,11 @@
   try {
     Settings const settings = loadSettings(options.settingsPath);
     for (string const& bound : settings.weakBounds()) logInfo("settings", bound);
-    for (string const& field : settings.unknownFields) logInfo("settings", "unknown field " + field + " is ignored");
+    for (string const& field : settings.unknownFields)
+      logInfo("settings", "ignoring unknown field " + field + " of the settings file");
     asio::io_context io(1);
-    // Before the start, which may take long: a signal that comes meanwhile is kept until then.
-    asio::signal_set endSignals(io, SIGTERM, SIGINT), hangUpSignals(io, SIGHUP);
+    // Before the start, which may take long: signals that arrive meanwhile stay pending.
+    asio::signal_set terminationSignals(io, SIGTERM, SIGINT), hangUpSignals(io, SIGHUP);
     Daemon daemon;
     rpcTraffic().setOwnZone(settings.zone);
     start(io, settings, daemon);
@@ -94,16 +95,16 @@
     if (options.metricsPort)
       metricsServer.emplace(io, Address{settings.ip, options.metricsPort}, 5 * settings.bounds.inTouch, metrics(),
                             daemon.pages);
-    endSignals.async_wait([&](error_code error, int) {
+    terminationSignals.async_wait([&](error_code error, int) {
       if (error) return;
-      logInfo("run", "told to end");
+      logInfo("run", "received a termination signal; shutting down");
       spawnTask(io, "shutdown", shutDown(io, settings, daemon));
     });
-    recheckSettingsOnHangUp(hangUpSignals, settings);
+    validateSettingsOnHangUp(hangUpSignals, settings);
     if (level == LogLevel::debug) spawnTask(io, "traffic log", logTraffic(settings.bounds.inTouch));
     runUntilStopped(io);
-    logInfo("run", "ended");
-    // Tasks that are still under way would outlive what they refer to.
+    logInfo("run", "shutdown is complete");
+    // Skips destructors, as suspended tasks would outlive the objects that they refer to.
     std::_Exit(0);
   } catch (Error const& error) {
     logError("run", error.what());
--- a/apps/data_plane.cpp
+++ b/apps/data_plane.cpp
@@ -24,12 +24,14 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("The data plane of tealshelf: takes requests in, or keeps lots.", "tealshelf-data-plane");
+  CLI::App app(
+      "The data plane of tealshelf: edge nodes that route requests to workers, and store nodes that hold lots.",
+      "tealshelf-data-plane");
   app.set_version_flag("--version", string(versionText));
   DaemonOptions options;
   addOptions(app, options);
-  CLI::App* const edge = app.add_subcommand("edge", "serve clients on an edge machine");
-  app.add_subcommand("store", "keep lots on a storage machine");
+  CLI::App* const edge = app.add_subcommand("edge", "run an edge node, which serves clients");
+  app.add_subcommand("store", "run a store node, which holds replicas of lots");
   app.require_subcommand(1);
   CLI11_PARSE(app, argc, argv);
   return runDaemon(options, edge->parsed() ? startEdge : startStore);
--- a/apps/exit_codes.hpp
+++ b/apps/exit_codes.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
-/// Exit codes of the programs, beside 0 and those of the command line parser.
+/// Exit codes of the programs, besides 0 and those of the command-line parser.
 namespace tealshelf {
 
-/// The arguments or the settings file can't be used; nothing was started or changed.
+/// The arguments or the settings file are invalid; nothing was started or changed.
 constexpr int exitBadArguments = 2;
-/// The work itself failed.
+/// The command failed.
 constexpr int exitFailure = 3;
 
 }  // namespace tealshelf
--- a/apps/status_reader.cpp
+++ b/apps/status_reader.cpp
@@ -17,7 +17,7 @@
 constexpr Ms responseTimeout{5000};
 constexpr std::uint64_t maxAnswerBytes = 64u << 20;
 
-/// Gets a page over HTTP; throws ErrorCode::notConnected if there is no good answer in time.
+/// Gets a page over HTTP; throws ErrorCode::notConnected if there is no response with status 200 in time.
 string getPage(Address const& from, string const& path) {
   asio::io_context io;
   beast::tcp_stream stream(io);
@@ -42,7 +42,7 @@
   return std::move(parser.get().body());
 }
 
-/// Cells in rows, printed with columns of equal width.
+/// A table printed with aligned columns.
 class Table {
  public:
   explicit Table(vector<string> head) { add(std::move(head)); }
@@ -81,7 +81,7 @@
 rapidjson::Document parseReport(string const& json) {
   rapidjson::Document report;
   report.Parse(json.data(), json.size());
-  if (report.HasParseError() || !report.IsArray()) throw Error(ErrorCode::badMessage, "the report of prefixes");
+  if (report.HasParseError() || !report.IsArray()) throw Error(ErrorCode::badMessage, "the report isn't a JSON array");
   return report;
 }
 
@@ -91,8 +91,8 @@
 }
 
 double numberIn(rapidjson::Value const& object, char const* name) {
-  bool const isThere = object.IsObject() && object.HasMember(name) && object[name].IsNumber();
-  return isThere ? object[name].GetDouble() : 0;
+  bool const isNumber = object.IsObject() && object.HasMember(name) && object[name].IsNumber();
+  return isNumber ? object[name].GetDouble() : 0;
 }
 
 /// The elements of an array; none if there is no such array.
@@ -107,7 +107,7 @@
   return std::to_string(static_cast<std::uint64_t>(std::max(0.0, number)));
 }
 
-/// Runs a command; errors become one line and an exit status.
+/// Runs a command and prints its result; an error is printed as one line and becomes an exit status.
 void runCommand(std::function<string()> const& command) {
   try {
     std::cout << command();
@@ -120,7 +120,7 @@
 
 Address addressArgument(string const& text) {
   std::optional<Address> address = parseAddress(text);
-  if (!address) throw Error(ErrorCode::badArguments, "not an IP:PORT: " + text);
+  if (!address) throw Error(ErrorCode::badArguments, "expected IP:PORT, found " + text);
   return std::move(*address);
 }
 
@@ -185,7 +185,7 @@
                  rounded(numberIn(*choice, "chosenCost")), wholeNumber(numberIn(*choice, "firstOutputMs"))});
     return table.text();
   }
-  throw Error(ErrorCode::badArguments, "no such prefix: " + prefix);
+  throw Error(ErrorCode::badArguments, "the report has no prefix " + prefix);
 }
 
 string rolloutTable(string const& reportJson) {
@@ -202,47 +202,48 @@
 }
 
 string tenantTable(vector<string> const& reportsJson) {
-  struct Use {
+  struct Usage {
     double rate = 0, burst = 0, left = 0, granted = 0, refused = 0;
     std::size_t shards = 0;
   };
-  std::map<string, Use> uses;
+  std::map<string, Usage> usages;
   for (string const& json : reportsJson) {
     rapidjson::Document const report = parseReport(json);
     for (rapidjson::Value const& tenant : report.GetArray()) {
-      Use& use = uses[textIn(tenant, "tenant")];
-      use.rate += numberIn(tenant, "ratePerS");
-      use.burst += numberIn(tenant, "burst");
-      use.left += numberIn(tenant, "tokensLeft");
-      use.granted += numberIn(tenant, "granted");
-      use.refused += numberIn(tenant, "refused");
-      ++use.shards;
+      Usage& usage = usages[textIn(tenant, "tenant")];
+      usage.rate += numberIn(tenant, "ratePerS");
+      usage.burst += numberIn(tenant, "burst");
+      usage.left += numberIn(tenant, "tokensLeft");
+      usage.granted += numberIn(tenant, "granted");
+      usage.refused += numberIn(tenant, "refused");
+      ++usage.shards;
     }
   }
-  vector<std::pair<string, Use>> rows(uses.begin(), uses.end());
+  vector<std::pair<string, Usage>> rows(usages.begin(), usages.end());
   std::stable_sort(rows.begin(), rows.end(),
                    [](auto const& left, auto const& right) { return left.second.refused > right.second.refused; });
   Table table({"tenant", "shards", "rate/s", "burst", "left", "granted", "refused"});
-  for (auto const& [name, use] : rows)
-    table.add({name, std::to_string(use.shards), rounded(use.rate), rounded(use.burst), rounded(use.left),
-               wholeNumber(use.granted), wholeNumber(use.refused)});
+  for (auto const& [name, usage] : rows)
+    table.add({name, std::to_string(usage.shards), rounded(usage.rate), rounded(usage.burst), rounded(usage.left),
+               wholeNumber(usage.granted), wholeNumber(usage.refused)});
   return table.text();
 }
 
 namespace {
-rapidjson::Document parseObject(string const& json, char const* what) {
+rapidjson::Document parseObject(string const& json, char const* name) {
   rapidjson::Document report;
   report.Parse(json.data(), json.size());
-  if (report.HasParseError() || !report.IsObject()) throw Error(ErrorCode::badMessage, what);
+  if (report.HasParseError() || !report.IsObject())
+    throw Error(ErrorCode::badMessage, string(name) + " isn't a JSON object");
   return report;
 }
 
-/// Prints what control nodes tell on a page, put together by `tableOf`.
+/// Adds a command that prints one status page of several control nodes as a table made by `tableOf`.
 void addPageCommand(CLI::App& app, string const& name, string const& help, string_view page,
                     string (*tableOf)(vector<string> const&)) {
   CLI::App* const command = app.add_subcommand(name, help);
   std::shared_ptr<vector<string>> const nodes = std::make_shared<vector<string>>();
-  command->add_option("--at", *nodes, "IP:PORT of the metrics of each control node")->required();
+  command->add_option("--at", *nodes, "IP:PORT of each control node's metrics server")->required();
   command->callback([nodes, page, tableOf] {
     runCommand([nodes, page, tableOf] {
       vector<string> reports;
@@ -256,7 +257,7 @@
 string waitingLotTable(vector<string> const& reportsJson) {
   Table table({"lot", "owner", "need", "last try", "tries", "waits s", "seen"});
   for (string const& json : reportsJson) {
-    rapidjson::Document const report = parseObject(json, "the report of lots that wait");
+    rapidjson::Document const report = parseObject(json, "the report of waiting lots");
     for (rapidjson::Value const* const lot : elementsIn(report, "lots"))
       table.add({textIn(*lot, "lot"), textIn(report, "node"), textIn(*lot, "need"), textIn(*lot, "outcome"),
                  wholeNumber(numberIn(*lot, "tries")), rounded(numberIn(*lot, "waitsMs") / 1000),
@@ -296,10 +297,11 @@
     rapidjson::Document const report = parseObject(json, "the report of duties");
     auto const usage = report.FindMember("usage");
     if (usage == report.MemberEnd() || !usage->value.IsObject())
-      throw Error(ErrorCode::badMessage, "the report of duties");
-    vector<rapidjson::Value const*> const waited = elementsIn(usage->value, "waitsFor");
-    string waitsFor = std::to_string(waited.size());
-    if (!waited.empty() && waited.front()->IsString()) waitsFor += ", first " + string(waited.front()->GetString());
+      throw Error(ErrorCode::badMessage, "the report of duties has no object usage");
+    vector<rapidjson::Value const*> const unfinished = elementsIn(usage->value, "waitsFor");
+    string waitsFor = std::to_string(unfinished.size());
+    if (!unfinished.empty() && unfinished.front()->IsString())
+      waitsFor += ", first " + string(unfinished.front()->GetString());
     table.add({textIn(report, "node"), textIn(report, "holder"), wholeNumber(numberIn(report, "fence")),
                textIn(report, "mayAct"), rounded(numberIn(report, "platformSilenceS")),
                wholeNumber(numberIn(usage->value, "presentWindow")),
@@ -332,16 +334,18 @@
     bool json = false;
   };
   std::shared_ptr<Options> const options = std::make_shared<Options>();
-  char const* const atHelp = "IP:PORT where the process serves its metrics";
-  CLI::App* const traffic = app.add_subcommand("traffic", "print what a process exchanged with others, by bytes");
+  char const* const atHelp = "IP:PORT of the process's metrics server";
+  CLI::App* const traffic = app.add_subcommand("traffic", "print the RPC traffic of a process, sorted by bytes");
   traffic->add_option("--at", options->at, atHelp)->required();
   traffic->callback([options] {
     runCommand([options] { return trafficTable(getPage(addressArgument(options->at), string(metricsPath))); });
   });
-  CLI::App* const prefixes = app.add_subcommand("prefixes", "print how an edge placed requests with shared prefixes");
+  CLI::App* const prefixes =
+      app.add_subcommand("prefixes", "print how an edge node placed requests with shared prefixes");
   prefixes->add_option("--at", options->at, atHelp)->required();
-  CLI::Option* const json = prefixes->add_flag("--json", options->json, "the whole report as JSON");
-  prefixes->add_option("--why", options->why, "the last choices for one prefix")->excludes(json);
+  CLI::Option* const json = prefixes->add_flag("--json", options->json, "print the report as JSON");
+  prefixes->add_option("--why", options->why, "print the last placements of one prefix and their reasons")
+      ->excludes(json);
   prefixes->callback([options] {
     runCommand([options] {
       string const report = getPage(addressArgument(options->at), string(prefixesPath));
@@ -350,22 +354,24 @@
     });
   });
   CLI::App* const rollouts =
-      app.add_subcommand("rollouts", "print the rollouts of services, as a control node has them");
+      app.add_subcommand("rollouts", "print the rollouts of services, as one control node sees them");
   rollouts->add_option("--at", options->at, atHelp)->required();
-  rollouts->add_flag("--json", options->json, "the whole report as JSON");
+  rollouts->add_flag("--json", options->json, "print the report as JSON");
   rollouts->callback([options] {
     runCommand([options] {
       string const report = getPage(addressArgument(options->at), string(rolloutsPage));
       return options->json ? report + "\n" : rolloutTable(report);
     });
   });
-  addPageCommand(app, "tenants", "print what control nodes granted to tenants, summed up", tenantsPage, tenantTable);
-  addPageCommand(app, "tallies", "print the tallies as each control node has them", talliesPage, tallyTable);
-  addPageCommand(app, "duties", "print who holds the duties at the platform, and how usage stands", dutiesPage,
-                 dutyTable);
-  addPageCommand(app, "capacity", "print what would be ordered for each service, and why; orders nothing", dutiesPage,
-                 capacityTable);
-  addPageCommand(app, "lots", "print the lots whose recovery waits, and why", lotsPage, waitingLotTable);
+  addPageCommand(app, "tenants", "print the quotas that control nodes granted to tenants, in total", tenantsPage,
+                 tenantTable);
+  addPageCommand(app, "tallies", "print the total of each tally at each control node", talliesPage, tallyTable);
+  addPageCommand(app, "duties", "print the holder of the duties at the platform and the progress of usage reports",
+                 dutiesPage, dutyTable);
+  addPageCommand(app, "capacity",
+                 "print the number of workers that would be ordered for each service, and why; orders nothing",
+                 dutiesPage, capacityTable);
+  addPageCommand(app, "lots", "print the lots whose recovery is waiting, and why", lotsPage, waitingLotTable);
 }
 
 }  // namespace tealshelf
--- a/apps/status_reader.hpp
+++ b/apps/status_reader.hpp
@@ -3,54 +3,54 @@
 
 #include <CLI/CLI.hpp>
 
-/// Commands that ask a running process for its figures and print them.
+/// Commands that print the status pages of running processes.
 namespace tealshelf {
 
-/// Reads IP:PORT; throws ErrorCode::badArguments if it is anything else.
+/// Parses IP:PORT; throws ErrorCode::badArguments for anything else.
 Address addressArgument(string const& text);
 
-/// One series of metrics in the text format of Prometheus.
+/// One sample of a metric in the Prometheus text format.
 struct MetricSample {
   std::map<string, string> labels;
   double value = 0;
 };
-/// The samples of one metric; lines that can't be read are left out.
+/// The samples of one metric; skips malformed lines.
 vector<MetricSample> parseSamples(string const& metricsText, string const& name);
 
-/// A table of the messages between own processes, by bytes, the largest first.
+/// A table of the RPC traffic by kind of message, the most bytes first.
 string trafficTable(string const& metricsText);
-/// A table of how an edge placed requests with long shared prefixes; throws ErrorCode::badMessage if the report can't
-/// be read.
+/// A table of how an edge node placed requests with long shared prefixes; throws ErrorCode::badMessage if the report is
+/// malformed.
 string prefixTable(string const& reportJson);
-/// The last choices for one prefix; throws ErrorCode::badArguments if the report doesn't name it.
+/// A table of the last placements of one prefix; throws ErrorCode::badArguments if the report doesn't name it.
 string prefixChoicesTable(string const& reportJson, string const& prefix);
 
-/// Pages of a control node beside its metrics.
+/// Paths of a control node's status pages.
 constexpr string_view rolloutsPage = "/rollouts", tenantsPage = "/tenants", talliesPage = "/tallies",
                       lotsPage = "/lots", dutiesPage = "/duties";
-/// A table of the rollouts of services; throws ErrorCode::badMessage if the report can't be read.
+/// A table of the rollouts of services; throws ErrorCode::badMessage if the report is malformed.
 string rolloutTable(string const& reportJson);
-/// A table of what control nodes granted to tenants, summed over their reports, the most refused first.
+/// A table of the requests granted to and refused for each tenant, summed over the reports, the most refused first.
 string tenantTable(vector<string> const& reportsJson);
 
 /// A table of the tallies with the total at each control node, those that differ first; throws ErrorCode::badMessage if
-/// a report can't be read.
+/// a report is malformed.
 string tallyTable(vector<string> const& reportsJson);
 
-/// A table of the lots whose recovery waits, by control node, with the reason; throws ErrorCode::badMessage if a report
-/// can't be read.
+/// A table of the lots whose recovery is waiting, by control node, with the reason; throws ErrorCode::badMessage if a
+/// report is malformed.
 string waitingLotTable(vector<string> const& reportsJson);
 
-/// A table of who holds the duties at the platform and how usage stands, by control node; throws ErrorCode::badMessage
-/// if a report can't be read.
+/// A table of the holder of the duties at the platform and the progress of usage reports, by control node; throws
+/// ErrorCode::badMessage if a report is malformed.
 string dutyTable(vector<string> const& reportsJson);
-/// A table of what each control node would order for the services whose number of workers may change, with the reason;
-/// nothing is ordered by it. Throws ErrorCode::badMessage if a report can't be read.
+/// A table of the workers that each control node would order for the services with scaling settings, with the reason.
+/// Orders nothing. Throws ErrorCode::badMessage if a report is malformed.
 string capacityTable(vector<string> const& reportsJson);
 
 /// Adds the commands `traffic`, `prefixes`, `rollouts`, `tenants`, `tallies`, `lots`, `duties` and `capacity` to a
-/// command line. They print
-/// to standard output and end the process with 0, 2 for bad arguments, or 3 if nothing answered.
+/// command line. They print to standard output and end the process with 0, 2 for bad arguments, or 3 for any other
+/// error.
 void addStatusCommands(CLI::App& app);
 
 }  // namespace tealshelf
