--- a/tests/apps/daemon_test.cpp
+++ b/tests/apps/daemon_test.cpp
@@ -9,7 +9,8 @@
 using namespace tealshelf;
 
 namespace {
-/// Runs a daemon in a process of its own that gets a signal while it starts, and SIGTERM once it runs; its wait status.
+/// Runs a daemon in a child process that gets a signal while it starts, and SIGTERM once it runs; returns its wait
+/// status.
 int statusOfDaemonSignalledAtStart(int signal) {
   string const path = "/tmp/tealshelf-daemon-test.conf";
   std::ofstream(path) << "nodeName=a-1\nrole=control\nipAddress=127.0.0.9\nzone=z\ninternalPorts=7000,7005\n"
@@ -30,15 +31,15 @@
 }
 }  // namespace
 
-/// A start may take long, as logs are read again; signals may come meanwhile.
+/// A start may take long, as logs are replayed; signals may arrive meanwhile.
 TEST_GROUP(daemon){};
 
-TEST(daemon, aHangUpWhileItStartsDoesNotEndIt) {
+TEST(daemon, aHangUpDuringTheStartDoesNotEndIt) {
   int const status = statusOfDaemonSignalledAtStart(SIGHUP);
   CHECK(WIFEXITED(status));
   LONGS_EQUAL(0, WEXITSTATUS(status));
 }
-TEST(daemon, aRequestToEndWhileItStartsEndsItInOrder) {
+TEST(daemon, aTerminationSignalDuringTheStartShutsItDownCleanly) {
   int const status = statusOfDaemonSignalledAtStart(SIGTERM);
   CHECK(WIFEXITED(status));
   LONGS_EQUAL(0, WEXITSTATUS(status));
--- a/tests/apps/tally_table_test.cpp
+++ b/tests/apps/tally_table_test.cpp
@@ -15,10 +15,10 @@
       "s      yes    4  4\n",
       tallyTable({left, right}).c_str());
 }
-TEST(tallyStatus, aReportThatCantBeReadIsTold) {
+TEST(tallyStatus, aMalformedReportIsAnError) {
   try {
     tallyTable({"[]"});
-    FAIL("it was read");
+    FAIL("a malformed report was accepted");
   } catch (Error const& error) {
     CHECK(error.code() == ErrorCode::badMessage);
   }
--- a/tests/apps/waiting_lot_table_test.cpp
+++ b/tests/apps/waiting_lot_table_test.cpp
@@ -13,7 +13,7 @@
 
 TEST_GROUP(waitingLots){};
 
-TEST(waitingLots, theMostUrgentAndThenTheLongestWaitComesFirst) {
+TEST(waitingLots, areSortedByUrgencyThenByWaitingTime) {
   string const report = waitingLotsReport(
       "control-1",
       {waitingLot("spare", RecoveryNeed::spare, Ms(9000)), waitingLot("short", RecoveryNeed::serve, Ms(1000)),
@@ -25,10 +25,10 @@
       "short  control-1  serve  copies were refused  3      1.0      record 2a, holders s1 (intact)\n",
       waitingLotTable({report}).c_str());
 }
-TEST(waitingLots, aNodeWithoutAnyAddsNoRow) {
+TEST(waitingLots, aNodeWithoutWaitingLotsAddsNoRow) {
   STRCMP_EQUAL("lot  owner  need  last try  tries  waits s  seen\n",
                waitingLotTable({waitingLotsReport("control-1", {}, 2)}).c_str());
 }
-TEST(waitingLots, aReportThatCantBeReadIsTold) {
+TEST(waitingLots, aMalformedReportIsAnError) {
   CHECK_THROWS(Error, waitingLotTable({"[]"}));
 }
--- a/tests/control/call_input_test.cpp
+++ b/tests/control/call_input_test.cpp
@@ -34,13 +34,13 @@
         string("{\"overS\":NaN}"), string(1000000, '['), string("{\"overS\":10}x")})
     LONGS_EQUAL_TEXT(408, codeOf([&] { checkRetirement(body); }), body.substr(0, 40).c_str());
 }
-TEST(callInput, whatIsOpenIsNeverFinal) {
+TEST(callInput, unknownOutcomesAreReportedAsRetryable) {
   for (ErrorCode const code : {ErrorCode::noQuorum, ErrorCode::connectionLost, ErrorCode::timedOut}) {
     LONGS_EQUAL(503, errorForCaller(Error(code), CallKind::change).status());
     LONGS_EQUAL(112, static_cast<int>(errorForCaller(Error(code), CallKind::change).code()));
     LONGS_EQUAL(210, static_cast<int>(errorForCaller(Error(code), CallKind::read).code()));
   }
-  // An addition that is open may count, so no promise is made.
+  // An addition with an unknown outcome may have been counted, and a 503 would promise that it wasn't.
   LONGS_EQUAL(502, errorForCaller(Error(ErrorCode::additionUndecided), CallKind::addition).status());
   LONGS_EQUAL(502, errorForCaller(Error(ErrorCode::timedOut), CallKind::addition).status());
   LONGS_EQUAL(503, errorForCaller(Error(ErrorCode::notReady), CallKind::addition).status());
--- a/tests/control/control_plane.hpp
+++ b/tests/control/control_plane.hpp
@@ -6,18 +6,18 @@
 
 namespace tealshelf {
 
-/// Three control nodes on loopback, each on a context of its own, so that one can be frozen.
+/// Three control nodes on loopback addresses, each with its own io_context, so that one can be frozen.
 class ControlPlane {
  public:
   static constexpr std::size_t nodeCount = 3;
 
-  /// A node that is cut off finds out within a quarter of `inTouch`, also on a busy machine.
+  /// A partitioned node notices within a quarter of `inTouch`; the default leaves time on a busy machine.
   explicit ControlPlane(Ms inTouch = Ms(12000)) {
     std::filesystem::remove_all(folder());
     for (std::size_t n = 0; n < nodeCount; ++n) nodes_.push_back(std::make_unique<Node>(settingsOf(n, inTouch)));
     for (std::unique_ptr<Node> const& node : nodes_) node->control.start();
   }
-  /// Starts a node again with its control state, but without its log of workers.
+  /// Restarts a node with its control state, but without its log of workers.
   void restartWithoutWorkers(std::size_t node) {
     Settings settings = nodes_[node]->settings;
     settings.firstBoot = false;
@@ -27,27 +27,27 @@
     nodes_[node]->control.start();
   }
 
-  /// From now on it hears and says nothing; its connections stay.
+  /// From now on the node receives and sends nothing; its connections stay open.
   void freeze(std::size_t node) { nodes_[node]->frozen = true; }
 
   int call(std::size_t node, string const& verb, string const& path, string const& body) {
     return static_cast<int>(exchangeWith(node, verb, path, body).result_int());
   }
-  /// Reads a path until its body is the expected one; gives the last body.
+  /// Reads a path until the body is the expected one; returns the last body.
   string bodyUntil(string const& expected, std::size_t node, string const& path) {
     TimePoint const end = Clock::now() + limit;
     string body;
     while (body != expected && Clock::now() < end) body = exchangeWith(node, "GET", path, "").body();
     return body;
   }
-  /// Calls until an answer comes; false if none does.
+  /// Repeats a call until it returns a status; false if it never does.
   bool callUntil(int status, std::size_t node, string const& path, string const& body, string const& verb = "PUT") {
     TimePoint const end = Clock::now() + limit;
     while (Clock::now() < end)
       if (call(node, verb, path, body) == status) return true;
     return false;
   }
-  /// Asks a node for its registry until it names a worker; false if it never does.
+  /// Reads a node's registry until it contains a worker; false if it never does.
   bool waitForWorker(std::size_t node, string const& id) {
     TimePoint const end = Clock::now() + limit;
     bool known = false;
@@ -56,23 +56,23 @@
     return known;
   }
 
-  /// Asks a node to count one request at a worker that warms up.
+  /// Takes credit at a node for one request to a worker that warms up.
   CreditVerdict takeWarmUpCredit(std::size_t node, string const& id) {
     return ask(node, TakeCredit{id, CreditKind::warmUp}).verdict;
   }
-  /// Asks a node for credits until it counts for a worker; false if it never does.
-  bool countsFor(std::size_t node, string const& id) {
+  /// Takes credits at a node until it counts for a worker; false if it never does.
+  bool waitUntilCountsFor(std::size_t node, string const& id) {
     TimePoint const end = Clock::now() + limit;
     while (Clock::now() < end)
       if (takeWarmUpCredit(node, id) != CreditVerdict::notCounting) return true;
     return false;
   }
-  /// Lets all nodes that aren't frozen run.
+  /// Runs all nodes that aren't frozen.
   void run(Ms duration) {
     TimePoint const end = Clock::now() + duration;
     runUntil([end] { return Clock::now() >= end; });
   }
-  /// What a node tells the data plane of a zone, as soon as it has heard of a revision.
+  /// The evacuation of a zone that a node publishes, once it has a revision.
   std::optional<Evacuation> evacuationFrom(std::size_t node, string const& zone, std::uint64_t revision) {
     TimePoint const end = Clock::now() + limit;
     std::optional<Evacuation> published;
@@ -80,7 +80,7 @@
       published = publishedEvacuation(node, zone);
     return published;
   }
-  /// What a node tells the data plane of a zone; nothing if it tells nothing.
+  /// The evacuation of a zone that a node publishes; nothing if it publishes none.
   std::optional<Evacuation> publishedEvacuation(std::size_t node, string const& zone) {
     UpdateRequest request;
     request.self.name = "e-1";
@@ -119,7 +119,7 @@
   };
 
   static string folder() { return "/tmp/tealshelf-control-" + std::to_string(::getpid()); }
-  /// Of this process's own, as groups of tests run at once.
+  /// Differs by process, as test groups run in parallel.
   static string ip(std::size_t node) {
     string const own = loopbackOfThisProcess();
     return "127." + std::to_string(2 + node) + own.substr(own.find('.', own.find('.') + 1));
--- a/tests/control/tally_handler_test.cpp
+++ b/tests/control/tally_handler_test.cpp
@@ -18,7 +18,7 @@
 
 TEST_GROUP(tallyCalls){};
 
-TEST(tallyCalls, aProperAdditionIsRead) {
+TEST(tallyCalls, aValidAdditionIsParsed) {
   TallyAddition const addition = readAddition(R"({"serverId":"5c0e7a21d94b36f8","changedBy":-4})");
   STRCMP_EQUAL("5c0e7a21d94b36f8", addition.serverId.c_str());
   LONGS_EQUAL(-4, addition.changedBy);
@@ -53,7 +53,7 @@
   LONGS_EQUAL(405, plane.call(0, "PUT", "/tallies/t3", body));
   LONGS_EQUAL(400, plane.call(0, "GET", "/tallies/", ""));
 }
-TEST(tallyService, aNodeThatIsAloneGoesOnCounting) {
+TEST(tallyService, anIsolatedNodeKeepsCounting) {
   ControlPlane plane;
   CHECK(plane.callUntil(200, 0, "/tallies/t", R"({"serverId":"a","changedBy":1})", "POST"));
   plane.freeze(1);
@@ -61,7 +61,7 @@
   CHECK(plane.callUntil(200, 0, "/tallies/t", R"({"serverId":"b","changedBy":2})", "POST"));
   STRCMP_EQUAL("{\"total\":3}", plane.bodyUntil("{\"total\":3}", 0, "/tallies/t").c_str());
 }
-TEST(tallyService, totalsOutlastTheProcess) {
+TEST(tallyService, totalsSurviveARestart) {
   ControlPlane plane;
   CHECK(plane.callUntil(200, 0, "/tallies/t", R"({"serverId":"a","changedBy":7})", "POST"));
   plane.restartWithoutWorkers(0);
--- a/tests/control/worker_directory_test.cpp
+++ b/tests/control/worker_directory_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 string const workerPath = "/servers/i-1";
 
-string workerIn(string const& state, int callCount) {
+string heartbeatWithState(string const& state, int callCount) {
   return "{\"service\":\"app\",\"address\":\"127.0.0.1:9\",\"zone\":\"z\",\"version\":\"v\",\"capacity\":8,\"state\":"
          "\"" +
          state + "\",\"warmupLeftMs\":0,\"callCount\":" + std::to_string(callCount) + "}";
@@ -18,32 +18,33 @@
 
 TEST(workerDirectory, aWorkerThatLeavesIsAcknowledgedOnceAMajorityKnows) {
   ControlPlane plane;
-  CHECK(plane.callUntil(200, 0, workerPath, workerIn("ready", 1)));
-  CHECK(plane.callUntil(200, 0, workerPath, workerIn("draining", 2)));
+  CHECK(plane.callUntil(200, 0, workerPath, heartbeatWithState("ready", 1)));
+  CHECK(plane.callUntil(200, 0, workerPath, heartbeatWithState("draining", 2)));
   LONGS_EQUAL(200, plane.call(0, "DELETE", workerPath, ""));
 }
-TEST(workerDirectory, aNodeThatWasJustCutOffAcknowledgesNoWorkerThatLeaves) {
+TEST(workerDirectory, aNodeThatWasJustPartitionedAcknowledgesNoWorkerThatLeaves) {
   ControlPlane plane;
-  CHECK(plane.callUntil(200, 0, workerPath, workerIn("ready", 1)));
-  CHECK(plane.callUntil(200, 0, "/servers/i-2", workerIn("ready", 1)));
+  CHECK(plane.callUntil(200, 0, workerPath, heartbeatWithState("ready", 1)));
+  CHECK(plane.callUntil(200, 0, "/servers/i-2", heartbeatWithState("ready", 1)));
   plane.freeze(1);
   plane.freeze(2);
-  // It still takes itself for one of the majority: a worker that stays is acknowledged.
-  LONGS_EQUAL(200, plane.call(0, "PUT", "/servers/i-3", workerIn("ready", 1)));
-  LONGS_EQUAL(503, plane.call(0, "PUT", workerPath, workerIn("draining", 2)));
-  LONGS_EQUAL_TEXT(503, plane.call(0, "PUT", workerPath, workerIn("draining", 2)), "the same once more");
+  // The node still believes that it is in contact with a majority: a worker that stays is acknowledged.
+  LONGS_EQUAL(200, plane.call(0, "PUT", "/servers/i-3", heartbeatWithState("ready", 1)));
+  LONGS_EQUAL(503, plane.call(0, "PUT", workerPath, heartbeatWithState("draining", 2)));
+  LONGS_EQUAL_TEXT(503, plane.call(0, "PUT", workerPath, heartbeatWithState("draining", 2)),
+                   "the repeated call must be refused too");
   LONGS_EQUAL(503, plane.call(0, "DELETE", "/servers/i-2", ""));
 }
-TEST(workerDirectory, oneFrozenNodeHoldsNoAcknowledgementUp) {
+TEST(workerDirectory, oneFrozenNodeDoesNotDelayAcknowledgements) {
   ControlPlane plane;
-  CHECK(plane.callUntil(200, 0, workerPath, workerIn("ready", 1)));
+  CHECK(plane.callUntil(200, 0, workerPath, heartbeatWithState("ready", 1)));
   plane.freeze(2);
-  LONGS_EQUAL(200, plane.call(0, "PUT", workerPath, workerIn("draining", 2)));
+  LONGS_EQUAL(200, plane.call(0, "PUT", workerPath, heartbeatWithState("draining", 2)));
 }
 TEST(workerDirectory, aNodeThatLostItsRegistryFetchesIt) {
   ControlPlane plane;
-  CHECK(plane.callUntil(200, 0, workerPath, workerIn("ready", 1)));
-  CHECK(plane.callUntil(200, 1, "/servers/i-2", workerIn("ready", 1)));
+  CHECK(plane.callUntil(200, 0, workerPath, heartbeatWithState("ready", 1)));
+  CHECK(plane.callUntil(200, 1, "/servers/i-2", heartbeatWithState("ready", 1)));
   plane.restartWithoutWorkers(2);
   CHECK(plane.waitForWorker(2, "i-1"));
   CHECK(plane.waitForWorker(2, "i-2"));
