--- a/control/duty_holder.cpp
+++ b/control/duty_holder.cpp
@@ -87,10 +87,10 @@
 }
 
 Task<void> DutyHolder::confirm(Epoch epoch) {
-  TimePoint const askedAt = Clock::now();
+  TimePoint const requestedAt = Clock::now();
   bool const isConfirmed = co_await driver_.confirmOwnership(dutiesKeyspace, settings_.bounds.lease / 2);
   if (!isConfirmed) co_return;
-  lease_.noteConfirmed(epoch, askedAt);
+  lease_.noteConfirmed(epoch, requestedAt);
   platform_.noteExtended();
 }
 
--- a/control/duty_report.cpp
+++ b/control/duty_report.cpp
@@ -13,7 +13,7 @@
     writer.Int64(status.closedThrough->value);
   }
   writer.Key("presentWindow");
-  writer.Int64(status.present.value);
+  writer.Int64(status.currentWindow.value);
   writeField(writer, "unsent", status.unsent);
   writeField(writer, "lastAnswer", status.lastAnswer);
   writer.Key("waitsFor");
--- a/control/usage_collector.cpp
+++ b/control/usage_collector.cpp
@@ -32,9 +32,9 @@
       unsent_(metrics().gauge("tealshelf_usage_unsent_reports", "Reports that the platform hasn't acknowledged")) {
   sampler_ = metrics().sample([this] {
     if (!settings_.provider.exists()) return;
-    Status const present = status();
-    unsent_.setCount(present.unsent);
-    unclosed_.setCount(present.closedThrough ? present.present.value - 1 - present.closedThrough->value : 0);
+    Status const current = status();
+    unsent_.setCount(current.unsent);
+    unclosed_.setCount(current.closedThrough ? current.currentWindow.value - 1 - current.closedThrough->value : 0);
   });
 }
 
@@ -76,9 +76,9 @@
 
 void UsageCollector::discardClosedWindows() {
   std::optional<UsageProgress> const progress = UsageLedger::progressIn(duties_.values());
-  Ms const memory = settings_.bounds.usageDelay + settings_.bounds.reportWindow;
+  Ms const retention = settings_.bounds.usageDelay + settings_.bounds.reportWindow;
   WindowNumber const through = progress ? progress->closedThrough : WindowNumber();
-  table_.forget(through, Clock::now() - 2 * memory);
+  table_.forget(through, Clock::now() - 2 * retention);
 }
 
 Task<void> UsageCollector::forwardLoop() {
@@ -185,7 +185,7 @@
   Values const& values = duties_.values();
   std::optional<UsageProgress> const progress = UsageLedger::progressIn(values);
   if (progress) status.closedThrough = progress->closedThrough;
-  status.present = ledger_.windowAt(trueNowMs());
+  status.currentWindow = ledger_.windowAt(trueNowMs());
   status.unsent = UsageLedger::unsent(values).size();
   std::optional<WindowNumber> const next = UsageLedger::nextToClose(values, table_);
   if (next) status.unfinished = unfinishedFor(*next);
--- a/control/usage_collector.hpp
+++ b/control/usage_collector.hpp
@@ -27,7 +27,7 @@
   /// Progress of the reports of usage, for the status page.
   struct Status {
     std::optional<WindowNumber> closedThrough;  ///< empty before the first window
-    WindowNumber present;
+    WindowNumber currentWindow;
     std::size_t unsent = 0;     ///< reports that the platform hasn't acknowledged
     vector<string> unfinished;  ///< nodes that the next window waits for
     string lastAnswer;          ///< of the platform; "" before the first answer
--- a/control/worker_directory.cpp
+++ b/control/worker_directory.cpp
@@ -101,27 +101,27 @@
   message.heartbeat.holdsAllKeys = message.heartbeat.holdsAllKeys && !stopping_;
   message.workers = {std::move(worker)};
   Ms const limit = settings_.bounds.drain / 5;
-  std::shared_ptr<PeerReplies> const answers = std::make_shared<PeerReplies>(io_, limit);
+  std::shared_ptr<PeerReplies> const replies = std::make_shared<PeerReplies>(io_, limit);
   for (Member const& member : consensus.membership().members) {
     if (member.id == self() || !consensus.isAlive(member.id, now)) continue;
-    ++answers->outstanding;
+    ++replies->outstanding;
     asio::co_spawn(io_, rpc_.call(settings_.controlAddress(member.ip), message, limit),
-                   [answers](std::exception_ptr failure, HeartbeatReply) {
-                     if (!failure) ++answers->acknowledged;
-                     if (!--answers->outstanding) answers->timer.cancel();
+                   [replies](std::exception_ptr failure, HeartbeatReply) {
+                     if (!failure) ++replies->acknowledged;
+                     if (!--replies->outstanding) replies->timer.cancel();
                    });
   }
-  return answers;
+  return replies;
 }
 
 /// Control nodes that serve the data plane are in contact with a majority, so at least one node of it knows of the
 /// worker even if this node fails.
 Task<void> WorkerDirectory::notifyMajority(Worker worker) {
-  std::shared_ptr<PeerReplies> const answers = notifyPeers(std::move(worker));
+  std::shared_ptr<PeerReplies> const replies = notifyPeers(std::move(worker));
   error_code ignored;
-  if (answers->outstanding) co_await answers->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+  if (replies->outstanding) co_await replies->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   Membership const& membership = driver_.consensus().membership();
-  std::size_t const informed = answers->acknowledged + (membership.find(self()) ? 1 : 0);
+  std::size_t const informed = replies->acknowledged + (membership.find(self()) ? 1 : 0);
   if (informed < membership.quorum())
     throw Error(ErrorCode::notReady, "no majority acknowledged that the worker leaves");
 }
@@ -177,22 +177,22 @@
 Task<void> WorkerDirectory::fetchDifference(Member sender) {
   CompareRegistry const request{registry_.digest().buckets()};
   RegistryDifference difference;
-  TimePoint const askedAt = Clock::now();
-  bool answered = true;
+  TimePoint const requestedAt = Clock::now();
+  bool succeeded = true;
   try {
     difference = co_await rpc_.call(settings_.controlAddress(sender.ip), request, settings_.bounds.inTouch / 4);
   } catch (Error const& error) {
     logDebug("workers", "can't fetch the registry of workers from " + sender.ip + ": " + error.what());
-    answered = false;
+    succeeded = false;
   }
   TimePoint const now = Clock::now();
   fetching_ = false;
   fetchedAt_ = now;
-  if (!answered) co_return;
+  if (!succeeded) co_return;
   bool changed = false;
   if (difference.isComplete) {
     std::set<std::uint32_t> const buckets(difference.buckets.begin(), difference.buckets.end());
-    changed = registry_.mergeBuckets(difference.workers, buckets, sender.id, askedAt, now);
+    changed = registry_.mergeBuckets(difference.workers, buckets, sender.id, requestedAt, now);
     changed = mergedFrom_.insert(sender.id).second || changed;
   } else {
     for (Worker const& worker : difference.workers) changed = registry_.merge(worker, now) || changed;
--- a/tests/control/control_plane.hpp
+++ b/tests/control/control_plane.hpp
@@ -111,7 +111,7 @@
   }
 
   struct Node {
-    explicit Node(Settings its) : settings(std::move(its)), control(io, settings) {}
+    explicit Node(Settings nodeSettings) : settings(std::move(nodeSettings)), control(io, settings) {}
     asio::io_context io{1};
     Settings settings;
     ControlNode control;
