--- a/control/rollout_handler.cpp
+++ b/control/rollout_handler.cpp
@@ -156,20 +156,20 @@
   return inputs;
 }
 
-void RolloutHandler::noteEvidence(TimePoint now) {
+void RolloutHandler::snapshotEvidence(TimePoint now) {
   Ms const window = settings_.bounds.inTouch * recentWindowQuarters / 4;
-  bool const isDue = pastEvidence_.empty() || now - pastEvidence_.back().at >= window / 8;
-  if (isDue) pastEvidence_.push_back({now, evidence()});
+  bool const isDue = evidenceSnapshots_.empty() || now - evidenceSnapshots_.back().at >= window / 8;
+  if (isDue) evidenceSnapshots_.push_back({now, evidence()});
   // The first snapshot stays at about the window's age.
-  while (pastEvidence_.size() > 1 && now - pastEvidence_[1].at >= window) pastEvidence_.pop_front();
+  while (evidenceSnapshots_.size() > 1 && now - evidenceSnapshots_[1].at >= window) evidenceSnapshots_.pop_front();
 }
 
 VersionJudgement RolloutHandler::judge(RolloutRecord const& record, TimePoint now) const {
   vector<VersionTally> const all = evidence();
   VersionJudgement judgement = judgeVersion(record, all);
-  if (judgement.verdict == VersionVerdict::bad || pastEvidence_.empty()) return judgement;
-  if (now - pastEvidence_.front().at > settings_.bounds.inTouch) return judgement;
-  VersionJudgement const recent = judgeVersion(record, talliesSince(pastEvidence_.front().tallies, all));
+  if (judgement.verdict == VersionVerdict::bad || evidenceSnapshots_.empty()) return judgement;
+  if (now - evidenceSnapshots_.front().at > settings_.bounds.inTouch) return judgement;
+  VersionJudgement const recent = judgeVersion(record, talliesSince(evidenceSnapshots_.front().tallies, all));
   judgement.verdict = recent.verdict;
   judgement.reason = recent.reason;
   return judgement;
@@ -199,10 +199,10 @@
   localEvidence_.retain(orders);
   if (orders.empty()) {
     peerEvidence_.clear();
-    pastEvidence_.clear();
+    evidenceSnapshots_.clear();
     co_return;
   }
-  noteEvidence(now);
+  snapshotEvidence(now);
   if (!driver_.consensus().owns(rolloutsKeyspace)) co_return;
   for (auto const& [service, record] : present) {
     if (!record.isServing()) continue;
--- a/control/rollout_handler.hpp
+++ b/control/rollout_handler.hpp
@@ -47,7 +47,7 @@
   vector<VersionTally> evidence() const;
   /// Judges by all evidence and by the recent evidence, as a fault may begin late.
   VersionJudgement judge(RolloutRecord const& record, TimePoint now) const;
-  void noteEvidence(TimePoint now);
+  void snapshotEvidence(TimePoint now);
   void recordObservations(TimePoint now);
 
   asio::io_context& io_;
@@ -60,12 +60,12 @@
   RolloutPlan plan_;
   VersionEvidence localEvidence_;                        ///< from data-plane nodes that request updates here
   std::map<NodeId, vector<VersionTally>> peerEvidence_;  ///< from other control nodes
-  struct PastEvidence {
+  struct EvidenceSnapshot {
     TimePoint at;
     vector<VersionTally> tallies;
   };
-  std::deque<PastEvidence> pastEvidence_;       ///< recent snapshots, the oldest first
-  std::map<string, Observation> observations_;  ///< by service
+  std::deque<EvidenceSnapshot> evidenceSnapshots_;  ///< recent snapshots, the oldest first
+  std::map<string, Observation> observations_;      ///< by service
   TimePoint startedAt_ = Clock::now();
   AsyncMutex changes_;  ///< serializes changes of records
 };
