--- a/tests/control/tally_handler_test.cpp
+++ b/tests/control/tally_handler_test.cpp
@@ -47,7 +47,7 @@
   CHECK(plane.callUntil(200, 0, "/tallies/t3", body, "POST"));
   LONGS_EQUAL(200, plane.call(1, "POST", "/tallies/t3", body));
   STRCMP_EQUAL("{\"total\":4}", plane.bodyUntil("{\"total\":4}", 2, "/tallies/t3").c_str());
-  STRCMP_EQUAL("{\"total\":0}", plane.bodyUntil("{\"total\":0}", 2, "/tallies/unheard").c_str());
+  STRCMP_EQUAL("{\"total\":0}", plane.bodyUntil("{\"total\":0}", 2, "/tallies/unused").c_str());
   LONGS_EQUAL(409, plane.call(0, "POST", "/tallies/t3", R"({"serverId":"5c0e7a21d94b36f8","changedBy":5})"));
   LONGS_EQUAL(400, plane.call(0, "POST", "/tallies/t3", "{}"));
   LONGS_EQUAL(405, plane.call(0, "PUT", "/tallies/t3", body));
