--- a/edge/edge_node.cpp
+++ b/edge/edge_node.cpp
@@ -258,7 +258,7 @@
   string const verb(request.method_string().data(), request.method_string().size());
   string const target(request.target().data(), request.target().size());
   string const host = hostOf(request);
-  if (lots_.isLotCall(*configuration, verb, host, target)) {
+  if (lots_.isLotRequest(*configuration, verb, host, target)) {
     Caller const caller = identifyCaller(*configuration, request, KeyNeed::required);
     if (caller.status == CallerStatus::refused)
       co_return co_await reply(client, errorReply(Error(ErrorCode::unknownKey)));
--- a/lots/api/lot_api.cpp
+++ b/lots/api/lot_api.cpp
@@ -14,7 +14,7 @@
 constexpr int maxControlNodes = 3;
 /// Times that a lot is placed on other holders after a failure.
 constexpr int maxPlacementRetries = 1;
-constexpr std::size_t maxKnownLots = 4096;
+constexpr std::size_t maxCachedLots = 4096;
 string const lotsPath = "/lots/", itemsPath = "/items/";
 
 string queryParameter(string_view target, string_view name) {
@@ -39,7 +39,7 @@
 
 /// True for what is known of the lot, or of the call itself. Any other error arose between our own nodes and says
 /// nothing of the lot, whatever its kind.
-bool isAboutLot(Error const& error) {
+bool isClientError(Error const& error) {
   return error.code() == ErrorCode::lotUnknown || error.code() == ErrorCode::itemUnknown ||
          error.code() == ErrorCode::lotUnreadable;
 }
@@ -72,7 +72,8 @@
 }
 }  // namespace
 
-bool LotApi::isLotCall(Configuration const& configuration, string_view verb, string_view host, string_view path) const {
+bool LotApi::isLotRequest(Configuration const& configuration, string_view verb, string_view host,
+                          string_view path) const {
   bool const aboutLot = path.starts_with(lotsPath) && (verb == "GET" || verb == "DELETE");
   bool const aboutItem = path.starts_with(itemsPath) && verb == "GET";
   if (!aboutLot && !aboutItem) return false;
@@ -162,8 +163,8 @@
 }
 
 Task<LotRecord> LotApi::findLot(LotKey key, bool anew) {
-  auto const known = knownLots_.find(key);
-  if (!anew && known != knownLots_.end()) co_return known->second;
+  auto const known = cachedLots_.find(key);
+  if (!anew && known != cachedLots_.end()) co_return known->second;
   FindLot const request{key.host, key.id, 0};
   FindLotReply const reply = co_await askCoordinator(request, settings_.bounds.settleWithin / 2);
   if (!reply.known) throw Error(ErrorCode::lotUnknown);
@@ -172,8 +173,8 @@
 }
 
 void LotApi::remember(LotRecord const& lot) {
-  if (knownLots_.size() >= maxKnownLots) knownLots_.clear();
-  knownLots_[lot.key()] = lot;
+  if (cachedLots_.size() >= maxCachedLots) cachedLots_.clear();
+  cachedLots_[lot.key()] = lot;
 }
 
 Task<HttpReply> LotApi::call(LotCaller caller, string verb, string target, Ms hold) {
@@ -191,7 +192,7 @@
     if (!from) throw Error(ErrorCode::lotUnreadable, "startAfter");
     co_return co_await listResults(key, *from, hold);
   } catch (Error const& error) {
-    if (isAboutLot(error)) co_return errorReply(error);
+    if (isClientError(error)) co_return errorReply(error);
     logDebug("lots", target + ": " + error.what());
     HttpReply answer = errorReply(Error(ErrorCode::lotStateUnknown));
     answer.headers.emplace_back("Retry-After", "0.05");
@@ -240,7 +241,7 @@
     page = co_await readFromHolders(lot, from, std::min(until, Clock::now() + hold));
     if (page) break;
     // Whoever asks next doesn't wait for the same silent store.
-    knownLots_.erase(key);
+    cachedLots_.erase(key);
     if (Clock::now() + settings_.bounds.step > until) throw Error(ErrorCode::lotStateUnknown);
     co_await sleepFor(settings_.bounds.step / 2);
   }
--- a/lots/api/lot_api.hpp
+++ b/lots/api/lot_api.hpp
@@ -18,7 +18,7 @@
  public:
   LotApi(Settings const& settings, RpcClient& rpc, FleetView& view) : settings_(settings), rpc_(rpc), view_(view) {}
   /// True if a call is one about lots by its method and path.
-  bool isLotCall(Configuration const& configuration, string_view verb, string_view host, string_view path) const;
+  bool isLotRequest(Configuration const& configuration, string_view verb, string_view host, string_view path) const;
   /// Answers a call under /lots/ or /items/. A 503 says that this node can't be sure of the lot. A tenant sees its own
   /// lots only.
   Task<HttpReply> call(LotCaller caller, string verb, string target, Ms hold);
@@ -43,7 +43,7 @@
   Settings const& settings_;
   RpcClient& rpc_;
   FleetView& view_;
-  std::map<LotKey, LotRecord> knownLots_;
+  std::map<LotKey, LotRecord> cachedLots_;
 };
 
 }  // namespace tealshelf
--- a/lots/api/lot_parser.cpp
+++ b/lots/api/lot_parser.cpp
@@ -24,7 +24,7 @@
 constexpr std::array<signed char, 256> base64Digits = makeBase64Digits();
 
 /// What would end a header or a request's first line.
-string const lineBreakers("\r\n\0", 3);
+string const forbiddenCharacters("\r\n\0", 3);
 
 string textOf(rapidjson::Value const& value) {
   return string(value.GetString(), value.GetStringLength());
@@ -37,7 +37,7 @@
 
 /// True for a text that can't break out of its line and fits into a request.
 bool isOneLine(string const& text) {
-  return text.size() <= maxTextBytes && text.find_first_of(lineBreakers) == string::npos;
+  return text.size() <= maxTextBytes && text.find_first_of(forbiddenCharacters) == string::npos;
 }
 
 bool isSafeHeader(HeaderField const& header) {
--- a/lots/coordination/lot_coordinator.cpp
+++ b/lots/coordination/lot_coordinator.cpp
@@ -147,7 +147,7 @@
     co_return OpenLotReply{true, *known};
   }
   LotRecord lot = request.lot;
-  lot.sentAtMs = known ? known->sentAtMs : wallClockMs();
+  lot.submittedAtMs = known ? known->submittedAtMs : wallClockMs();
   std::set<NodeId> const excluded(request.excluded.begin(), request.excluded.end());
   std::optional<Error> refusal;
   try {
--- a/lots/coordination/lot_upkeep.cpp
+++ b/lots/coordination/lot_upkeep.cpp
@@ -138,7 +138,7 @@
 /// can't be recovered now don't hold up the others; then old lots first.
 void LotCoordinator::startRecoveries(vector<PendingRecovery> pending) {
   auto const order = [this](PendingRecovery const& next) {
-    return std::tuple(next.need, lots_[next.lot.key()].failedRecoveries, next.lot.sentAtMs);
+    return std::tuple(next.need, lots_[next.lot.key()].failedRecoveries, next.lot.submittedAtMs);
   };
   std::sort(pending.begin(), pending.end(),
             [&order](PendingRecovery const& left, PendingRecovery const& right) { return order(left) < order(right); });
--- a/lots/execution/item_execution.cpp
+++ b/lots/execution/item_execution.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 /// Part of a worker's slots that items leave free: while their lot has time, and when it is urgent.
-constexpr double reservedRelaxed = 0.25, reservedUrgent = 0.1;
+constexpr double relaxedReservedShare = 0.25, urgentReservedShare = 0.1;
 constexpr Ms firstRetryPause{2};
 
 HttpRequest requestFor(ItemRecord const& item, LotRecord const& lot, Route const& route, Worker const& worker,
@@ -26,16 +26,16 @@
 
 std::int64_t LotRunner::remainingTimeMs(LotRecord const& lot, TimePoint now) const {
   Ms const due(lot.dueInMs);
-  return (due - ages_.likely(lot.key(), now, Ms(wallClockMs() - lot.sentAtMs), due)).count();
+  return (due - ages_.likely(lot.key(), now, Ms(wallClockMs() - lot.submittedAtMs), due)).count();
 }
 
-Task<void> LotRunner::startLoop() {
+Task<void> LotRunner::startItemsLoop() {
   for (;;) {
     while (startNextItem()) {
     }
-    startTimer_.expires_after(settings_.bounds.step / 8);
+    startItemsTimer_.expires_after(settings_.bounds.step / 8);
     error_code ignored;
-    co_await startTimer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    co_await startItemsTimer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
@@ -73,7 +73,7 @@
   return best;
 }
 
-bool LotRunner::mayStartMore(LotRun const& next, TimePoint now) const {
+bool LotRunner::mayStartItem(LotRun const& next, TimePoint now) const {
   Route const* const route = routeOf(next.lot, *view_.configuration());
   // The items of a lot whose route is gone are given up, which needs no worker.
   if (!route) return true;
@@ -114,7 +114,7 @@
   if (!view_.isFresh() || stopping_ || !hasLease()) return false;
   TimePoint const now = Clock::now();
   RunPtr const run = mostUrgentRun(now);
-  if (!run || !mayStartMore(*run, now)) return false;
+  if (!run || !mayStartItem(*run, now)) return false;
   std::size_t const index = run->nextItem++;
   run->items[index].state = ItemState::running;
   ++runningItems_;
@@ -139,10 +139,10 @@
   }
   --runningItems_;
   if (!over && run->items[index].state == ItemState::running) run->items[index].state = ItemState::queued;
-  startTimer_.cancel();
+  startItemsTimer_.cancel();
 }
 
-std::optional<Worker> LotRunner::workerFor(PickRequest const& pick) {
+std::optional<Worker> LotRunner::pickWorker(PickRequest const& pick) {
   Worker const* worker = balancer_.pick(view_, pick, {}).worker;
   if (!worker && !balancer_.hasFitWarm(view_, pick.service)) worker = balancer_.pickWarmingUp(view_, pick, {});
   if (!worker) return std::nullopt;
@@ -167,8 +167,8 @@
   pick.background = true;
   pick.draw = randomId();
   bool const relaxed = remainingTimeMs(lot, Clock::now()) > lot.dueInMs / 2;
-  pick.reservedShare = relaxed ? reservedRelaxed : reservedUrgent;
-  std::optional<Worker> const worker = workerFor(pick);
+  pick.reservedShare = relaxed ? relaxedReservedShare : urgentReservedShare;
+  std::optional<Worker> const worker = pickWorker(pick);
   if (!worker) co_return false;
   WarmUpGate::Admission admission;
   if (!warmUps_.isOpen(*worker)) {
@@ -254,8 +254,8 @@
   item.state = ItemState::done;
   string().swap(item.record.body);
   run.finishedTokens += item.record.tokens;
-  run.unlisted.push_back({static_cast<std::uint32_t>(index), finished, std::move(text)});
-  listTimer_.cancel();
+  run.unlistedResults.push_back({static_cast<std::uint32_t>(index), finished, std::move(text)});
+  listResultsTimer_.cancel();
 }
 
 }  // namespace tealshelf
--- a/lots/execution/lot_run.hpp
+++ b/lots/execution/lot_run.hpp
@@ -19,7 +19,7 @@
   std::size_t nextItem = 0;  ///< no item before it is queued
   std::uint64_t listedResults = 0;
   std::uint64_t finishedTokens = 0;
-  std::deque<ResultRecord> unlisted;  ///< results that aren't on all holders yet
+  std::deque<ResultRecord> unlistedResults;  ///< results that aren't on all holders yet
   /// No item is started and nothing is listed until the coordinator's next record.
   bool stalled = false;
   /// It was given up here; what is under way ends without effect.
@@ -34,7 +34,7 @@
   /// under way.
   bool isFinal() const {
     if (listedResults >= items.size()) return true;
-    bool const underWay = !unlisted.empty() || std::any_of(items.begin(), items.end(), [](Item const& item) {
+    bool const underWay = !unlistedResults.empty() || std::any_of(items.begin(), items.end(), [](Item const& item) {
       return item.state == ItemState::running;
     });
     return ended() && !underWay;
--- a/lots/execution/lot_runner.cpp
+++ b/lots/execution/lot_runner.cpp
@@ -22,14 +22,14 @@
       warmUps_(settings, rpc, view, pool_),
       balancer_(settings),
       meanItemMs_(static_cast<double>((8 * settings.bounds.step).count())),
-      startTimer_(io),
-      listTimer_(io) {}
+      startItemsTimer_(io),
+      listResultsTimer_(io) {}
 
 void LotRunner::start(RpcServer& server) {
   server.on<ReadResults>([this](ReadResults request) { return readResults(std::move(request)); });
   server.on<ReadItem>([this](ReadItem request) { return readItem(std::move(request)); });
-  spawnTask(io_, "start of items", startLoop());
-  spawnTask(io_, "listing of results", listLoop());
+  spawnTask(io_, "start of items", startItemsLoop());
+  spawnTask(io_, "listing of results", listResultsLoop());
   spawnTask(io_, "lot sweep", sweepLoop());
 }
 
@@ -47,8 +47,9 @@
   }
   std::set<std::uint32_t> finished;
   for (string const& result : replica.results) finished.insert(deserialize<ResultRecord>(result).item);
-  std::erase_if(run->unlisted, [&finished](ResultRecord const& result) { return finished.contains(result.item); });
-  for (ResultRecord const& result : run->unlisted) finished.insert(result.item);
+  std::erase_if(run->unlistedResults,
+                [&finished](ResultRecord const& result) { return finished.contains(result.item); });
+  for (ResultRecord const& result : run->unlistedResults) finished.insert(result.item);
   run->finishedTokens = 0;
   bool resultsCut = false;
   for (std::uint32_t index = 0; index < run->items.size(); ++index) {
@@ -70,8 +71,8 @@
   run->needsSettlement = false;
   run->failedHolders.clear();
   run->wakeReaders();
-  startTimer_.cancel();
-  listTimer_.cancel();
+  startItemsTimer_.cancel();
+  listResultsTimer_.cancel();
 }
 
 void LotRunner::abandon(LotKey const& key) {
@@ -123,17 +124,17 @@
 }
 
 void LotRunner::logState() const {
-  std::size_t queued = 0, unlisted = 0, stalled = 0, open = 0;
+  std::size_t queued = 0, unlistedResults = 0, stalled = 0, open = 0;
   for (auto const& [key, run] : runs_) {
     for (LotRun::Item const& item : run->items) queued += item.state == ItemState::queued;
-    unlisted += run->unlisted.size();
+    unlistedResults += run->unlistedResults.size();
     stalled += run->stalled;
     open += run->listedResults < run->items.size();
   }
   if (!open) return;
   logDebug("lots", std::to_string(open) + " lots open, " + std::to_string(stalled) + " stalled; items queued " +
                        std::to_string(queued) + ", running " + std::to_string(runningItems_) + ", unlisted " +
-                       std::to_string(unlisted) + ", mean run " + std::to_string(static_cast<int>(meanItemMs_)) +
+                       std::to_string(unlistedResults) + ", mean run " + std::to_string(static_cast<int>(meanItemMs_)) +
                        " ms; lease " + std::to_string(hasLease()));
 }
 
--- a/lots/execution/lot_runner.hpp
+++ b/lots/execution/lot_runner.hpp
@@ -40,7 +40,7 @@
   /// Items at workers and in queues, by service.
   vector<ServiceLoad> loads() const;
   /// Looks for items to start, as the workers or the configuration changed.
-  void wake() { startTimer_.cancel(); }
+  void wake() { startItemsTimer_.cancel(); }
 
  private:
   using RunPtr = std::shared_ptr<LotRun>;
@@ -58,7 +58,7 @@
   };
 
   // Items: item_execution.cpp.
-  Task<void> startLoop();
+  Task<void> startItemsLoop();
   /// Starts the most urgent queued item if a worker has room that others leave; false if none was started.
   bool startNextItem();
   /// The route that a lot came by, or null if it is gone.
@@ -68,12 +68,12 @@
   /// True if items of a lot can go to a worker, or are to be given up.
   bool canRunItems(LotRun const& run) const;
   RunPtr mostUrgentRun(TimePoint now) const;
-  bool mayStartMore(LotRun const& next, TimePoint now) const;
+  bool mayStartItem(LotRun const& next, TimePoint now) const;
   Task<void> runItem(RunPtr run, std::size_t index);
   /// One try at one worker; true once the item has its result.
   Task<bool> tryItem(RunPtr run, std::size_t index, EventStreamReader& events);
   /// The worker for an item: a warm one with room, or, if none of the service is warm and well, one that warms up.
-  std::optional<Worker> workerFor(PickRequest const& pick);
+  std::optional<Worker> pickWorker(PickRequest const& pick);
   Task<bool> readAnswer(RunPtr run, std::size_t index, Exchange& exchange, EventStreamReader& events,
                         std::uint64_t tries, TimePoint startedAt);
   void noteFailedSend(SendResult result, Exchange const& exchange, string const& worker);
@@ -83,13 +83,13 @@
   std::int64_t remainingTimeMs(LotRecord const& lot, TimePoint now) const;
 
   // Results: result_listing.cpp.
-  Task<void> listLoop();
+  Task<void> listResultsLoop();
   /// Writes unlisted results to every holder; what all have synced is listed. False if there was nothing to write.
   Task<bool> listResults();
   vector<ResultBatch> collectBatches();
   std::map<NodeId, HolderBatch> groupByHolder(vector<ResultBatch> const& batches) const;
   /// False if this store's own disk failed.
-  Task<bool> appendEverywhere(vector<ResultBatch>& batches);
+  Task<bool> appendToHolders(vector<ResultBatch>& batches);
   void listBatch(ResultBatch& batch, bool ownDiskFailed);
   Task<ReadResultsReply> readResults(ReadResults request);
   ReadResultsReply readSealed(ReadResults const& request) const;
@@ -114,7 +114,7 @@
   std::size_t runningItems_ = 0;
   double meanItemMs_;  ///< how long an item runs, as seen lately
   bool stopping_ = false;
-  asio::steady_timer startTimer_, listTimer_;
+  asio::steady_timer startItemsTimer_, listResultsTimer_;
 };
 
 }  // namespace tealshelf
--- a/lots/execution/result_listing.cpp
+++ b/lots/execution/result_listing.cpp
@@ -5,23 +5,24 @@
 
 namespace {
 /// Added to the text of a result when the size of an answer is bounded.
-constexpr std::size_t resultOverhead = 128;
+constexpr std::size_t resultOverheadBytes = 128;
 
-struct ListedLot {
+struct ResultCounts {
   std::uint64_t total = 0;   ///< its items
   std::uint64_t listed = 0;  ///< its results that may be read
 };
 
 /// Listed results from a position on, up to the size that is asked for.
 template <class ItemId>
-ReadResultsReply pageOf(Replica const& replica, ReadResults const& request, ListedLot const& lot, ItemId itemId) {
+ReadResultsReply makeResultsPage(Replica const& replica, ReadResults const& request, ResultCounts const& lot,
+                                 ItemId itemId) {
   ReadResultsReply reply;
   reply.total = lot.total;
   std::size_t bytes = 0;
   std::uint64_t const end = std::min<std::uint64_t>(lot.listed, replica.results.size());
   for (std::uint64_t position = request.from; position < end; ++position) {
     ResultRecord result = deserialize<ResultRecord>(replica.results[position]);
-    bytes += result.text.size() + resultOverhead;
+    bytes += result.text.size() + resultOverheadBytes;
     if (bytes > request.maxBytes && !reply.results.empty()) break;
     reply.itemIds.push_back(itemId(result.item));
     reply.results.push_back(std::move(result));
@@ -30,13 +31,13 @@
 }
 }  // namespace
 
-Task<void> LotRunner::listLoop() {
+Task<void> LotRunner::listResultsLoop() {
   for (;;) {
     bool listed = true;
     while (listed) listed = co_await listResults();
-    listTimer_.expires_after(settings_.bounds.step);
+    listResultsTimer_.expires_after(settings_.bounds.step);
     error_code ignored;
-    co_await listTimer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    co_await listResultsTimer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
@@ -45,14 +46,14 @@
   std::size_t const neededCopies = static_cast<std::size_t>(settings_.surviveMachines) + 1;
   for (auto const& [key, run] : runs_) {
     LotRecord const& lot = run->lot;
-    if (run->stalled || run->unlisted.empty() || lot.holders.size() < neededCopies) continue;
+    if (run->stalled || run->unlistedResults.empty() || lot.holders.size() < neededCopies) continue;
     Replica const* const replica = replicas_.table().find(key);
     if (!replica || replica->lot.stamp != lot.stamp) {
       run->stalled = true;
       continue;
     }
     ResultBatch batch{run, {key.host, key.id, lot.stamp, replica->results.size(), {}}, true};
-    for (ResultRecord const& result : run->unlisted) batch.part.records.push_back(serialize(result));
+    for (ResultRecord const& result : run->unlistedResults) batch.part.records.push_back(serialize(result));
     batches.push_back(std::move(batch));
   }
   return batches;
@@ -76,13 +77,13 @@
   for (ResultBatch const& batch : batches)
     replicas_.table().append(batch.part.key(), batch.part.stamp, batch.part.from, batch.part.records);
   replicas_.persist();
-  bool const ownDiskWell = co_await appendEverywhere(batches);
+  bool const ownDiskSynced = co_await appendToHolders(batches);
   for (ResultBatch& batch : batches)
-    if (batch.run->lot.stamp == batch.part.stamp) listBatch(batch, !ownDiskWell);
+    if (batch.run->lot.stamp == batch.part.stamp) listBatch(batch, !ownDiskSynced);
   co_return true;
 }
 
-Task<bool> LotRunner::appendEverywhere(vector<ResultBatch>& batches) {
+Task<bool> LotRunner::appendToHolders(vector<ResultBatch>& batches) {
   std::map<NodeId, HolderBatch> holders = groupByHolder(batches);
   std::size_t outstanding = holders.size();
   asio::steady_timer allAnswered(io_, TimePoint::max());
@@ -96,12 +97,12 @@
                      if (!--outstanding) allAnswered.cancel();
                    });
   }
-  bool ownDiskWell = true;
+  bool ownDiskSynced = true;
   try {
     co_await replicas_.persistAndSync();
   } catch (Error const& error) {
     logDebug("segments", error.what());
-    ownDiskWell = false;
+    ownDiskSynced = false;
   }
   // The answers refer to this frame, so all of them are awaited.
   error_code ignored;
@@ -114,7 +115,7 @@
       batch.acceptedByAll = false;
       if (batch.run->lot.stamp == batch.part.stamp) batch.run->failedHolders.insert(id);
     }
-  co_return ownDiskWell;
+  co_return ownDiskSynced;
 }
 
 void LotRunner::listBatch(ResultBatch& batch, bool ownDiskFailed) {
@@ -130,7 +131,8 @@
     std::int64_t const tookMs = run.lot.dueInMs - remainingTimeMs(run.lot, Clock::now());
     logInfo("lots", run.lot.id + " is complete after " + std::to_string(tookMs) + " ms");
   }
-  run.unlisted.erase(run.unlisted.begin(), run.unlisted.begin() + static_cast<std::ptrdiff_t>(count));
+  run.unlistedResults.erase(run.unlistedResults.begin(),
+                            run.unlistedResults.begin() + static_cast<std::ptrdiff_t>(count));
   run.wakeReaders();
 }
 
@@ -144,8 +146,8 @@
 ReadResultsReply LotRunner::readSealed(ReadResults const& request) const {
   Replica const& replica = replicas_.table().readAtLeast(request.key(), request.stamp, request.sealedResults);
   vector<ItemRecord> const items = deserialize<vector<ItemRecord>>(replica.items);
-  return pageOf(replica, request, {items.size(), request.sealedResults},
-                [&items](std::uint32_t item) { return items.at(item).id; });
+  return makeResultsPage(replica, request, {items.size(), request.sealedResults},
+                         [&items](std::uint32_t item) { return items.at(item).id; });
 }
 
 Task<ReadResultsReply> LotRunner::readResults(ReadResults request) {
@@ -167,8 +169,8 @@
 }
 
 ReadResultsReply LotRunner::resultsFrom(LotRun const& run, Replica const& replica, ReadResults const& request) const {
-  return pageOf(replica, request, {run.lot.itemCount, run.listedResults},
-                [&run](std::uint32_t item) { return run.items.at(item).record.id; });
+  return makeResultsPage(replica, request, {run.lot.itemCount, run.listedResults},
+                         [&run](std::uint32_t item) { return run.items.at(item).record.id; });
 }
 
 Task<ReadItemReply> LotRunner::readItem(ReadItem request) {
--- a/lots/replicas/replica_store.cpp
+++ b/lots/replicas/replica_store.cpp
@@ -9,7 +9,7 @@
 /// The part of the disk's space that the log of segments may use.
 constexpr double logShare = 0.9;
 /// The part of the process's memory that replicas may take. While a snapshot is written they are there twice.
-constexpr double memoryShare = 0.3;
+constexpr double replicaMemoryShare = 0.3;
 }  // namespace
 
 ReplicaStore::ReplicaStore(asio::io_context& io, Settings const& settings, RpcClient& rpc)
@@ -52,7 +52,7 @@
 }
 
 std::size_t ReplicaStore::maxReplicaBytes() const {
-  double const memory = static_cast<double>(settings_.memoryMb << 20) * memoryShare;
+  double const memory = static_cast<double>(settings_.memoryMb << 20) * replicaMemoryShare;
   return std::min(log_.limits().maxStateSize(), static_cast<std::size_t>(memory));
 }
 
@@ -153,7 +153,7 @@
 
 Task<Acknowledgement> ReplicaStore::copy(CopyReplica request) {
   requireRoom(request.lot, 0);
-  FetchReplica const fetch{request.lot.host, request.lot.id, request.sourceStamp, true};
+  FetchReplica const fetch{request.lot.host, request.lot.id, request.minSourceStamp, true};
   CreateReplica replica = co_await rpc_.call(request.source, fetch, settings_.bounds.inTouch / 3);
   if (replica.results.size() < request.results) throw Error(ErrorCode::staleStamp, request.lot.id);
   replica.results.resize(request.results);
@@ -166,8 +166,8 @@
 }
 
 Task<CreateReplica> ReplicaStore::fetch(FetchReplica request) {
-  Replica const& replica =
-      request.orNewer ? table_.readAtLeast(request.key(), request.stamp, 0) : table_.read(request.key(), request.stamp);
+  Replica const& replica = request.allowNewerStamp ? table_.readAtLeast(request.key(), request.stamp, 0)
+                                                   : table_.read(request.key(), request.stamp);
   co_return CreateReplica{replica.lot, replica.items, replica.results, false};
 }
 
--- a/segments/messages.hpp
+++ b/segments/messages.hpp
@@ -25,7 +25,7 @@
 struct LotRecord {
   string id, host, route, service;
   std::uint64_t tokens = 0, itemCount = 0, tries = 1;
-  std::int64_t sentAtMs = 0;  ///< by the time of day, of the coordinator
+  std::int64_t submittedAtMs = 0;  ///< by the time of day, of the coordinator
   std::int64_t keepForMs = 0, dueInMs = 0;
   LotState state = LotState::opening;
   GenerationStamp stamp;
@@ -40,7 +40,7 @@
   bool isSealed() const { return sealedStamp.value != 0; }
   /// The lowest stamp of a replica that the record counts.
   GenerationStamp lowestReplicaStamp() const { return isSealed() ? sealedStamp : stamp; }
-  MSGPACK_DEFINE(id, host, route, service, tokens, itemCount, tries, sentAtMs, keepForMs, dueInMs, state, stamp,
+  MSGPACK_DEFINE(id, host, route, service, tokens, itemCount, tries, submittedAtMs, keepForMs, dueInMs, state, stamp,
                  holders, sealedStamp, sealedResults, tenant)
 };
 
@@ -140,9 +140,9 @@
   static constexpr RpcMethod method = RpcMethod::copyReplica;
   LotRecord lot;
   Address source;
-  GenerationStamp sourceStamp;  ///< the lowest stamp that the source may have
-  std::uint64_t results = 0;    ///< how many results the copy has; a source with fewer is refused
-  MSGPACK_DEFINE(lot, source, sourceStamp, results)
+  GenerationStamp minSourceStamp;  ///< the lowest stamp that the source may have
+  std::uint64_t results = 0;       ///< how many results the copy has; a source with fewer is refused
+  MSGPACK_DEFINE(lot, source, minSourceStamp, results)
 };
 
 /// Reads a whole replica, for a copy.
@@ -151,9 +151,9 @@
   static constexpr RpcMethod method = RpcMethod::fetchReplica;
   string host, lot;
   GenerationStamp stamp;
-  bool orNewer = false;  ///< a replica above the stamp does too
+  bool allowNewerStamp = false;  ///< a replica above the stamp does too
   LotKey key() const { return {host, lot}; }
-  MSGPACK_DEFINE(host, lot, stamp, orNewer)
+  MSGPACK_DEFINE(host, lot, stamp, allowNewerStamp)
 };
 
 struct ConfirmReplicasReply {
--- a/segments/replica_table.cpp
+++ b/segments/replica_table.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 /// Bytes that a replica's record takes on the disk beside its items and results, and a result beside its own.
-constexpr std::size_t recordOverhead = 512, storedResultOverhead = 8;
+constexpr std::size_t recordOverheadBytes = 512, storedResultOverheadBytes = 8;
 
-SegmentRecord recordOf(SegmentRecordKind kind, LotKey const& key, GenerationStamp stamp, std::uint64_t position = 0) {
+SegmentRecord makeSegmentRecord(SegmentRecordKind kind, LotKey const& key, GenerationStamp stamp,
+                                std::uint64_t position = 0) {
   SegmentRecord record;
   record.kind = kind;
   record.host = key.host;
@@ -18,8 +19,8 @@
   return record;
 }
 
-SegmentRecord creationOf(Replica const& replica) {
-  SegmentRecord record = recordOf(SegmentRecordKind::create, replica.lot.key(), replica.lot.stamp);
+SegmentRecord makeCreateRecord(Replica const& replica) {
+  SegmentRecord record = makeSegmentRecord(SegmentRecordKind::create, replica.lot.key(), replica.lot.stamp);
   record.lot = replica.lot;
   record.items = replica.items;
   record.results = replica.results;
@@ -29,14 +30,14 @@
 }
 
 /// The items of a sealed lot: which result belongs to which item is all that is asked of them.
-string withoutBodies(string const& items) {
+string stripItemBodies(string const& items) {
   vector<ItemRecord> records = deserialize<vector<ItemRecord>>(items);
   for (ItemRecord& item : records) item = ItemRecord{std::move(item.id), "", "", {}, item.tokens};
   return serialize(records);
 }
 
 /// Applies the record of a change of a replica that is there.
-void replayChange(Replica& replica, SegmentRecord const& record) {
+void applySegmentRecord(Replica& replica, SegmentRecord const& record) {
   vector<string>& results = replica.results;
   if (results.size() < record.position) replica.intact = false;
   switch (record.kind) {
@@ -51,7 +52,7 @@
       break;
     case SegmentRecordKind::seal:
       results.resize(std::min<std::size_t>(results.size(), record.position));
-      replica.items = withoutBodies(replica.items);
+      replica.items = stripItemBodies(replica.items);
       replica.sealed = true;
       break;
     case SegmentRecordKind::create:
@@ -62,8 +63,8 @@
 }  // namespace
 
 std::size_t Replica::bytes() const {
-  std::size_t sum = recordOverhead + items.size();
-  for (string const& result : results) sum += storedResultOverhead + result.size();
+  std::size_t sum = recordOverheadBytes + items.size();
+  for (string const& result : results) sum += storedResultOverheadBytes + result.size();
   return sum;
 }
 
@@ -96,12 +97,12 @@
   // A change of a replica that isn't there, or that lacks what came before: a record is lost.
   auto const found = replicas_.find(record.key());
   if (found == replicas_.end()) return;
-  change(found->second, [&] { replayChange(found->second, record); });
+  change(found->second, [&] { applySegmentRecord(found->second, record); });
 }
 
 vector<string> ReplicaTable::snapshot() const {
   vector<string> records;
-  for (auto const& [key, replica] : replicas_) records.push_back(serialize(creationOf(replica)));
+  for (auto const& [key, replica] : replicas_) records.push_back(serialize(makeCreateRecord(replica)));
   return records;
 }
 
@@ -117,10 +118,10 @@
     }
   }
   bool const sealed = lot.isSealed();
-  if (sealed) items = withoutBodies(items);
+  if (sealed) items = stripItemBodies(items);
   Replica& replica = findOrAdd(lot.key());
   change(replica, [&] { replica = Replica{lot, std::move(items), std::move(results), true, true, false, sealed}; });
-  records_.push_back(serialize(creationOf(replica)));
+  records_.push_back(serialize(makeCreateRecord(replica)));
 }
 
 void ReplicaTable::append(LotKey const& key, GenerationStamp stamp, std::uint64_t from, vector<string> const& records) {
@@ -133,7 +134,7 @@
   if (from > results.size()) throw Error(ErrorCode::staleStamp, key.id + " has a gap");
   std::size_t const known = results.size() - from;
   if (known >= records.size()) return;
-  SegmentRecord record = recordOf(SegmentRecordKind::append, key, stamp, results.size());
+  SegmentRecord record = makeSegmentRecord(SegmentRecordKind::append, key, stamp, results.size());
   record.results.assign(records.begin() + static_cast<std::ptrdiff_t>(known), records.end());
   records_.push_back(serialize(record));
   change(replica, [&] { results.insert(results.end(), record.results.begin(), record.results.end()); });
@@ -157,7 +158,7 @@
   change(replica, [&] { replica.results.resize(length); });
   replica.settledSinceStart = true;
   replica.underRecovery = false;
-  records_.push_back(serialize(recordOf(SegmentRecordKind::settle, key, newStamp, length)));
+  records_.push_back(serialize(makeSegmentRecord(SegmentRecordKind::settle, key, newStamp, length)));
 }
 
 void ReplicaTable::seal(LotKey const& key, GenerationStamp atLeast, std::uint64_t results) {
@@ -166,8 +167,8 @@
   Replica& replica = found->second;
   if (replica.lot.stamp < atLeast || replica.results.size() < results) throw Error(ErrorCode::staleStamp, key.id);
   if (replica.sealed) return;
-  SegmentRecord const record = recordOf(SegmentRecordKind::seal, key, replica.lot.stamp, results);
-  change(replica, [&] { replayChange(replica, record); });
+  SegmentRecord const record = makeSegmentRecord(SegmentRecordKind::seal, key, replica.lot.stamp, results);
+  change(replica, [&] { applySegmentRecord(replica, record); });
   replica.underRecovery = false;
   records_.push_back(serialize(record));
 }
@@ -185,7 +186,7 @@
   auto const found = replicas_.find(key);
   if (found == replicas_.end() || found->second.lot.stamp > upTo) return false;
   erase(found);
-  records_.push_back(serialize(recordOf(SegmentRecordKind::remove, key, upTo)));
+  records_.push_back(serialize(makeSegmentRecord(SegmentRecordKind::remove, key, upTo)));
   return true;
 }
 
--- a/tests/formats.hpp
+++ b/tests/formats.hpp
@@ -79,7 +79,7 @@
   record.tokens = 40;
   record.itemCount = 2;
   record.tries = 3;
-  record.sentAtMs = 1000;
+  record.submittedAtMs = 1000;
   record.keepForMs = 60000;
   record.dueInMs = 8000;
   record.state = LotState::accepted;
--- a/tests/lots/lot_fleet_coordination.cpp
+++ b/tests/lots/lot_fleet_coordination.cpp
@@ -186,7 +186,7 @@
       [this, request = step.request, sourceRef](Store& store) {
         Store const& source = *storeOf(sourceRef);
         if (!source.up || source.self.id != sourceRef.id || !linked(machineOf(source), machineOf(store))) return false;
-        Replica const& replica = source.table.readAtLeast(request.lot.key(), request.sourceStamp, request.results);
+        Replica const& replica = source.table.readAtLeast(request.lot.key(), request.minSourceStamp, request.results);
         vector<string> results = replica.results;
         results.resize(request.results);
         store.table.create(request.lot, replica.items, std::move(results));
--- a/tests/lots/two_primaries_test.cpp
+++ b/tests/lots/two_primaries_test.cpp
@@ -139,7 +139,7 @@
   l.route = "night";
   l.service = "app";
   l.itemCount = primaryItems;
-  l.sentAtMs = wallClockMs();
+  l.submittedAtMs = wallClockMs();
   l.dueInMs = 300;
   l.keepForMs = 60000;
   l.state = LotState::accepted;
