--- a/lots/api/lot_api.cpp
+++ b/lots/api/lot_api.cpp
@@ -168,11 +168,11 @@
   FindLot const request{key.host, key.id, 0};
   FindLotReply const reply = co_await askCoordinator(request, settings_.bounds.settleWithin / 2);
   if (!reply.known) throw Error(ErrorCode::lotUnknown);
-  remember(reply.lot);
+  cacheLot(reply.lot);
   co_return reply.lot;
 }
 
-void LotApi::remember(LotRecord const& lot) {
+void LotApi::cacheLot(LotRecord const& lot) {
   if (cachedLots_.size() >= maxCachedLots) cachedLots_.clear();
   cachedLots_[lot.key()] = lot;
 }
@@ -204,7 +204,7 @@
   EndLot const request{key.host, key.id, 0};
   FindLotReply const reply = co_await askCoordinator(request, settings_.bounds.inTouch / 2);
   if (!reply.known) throw Error(ErrorCode::lotUnknown);
-  remember(reply.lot);
+  cacheLot(reply.lot);
   co_return HttpReply{200, "{}", "application/json", {}};
 }
 
--- a/lots/api/lot_api.hpp
+++ b/lots/api/lot_api.hpp
@@ -34,7 +34,7 @@
   Task<void> place(OpenLot request, string items);
   /// The record of a lot, as this node knows it or, if asked for, as its coordinator knows it now.
   Task<LotRecord> findLot(LotKey key, bool anew);
-  void remember(LotRecord const& lot);
+  void cacheLot(LotRecord const& lot);
   Task<HttpReply> endLot(LotKey key);
   Task<std::optional<ReadResultsReply>> readFromHolders(LotRecord lot, std::uint64_t from, TimePoint until);
   Task<HttpReply> listResults(LotKey key, std::uint64_t from, Ms hold);
--- a/lots/replicas/replica_store.cpp
+++ b/lots/replicas/replica_store.cpp
@@ -77,14 +77,14 @@
 
 Task<Acknowledgement> ReplicaStore::create(CreateReplica request) {
   requireRoom(request.lot, request.items.size());
-  bool const passOn = std::exchange(request.passOn, false);
-  string const forOthers = passOn ? serialize(request) : "";
+  bool const forwardToHolders = std::exchange(request.forwardToHolders, false);
+  string const forOthers = forwardToHolders ? serialize(request) : "";
   vector<StoreRef> const holders = request.lot.holders;
   table_.create(request.lot, std::move(request.items), std::move(request.results));
   persist();
-  std::shared_ptr<PendingCopies> const copies = sendCopies(passOn ? holders : vector<StoreRef>(), forOthers);
+  std::shared_ptr<PendingCopies> const copies = sendCopies(forwardToHolders ? holders : vector<StoreRef>(), forOthers);
   co_await log_.waitSynced();
-  if (!passOn) co_return Acknowledgement{};
+  if (!forwardToHolders) co_return Acknowledgement{};
   co_await awaitCopies(copies);
   if (1 + copies->synced < neededCopies()) throw Error(ErrorCode::noStores);
   co_return Acknowledgement{};
--- a/lots/store_node.cpp
+++ b/lots/store_node.cpp
@@ -26,7 +26,7 @@
 void StoreNode::start() {
   replicas_.start(server_);
   server_.onRaw(RpcMethod::startLot, [this](string body) -> Task<string> {
-    learn(deserialize<LotRecord>(body));
+    updateRecord(deserialize<LotRecord>(body));
     reconcile();
     co_return "";
   });
@@ -112,7 +112,7 @@
     // What it left out was known to its former process only; the next heartbeat asks for all.
     if (sent.process != 0) return;
   }
-  for (LotRecord const& lot : reply.lots) learn(lot);
+  for (LotRecord const& lot : reply.lots) updateRecord(lot);
   link.revision = std::max(link.revision, reply.revision);
   for (ReplicaVersion const& replica : reply.staleReplicas) removeStaleReplica(replica);
   replicas_.persist();
@@ -128,7 +128,7 @@
   logInfo("store", "the lease was fenced; a new one is asked for");
 }
 
-void StoreNode::learn(LotRecord const& lot) {
+void StoreNode::updateRecord(LotRecord const& lot) {
   runner_.ages().learn(lot.key(), Clock::now());
   LotRecord& known = lots_[lot.key()];
   // The stamp of a record rises with each change but for that of its state.
@@ -168,11 +168,11 @@
   if (!lot.isHeldBy(replicas_.id()) || replicas_.table().holds(key, lot.stamp))
     unusable_.erase(key);
   else
-    noteMissing(lot, now);
+    noteMissingReplica(lot, now);
   runner_.abandon(key);
 }
 
-void StoreNode::noteMissing(LotRecord const& lot, TimePoint now) {
+void StoreNode::noteMissingReplica(LotRecord const& lot, TimePoint now) {
   UnusableReplica& unusable = unusable_[lot.key()];
   // A copy may still be on its way here; then nothing is amiss.
   if (unusable.stamp != lot.stamp) unusable = {lot.stamp, now + settings_.bounds.inTouch / 4};
@@ -188,7 +188,7 @@
   if (whole || !lot.isHeldBy(replicas_.id()))
     unusable_.erase(key);
   else
-    noteMissing(lot, now);
+    noteMissingReplica(lot, now);
 }
 
 void StoreNode::reconcileAsPrimary(LotRecord const& lot, TimePoint now) {
--- a/lots/store_node.hpp
+++ b/lots/store_node.hpp
@@ -37,7 +37,7 @@
   void renewLease(std::uint64_t fencedUpTo);
 
   /// Takes a record of a coordinator, unless a newer one is known.
-  void learn(LotRecord const& lot);
+  void updateRecord(LotRecord const& lot);
   void removeStaleReplica(ReplicaVersion const& replica);
   /// Brings what runs here to what the coordinators want.
   void reconcile();
@@ -45,7 +45,7 @@
   void reconcileAsHolder(LotRecord const& lot, TimePoint now);
   void reconcileSealed(LotRecord const& lot, TimePoint now);
   /// Notes that a replica that this store should hold isn't there; it is reported after a grace time.
-  void noteMissing(LotRecord const& lot, TimePoint now);
+  void noteMissingReplica(LotRecord const& lot, TimePoint now);
 
   asio::io_context& io_;
   Settings const& settings_;
--- a/segments/messages.hpp
+++ b/segments/messages.hpp
@@ -81,8 +81,8 @@
   LotRecord lot;
   string items;            ///< a serialized vector<ItemRecord>
   vector<string> results;  ///< serialized ResultRecords
-  bool passOn = false;
-  MSGPACK_DEFINE(lot, items, results, passOn)
+  bool forwardToHolders = false;
+  MSGPACK_DEFINE(lot, items, results, forwardToHolders)
 };
 
 struct AppendResultsReply {
