--- a/segments/messages.cpp
+++ b/segments/messages.cpp
@@ -5,7 +5,7 @@
 string scopedLotId(string_view tenant, string_view id) {
   if (tenant.empty()) return string(id);
   string scoped;
-  // Escaped, so that no two pairs of names give the same text.
+  // Escapes '/' and '%' in the tenant's name, so that no two pairs (tenant, id) give the same result.
   for (char const c : tenant) {
     if (c == '/' || c == '%') scoped += '%';
     scoped += c;
--- a/segments/messages.hpp
+++ b/segments/messages.hpp
@@ -1,50 +1,52 @@
 #pragma once
 #include "fleet/nodes.hpp"
 
-/// Lots as they are recorded, and calls about their replicated segments. What is stored: docs/formats.md.
+/// Records of lots, and the RPC messages for their replicas. A lot is a batch of requests (items) that a client submits
+/// together; each result is kept beside the items. Stored formats: docs/formats.md.
 namespace tealshelf {
 
-/// A lot is accepted by the control plane only after its replicas hold it; ended lots list nothing more.
+/// A lot is accepted only once enough replicas have synced it. An ended lot gets no further results.
 enum class LotState : int { opening = 0, accepted = 1, ended = 2 };
 
 }  // namespace tealshelf
 MSGPACK_ADD_ENUM(tealshelf::LotState)
 namespace tealshelf {
 
-/// Names a lot: the host of its route, and the id that its client gave it.
+/// Identifies a lot: the host of its route, and its id as scopedLotId gives it.
 struct LotKey {
   string host, id;
   auto operator<=>(LotKey const&) const = default;
 };
 
-/// The id under which a tenant's lot is recorded: its own, behind the tenant's name, so that the ids of tenants never
-/// meet and none can find another's lot. Without a tenant it is the client's own id.
+/// The id under which a lot is recorded: the client's id prefixed with the tenant's name, so that ids of different
+/// tenants never collide and no tenant can read another's lot. Without a tenant it is the client's id unchanged.
 string scopedLotId(string_view tenant, string_view id);
 
-/// A lot as its coordinator records it. Its two segments, items and results, carry one stamp.
+/// The coordinator's record of a lot. A replica's items and results share one generation stamp; a higher stamp
+/// supersedes a lower one.
 struct LotRecord {
   string id, host, route, service;
   std::uint64_t tokens = 0, itemCount = 0, tries = 1;
-  std::int64_t submittedAtMs = 0;  ///< by the time of day, of the coordinator
+  std::int64_t submittedAtMs = 0;  ///< wall clock of the coordinator
   std::int64_t keepForMs = 0, dueInMs = 0;
   LotState state = LotState::opening;
   GenerationStamp stamp;
   vector<StoreRef> holders;  ///< the first is the primary
-  /// Stamp under which the last result was listed; 0 until the lot is sealed. A sealed lot never changes: every intact
-  /// replica at or above this stamp holds all its results, and any holder answers reads.
+  /// Stamp under which the last result was listed; 0 until the lot is sealed. A sealed lot is immutable: every intact
+  /// replica at or above this stamp holds all its results, so any holder can answer reads.
   GenerationStamp sealedStamp;
-  std::uint64_t sealedResults = 0;  ///< results that a sealed lot lists
-  string tenant;                    ///< that handed it in; "" where the configuration named no tenants
+  std::uint64_t sealedResults = 0;  ///< number of results of a sealed lot
+  string tenant;                    ///< that submitted it; "" if the configuration has no tenants
   LotKey key() const { return {host, id}; }
   bool isHeldBy(NodeId store) const;
   bool isSealed() const { return sealedStamp.value != 0; }
-  /// The lowest stamp of a replica that the record counts.
+  /// The lowest stamp at which a replica counts as a copy of the lot.
   GenerationStamp lowestReplicaStamp() const { return isSealed() ? sealedStamp : stamp; }
   MSGPACK_DEFINE(id, host, route, service, tokens, itemCount, tries, submittedAtMs, keepForMs, dueInMs, state, stamp,
                  holders, sealedStamp, sealedResults, tenant)
 };
 
-/// A replica of a lot under one stamp.
+/// Identifies a replica of a lot at one stamp.
 struct ReplicaVersion {
   string host, lot;
   GenerationStamp stamp;
@@ -58,7 +60,7 @@
   MSGPACK_DEFINE(name, value)
 };
 
-/// One item of a lot, as its client handed it in.
+/// One item of a lot as submitted by the client: a request to run at a worker.
 struct ItemRecord {
   string id, path, body;
   vector<HeaderField> headers;
@@ -69,12 +71,12 @@
 /// The result of one item.
 struct ResultRecord {
   std::uint32_t item = 0;  ///< index among the lot's items
-  bool finished = false;   ///< false if the item was given up
+  bool finished = false;   ///< false if the item failed permanently
   string text;
   MSGPACK_DEFINE(item, finished, text)
 };
 
-/// Puts a lot on a holder; the primary passes it on to the others.
+/// Creates a replica on a holder; the primary forwards it to the other holders.
 struct CreateReplica {
   using Reply = Acknowledgement;
   static constexpr RpcMethod method = RpcMethod::createReplica;
@@ -86,11 +88,11 @@
 };
 
 struct AppendResultsReply {
-  vector<bool> accepted;  ///< in the order of the parts
+  vector<bool> accepted;  ///< one per part, in order
   MSGPACK_DEFINE(accepted)
 };
 
-/// Adds results to replicas of several lots.
+/// Appends results to replicas of several lots.
 struct AppendResults {
   using Reply = AppendResultsReply;
   static constexpr RpcMethod method = RpcMethod::appendResults;
@@ -110,11 +112,12 @@
   bool known = false;
   GenerationStamp stamp;
   std::uint64_t results = 0;
-  NodeId self;  ///< the disk that answers
+  NodeId self;  ///< id of the answering store's disk
   MSGPACK_DEFINE(known, stamp, results, self)
 };
 
-/// Recovery: asks for stamp and length of a replica, and stops appends to it until a fresh stamp comes.
+/// Starts the recovery of a replica: reads its stamp and result count, and blocks appends until SettleReplica or
+/// CreateReplica gives it a new stamp.
 struct InspectReplica {
   using Reply = InspectReplicaReply;
   static constexpr RpcMethod method = RpcMethod::inspectReplica;
@@ -123,7 +126,7 @@
   MSGPACK_DEFINE(host, lot)
 };
 
-/// Recovery: gives a replica a fresh stamp and cuts its results to a length.
+/// Completes the recovery of a replica: gives it a new stamp and truncates its results to a common length.
 struct SettleReplica {
   using Reply = Acknowledgement;
   static constexpr RpcMethod method = RpcMethod::settleReplica;
@@ -134,36 +137,37 @@
   MSGPACK_DEFINE(host, lot, oldStamp, newStamp, length)
 };
 
-/// Asks a store to copy a lot from another. The copy bears the stamp of the record, the source an older one.
+/// Asks a store to copy a replica from another store. The copy gets the record's stamp; the source may have an older
+/// one.
 struct CopyReplica {
   using Reply = Acknowledgement;
   static constexpr RpcMethod method = RpcMethod::copyReplica;
   LotRecord lot;
   Address source;
-  GenerationStamp minSourceStamp;  ///< the lowest stamp that the source may have
-  std::uint64_t results = 0;       ///< how many results the copy has; a source with fewer is refused
+  GenerationStamp minSourceStamp;  ///< sources with a lower stamp are refused
+  std::uint64_t results = 0;       ///< result count of the copy; a source with fewer is refused
   MSGPACK_DEFINE(lot, source, minSourceStamp, results)
 };
 
-/// Reads a whole replica, for a copy.
+/// Reads a whole replica in order to copy it.
 struct FetchReplica {
   using Reply = CreateReplica;
   static constexpr RpcMethod method = RpcMethod::fetchReplica;
   string host, lot;
   GenerationStamp stamp;
-  bool allowNewerStamp = false;  ///< a replica above the stamp does too
+  bool allowNewerStamp = false;  ///< also accept a replica with a higher stamp
   LotKey key() const { return {host, lot}; }
   MSGPACK_DEFINE(host, lot, stamp, allowNewerStamp)
 };
 
 struct ConfirmReplicasReply {
-  NodeId self;                ///< the disk that answers: another may have come to its address
-  std::uint64_t process = 0;  ///< the process that answers
-  vector<bool> held;          ///< intact, synced and under the stamp asked for, in the order of the question
+  NodeId self;                ///< id of the answering store's disk; a store with another disk may reuse the address
+  std::uint64_t process = 0;  ///< id of the answering process
+  vector<bool> held;          ///< one per requested replica, in order: intact, synced, and at the stamp or above
   MSGPACK_DEFINE(self, process, held)
 };
 
-/// Asks a store which replicas it holds, intact and synced, in its present process.
+/// Asks a store which of these replicas it holds, intact and synced.
 struct ConfirmReplicas {
   using Reply = ConfirmReplicasReply;
   static constexpr RpcMethod method = RpcMethod::confirmReplicas;
@@ -178,8 +182,8 @@
   MSGPACK_DEFINE(total, results, itemIds)
 };
 
-/// Reads listed results from the primary, of a sealed lot from any holder; held until there is one, but no longer than
-/// asked.
+/// Reads listed results from the primary, or from any holder of a sealed lot. Long poll: the call waits up to `holdMs`
+/// for a result at or after `from`. A result is listed, and so visible to clients, once all holders have synced it.
 struct ReadResults {
   using Reply = ReadResultsReply;
   static constexpr RpcMethod method = RpcMethod::readResults;
@@ -187,8 +191,8 @@
   GenerationStamp stamp;
   std::uint64_t from = 0, maxBytes = 0;
   std::int64_t holdMs = 0;
-  bool sealed = false;              ///< the lot is sealed under this stamp, so that any replica at or above it answers
-  std::uint64_t sealedResults = 0;  ///< how many results it lists then
+  bool sealed = false;              ///< the lot is sealed at this stamp: any replica at or above it can answer
+  std::uint64_t sealedResults = 0;  ///< number of results of the sealed lot
   LotKey key() const { return {host, lot}; }
   MSGPACK_DEFINE(host, lot, stamp, from, maxBytes, holdMs, sealed, sealedResults)
 };
--- a/segments/replica_table.cpp
+++ b/segments/replica_table.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// Bytes that a replica's record takes on the disk beside its items and results, and a result beside its own.
+/// Bytes on disk per replica beyond its items and results, and per result beyond its text.
 constexpr std::size_t recordOverheadBytes = 512, storedResultOverheadBytes = 8;
 
 SegmentRecord makeSegmentRecord(SegmentRecordKind kind, LotKey const& key, GenerationStamp stamp,
@@ -29,16 +29,17 @@
   return record;
 }
 
-/// The items of a sealed lot: which result belongs to which item is all that is asked of them.
+/// Reduces items to id and tokens: a sealed lot needs its items only to name its results.
 string stripItemBodies(string const& items) {
   vector<ItemRecord> records = deserialize<vector<ItemRecord>>(items);
   for (ItemRecord& item : records) item = ItemRecord{std::move(item.id), "", "", {}, item.tokens};
   return serialize(records);
 }
 
-/// Applies the record of a change of a replica that is there.
+/// Applies a logged change to an existing replica.
 void applySegmentRecord(Replica& replica, SegmentRecord const& record) {
   vector<string>& results = replica.results;
+  // A gap before the position means that an earlier record was lost.
   if (results.size() < record.position) replica.intact = false;
   switch (record.kind) {
     case SegmentRecordKind::append:
@@ -82,8 +83,8 @@
 void ReplicaTable::replay(string const& bytes) {
   SegmentRecord record = deserialize<SegmentRecord>(bytes);
   if (record.kind == SegmentRecordKind::remove) {
-    auto const gone = replicas_.find(record.key());
-    if (gone != replicas_.end()) erase(gone);
+    auto const removed = replicas_.find(record.key());
+    if (removed != replicas_.end()) erase(removed);
     return;
   }
   if (record.kind == SegmentRecordKind::create) {
@@ -94,7 +95,7 @@
     });
     return;
   }
-  // A change of a replica that isn't there, or that lacks what came before: a record is lost.
+  // The replica is missing only if its create record was lost.
   auto const found = replicas_.find(record.key());
   if (found == replicas_.end()) return;
   change(found->second, [&] { applySegmentRecord(found->second, record); });
@@ -109,11 +110,11 @@
 void ReplicaTable::create(LotRecord const& lot, string items, vector<string> results) {
   auto const found = replicas_.find(lot.key());
   if (found != replicas_.end()) {
-    Replica const& present = found->second;
-    bool const sameStamp = present.lot.stamp == lot.stamp;
-    bool const repairs = !present.intact && sameStamp;
-    if (present.lot.stamp >= lot.stamp && !repairs) {
-      if (sameStamp && present.results.size() >= results.size()) return;
+    Replica const& existing = found->second;
+    bool const sameStamp = existing.lot.stamp == lot.stamp;
+    bool const repairs = !existing.intact && sameStamp;
+    if (existing.lot.stamp >= lot.stamp && !repairs) {
+      if (sameStamp && existing.results.size() >= results.size()) return;
       throw Error(ErrorCode::staleStamp, lot.id);
     }
   }
@@ -128,10 +129,12 @@
   auto const found = replicas_.find(key);
   if (found == replicas_.end()) throw Error(ErrorCode::staleStamp, key.id);
   Replica& replica = found->second;
-  bool const open = replica.settledSinceStart && replica.intact && !replica.underRecovery && !replica.sealed;
-  if (replica.lot.stamp != stamp || !open) throw Error(ErrorCode::staleStamp, key.id);
+  bool const writable = replica.settledSinceStart && replica.intact && !replica.underRecovery && !replica.sealed;
+  if (replica.lot.stamp != stamp || !writable) throw Error(ErrorCode::staleStamp, key.id);
   vector<string>& results = replica.results;
-  if (from > results.size()) throw Error(ErrorCode::staleStamp, key.id + " has a gap");
+  if (from > results.size())
+    throw Error(ErrorCode::staleStamp, key.id + ": results " + std::to_string(results.size()) + " to " +
+                                           std::to_string(from) + " are missing");
   std::size_t const known = results.size() - from;
   if (known >= records.size()) return;
   SegmentRecord record = makeSegmentRecord(SegmentRecordKind::append, key, stamp, results.size());
@@ -198,8 +201,9 @@
 
 Replica const& ReplicaTable::readAtLeast(LotKey const& key, GenerationStamp atLeast, std::uint64_t results) const {
   Replica const* const replica = find(key);
-  bool const whole = replica && replica->intact && replica->lot.stamp >= atLeast && replica->results.size() >= results;
-  if (!whole) throw Error(ErrorCode::staleStamp, key.id);
+  bool const complete =
+      replica && replica->intact && replica->lot.stamp >= atLeast && replica->results.size() >= results;
+  if (!complete) throw Error(ErrorCode::staleStamp, key.id);
   return *replica;
 }
 
--- a/segments/replica_table.hpp
+++ b/segments/replica_table.hpp
@@ -3,66 +3,69 @@
 
 namespace tealshelf {
 
-/// A lot as one store holds it.
+/// One store's replica of a lot.
 struct Replica {
   LotRecord lot;
   string items;            ///< a serialized vector<ItemRecord>
   vector<string> results;  ///< serialized ResultRecords
-  /// Created or settled by this process. Before that its unsynced tail may be gone, so nothing is appended.
+  /// Created or settled by this process. A replica read back after a restart may have lost its unsynced tail, so it
+  /// accepts no appends until it is settled.
   bool settledSinceStart = false;
-  /// False once records of it may be lost: it doesn't count as held then.
+  /// False once some of its records may be lost; the store then doesn't count as a holder of it.
   bool intact = true;
-  /// Its length was told to a recovery; only a fresh stamp opens it again.
+  /// A recovery has read its length; it accepts no appends until it gets a new stamp.
   bool underRecovery = false;
-  /// Its lot is sealed: it never changes again, and its items are without bodies.
+  /// The lot is sealed: the replica is immutable, and the bodies of its items are dropped.
   bool sealed = false;
 
   std::size_t bytes() const;
 };
 
-/// The replicas that one store holds, each with its generation stamp; no input or output of its own.
+/// The replicas that one store holds, in memory, each with its generation stamp. Does no I/O.
 ///
-/// Whatever changes a replica gives a record (takeRecords), which must be synced before the change is acknowledged.
-/// Every operation under another stamp than the replica's is refused with ErrorCode::staleStamp. The recovery protocol
-/// and its source: docs/design.md, "The paper, kept".
+/// Each change of a replica produces a log record (takeRecords) that must be synced before the change is acknowledged.
+/// Unless said otherwise, an operation whose stamp differs from the replica's throws ErrorCode::staleStamp. The
+/// recovery protocol and its source: docs/design.md, "The paper, kept".
 class ReplicaTable {
  public:
-  /// Takes back a record from the disk, in the order in which they were written.
+  /// Applies a record read from the log; records must come in the order in which they were written.
   void replay(string const& record);
-  /// Records that bring an empty table to the present state.
+  /// Records that reproduce the current state when replayed into an empty table.
   vector<string> snapshot() const;
   vector<string> takeRecords() { return std::exchange(records_, {}); }
 
-  /// Makes a replica, or replaces an older one; throws staleStamp if the present one is newer.
+  /// Creates a replica, or replaces one that is older or damaged; throws staleStamp if the existing one is newer.
   void create(LotRecord const& lot, string items, vector<string> results);
-  /// Adds results from a position on; refused if that leaves a gap.
+  /// Writes results starting at position `from`, and skips those already present; throws staleStamp if that would leave
+  /// a gap.
   void append(LotKey const& key, GenerationStamp stamp, std::uint64_t from, vector<string> const& records);
-  /// Tells a recovery the stamp and length; nothing is appended until a fresh stamp comes.
+  /// Starts a recovery: returns stamp and length, and blocks appends until the replica gets a new stamp.
   InspectReplicaReply inspect(LotKey const& key);
-  /// Gives a replica a fresh stamp and cuts its results to a length. Throws lotUnknown if there is no intact replica,
-  /// and staleStamp unless its stamp lies in [oldStamp, newStamp).
+  /// Completes a recovery: gives a replica a new stamp and truncates its results to a length. Throws lotUnknown if
+  /// there is no intact replica, and staleStamp if its stamp is outside [oldStamp, newStamp), if it is sealed, or if it
+  /// has fewer results.
   void settle(LotKey const& key, GenerationStamp oldStamp, GenerationStamp newStamp, std::uint64_t length);
-  /// Closes a replica for good, with a number of results, and lets the bodies of its items go. Throws lotUnknown if
-  /// there is no intact replica, and staleStamp if it is below the stamp or has fewer results.
+  /// Makes a replica immutable with the given number of results, and drops the bodies of its items. Throws lotUnknown
+  /// if there is no intact replica, and staleStamp if its stamp is lower or it has fewer results.
   void seal(LotKey const& key, GenerationStamp atLeast, std::uint64_t results);
-  /// Lets a replica go on only under a fresh stamp, as after a restart.
+  /// Blocks appends to a replica until it is settled under a new stamp, as after a restart.
   void requireSettlement(LotKey const& key);
-  /// Records that had been synced are lost, and nothing tells which: no replica counts as held until it is made anew.
+  /// For a log that lost synced records: any replica may be affected, so none counts as held until it is created again.
   void markAllDamaged();
-  /// Deletes a replica whose stamp is not above the given one; false if there is none.
+  /// Deletes a replica with a stamp of at most `upTo`; false if there is none.
   bool remove(LotKey const& key, GenerationStamp upTo);
 
-  /// The replica, if it is intact and its stamp is the one asked for; throws staleStamp.
+  /// The intact replica with exactly this stamp; throws staleStamp if there is none.
   Replica const& read(LotKey const& key, GenerationStamp stamp) const;
-  /// The replica, if it is intact, at or above a stamp and has so many results; throws staleStamp. Only what is settled
-  /// for good may be read so: the results of a sealed lot, or those that a recovery found.
+  /// The intact replica with at least this stamp and number of results; throws staleStamp if there is none. Use it only
+  /// for results that can't change any more: those of a sealed lot, or those that a recovery settled on.
   Replica const& readAtLeast(LotKey const& key, GenerationStamp atLeast, std::uint64_t results) const;
   Replica const* find(LotKey const& key) const;
-  /// True if a replica is held intact under a stamp or a newer one.
+  /// True if there is an intact replica with at least this stamp.
   bool holds(LotKey const& key, GenerationStamp atLeast) const;
   vector<ReplicaVersion> versions() const;
   std::size_t size() const { return replicas_.size(); }
-  /// Bytes of all replicas, as a snapshot holds them but for a little a record.
+  /// Estimated size of all replicas in a snapshot, in bytes.
   std::size_t bytes() const { return bytes_; }
   template <class Visitor>
   void forEach(Visitor visit) const {
@@ -70,7 +73,7 @@
   }
 
  private:
-  /// Changes a replica and keeps the sum of bytes true.
+  /// Applies a change to a replica and updates `bytes_`.
   template <class Change>
   void change(Replica& replica, Change apply) {
     bytes_ -= replica.bytes();
--- a/segments/segment_records.hpp
+++ b/segments/segment_records.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include "segments/messages.hpp"
 
-/// Records of the segment log on disk. The format: docs/formats.md.
+/// Records of the replica log on disk. Format: docs/formats.md.
 namespace tealshelf {
 
 enum class SegmentRecordKind : int { create = 1, append = 2, settle = 3, remove = 4, seal = 5 };
@@ -10,12 +10,12 @@
 MSGPACK_ADD_ENUM(tealshelf::SegmentRecordKind)
 namespace tealshelf {
 
-/// A record of any kind; the fields that its kind doesn't use are empty.
+/// A record of any kind; fields that the kind doesn't use are empty.
 struct SegmentRecord {
   SegmentRecordKind kind = SegmentRecordKind::create;
   string host, lotId;
   GenerationStamp stamp;
-  std::uint64_t position = 0;  ///< where results are appended, or the length that they are cut or sealed to
+  std::uint64_t position = 0;  ///< where results are appended, or the number of results kept by settle and seal
   LotRecord lot;
   string items;
   vector<string> results;
