--- a/segments/replica_table.cpp
+++ b/segments/replica_table.cpp
@@ -133,8 +133,8 @@
   if (replica.lot.stamp != stamp || !writable) throw Error(ErrorCode::staleStamp, key.id);
   vector<string>& results = replica.results;
   if (from > results.size())
-    throw Error(ErrorCode::staleStamp, key.id + ": results " + std::to_string(results.size()) + " to " +
-                                           std::to_string(from) + " are missing");
+    throw Error(ErrorCode::staleStamp, key.id + ": an append at position " + std::to_string(from) +
+                                           " leaves a gap after " + std::to_string(results.size()) + " results");
   std::size_t const known = results.size() - from;
   if (known >= records.size()) return;
   SegmentRecord record = makeSegmentRecord(SegmentRecordKind::append, key, stamp, results.size());
