--- a/lots/api/lot_api.cpp
+++ b/lots/api/lot_api.cpp
@@ -8,11 +8,11 @@
 namespace tealshelf {
 
 namespace {
-/// Bytes of results in one answer.
-constexpr std::uint64_t maxAnswerBytes = 900u << 10;
-/// Control nodes that are asked in one call.
+/// Size of a page of results.
+constexpr std::uint64_t maxPageBytes = 900u << 10;
+/// Control nodes that one request tries.
 constexpr int maxControlNodes = 3;
-/// Times that a lot is placed on other holders after a failure.
+/// Retries with another primary after creating the replicas failed.
 constexpr int maxPlacementRetries = 1;
 constexpr std::size_t maxCachedLots = 4096;
 string const lotsPath = "/lots/", itemsPath = "/items/";
@@ -25,8 +25,8 @@
   return "";
 }
 
-/// Nobody else would answer better.
-bool isFinal(Error const& error) {
+/// True if no other control node would give a better answer.
+bool shouldStopRetrying(Error const& error) {
   return error.kind() == ErrorKind::notFound || error.kind() == ErrorKind::overQuota ||
          error.code() == ErrorCode::staleStamp || error.code() == ErrorCode::noStores ||
          error.code() == ErrorCode::storesFull;
@@ -37,8 +37,8 @@
          error.code() == ErrorCode::timedOut;
 }
 
-/// True for what is known of the lot, or of the call itself. Any other error arose between our own nodes and says
-/// nothing of the lot, whatever its kind.
+/// True for an error about the lot or the client's request. Any other error arose between nodes of the system and says
+/// nothing about the lot, whatever its kind.
 bool isClientError(Error const& error) {
   return error.code() == ErrorCode::lotUnknown || error.code() == ErrorCode::itemUnknown ||
          error.code() == ErrorCode::lotUnreadable;
@@ -95,7 +95,7 @@
       co_return reply;
     } catch (Error const& error) {
       if (isConnectionFailure(error)) view_.noteControlFailed(control);
-      if (isFinal(error)) throw;
+      if (shouldStopRetrying(error)) throw;
       last = error;
     }
   }
@@ -120,7 +120,7 @@
       co_await askCoordinator(accept, limit);
       co_return;
     }
-    // Another store may do; the stamp of this try is never accepted then.
+    // Retries with another primary. The stamp of this attempt is never accepted.
     if (retries >= maxPlacementRetries) throw *failure;
     request.excluded.push_back(lot.holders[0].id);
   }
@@ -129,7 +129,7 @@
 Task<HttpReply> LotApi::submit(Route const& route, string tenant, string id, string const& body) {
   vector<ItemRecord> items = parseLot(body);
   if (!view_.isFresh()) throw Error(ErrorCode::lotStateUnknown);
-  if (id.empty()) throw Error(ErrorCode::lotUnreadable, "no id");
+  if (id.empty()) throw Error(ErrorCode::lotUnreadable, "the lot has no id");
   OpenLot request;
   request.lot.id = scopedLotId(tenant, id);
   request.lot.tenant = std::move(tenant);
@@ -147,14 +147,14 @@
   try {
     co_await place(std::move(request), std::move(serializedItems));
   } catch (Error const& error) {
-    // Only a refusal that came before anything was recorded is a promise.
+    // These errors are raised before anything is recorded, so the client may safely submit the lot again.
     if (error.code() == ErrorCode::lotOverQuota || error.code() == ErrorCode::storesFull) {
       HttpReply answer = errorReply(error);
       answer.headers.emplace_back("Retry-After", "0.5");
       co_return answer;
     }
-    // What came between the own nodes says nothing of whether the lot was taken.
-    logDebug("lots", string("a lot was not taken: ") + error.what());
+    // Any other error leaves open whether the lot was accepted.
+    logDebug("lots", string("submitting a lot failed; it may have been accepted: ") + error.what());
     HttpReply answer = errorReply(error);
     answer.status = 500;
     co_return answer;
@@ -162,9 +162,9 @@
   co_return HttpReply{202, "{}", "application/json", {}};
 }
 
-Task<LotRecord> LotApi::findLot(LotKey key, bool anew) {
+Task<LotRecord> LotApi::findLot(LotKey key, bool refresh) {
   auto const known = cachedLots_.find(key);
-  if (!anew && known != cachedLots_.end()) co_return known->second;
+  if (!refresh && known != cachedLots_.end()) co_return known->second;
   FindLot const request{key.host, key.id, 0};
   FindLotReply const reply = co_await askCoordinator(request, settings_.bounds.settleWithin / 2);
   if (!reply.known) throw Error(ErrorCode::lotUnknown);
@@ -189,11 +189,11 @@
     if (verb == "DELETE") co_return co_await endLot(key);
     string const startAfter = queryParameter(target, "startAfter");
     std::optional<std::uint64_t> const from = startAfter.empty() ? 0 : parseNumber(startAfter);
-    if (!from) throw Error(ErrorCode::lotUnreadable, "startAfter");
+    if (!from) throw Error(ErrorCode::lotUnreadable, "startAfter is not a number");
     co_return co_await listResults(key, *from, hold);
   } catch (Error const& error) {
     if (isClientError(error)) co_return errorReply(error);
-    logDebug("lots", target + ": " + error.what());
+    logDebug("lots", verb + " " + target + " failed: " + error.what());
     HttpReply answer = errorReply(Error(ErrorCode::lotStateUnknown));
     answer.headers.emplace_back("Retry-After", "0.05");
     co_return answer;
@@ -208,8 +208,7 @@
   co_return HttpReply{200, "{}", "application/json", {}};
 }
 
-/// Asks who may answer a read: the primary, or of a sealed lot any holder, those in this zone first. Nothing if none
-/// does.
+/// Reads from the primary, or from any holder of a sealed lot, those in this zone first. Nothing if none answers.
 Task<std::optional<ReadResultsReply>> LotApi::readFromHolders(LotRecord lot, std::uint64_t from, TimePoint until) {
   vector<StoreRef> holders = lot.holders;
   if (lot.isSealed())
@@ -219,14 +218,14 @@
     holders.resize(std::min<std::size_t>(holders.size(), 1));
   for (StoreRef const& holder : holders) {
     Ms const left(remainingMs(until));
-    ReadResults request{lot.host, lot.id, lot.lowestReplicaStamp(), from, maxAnswerBytes, left.count()};
+    ReadResults request{lot.host, lot.id, lot.lowestReplicaStamp(), from, maxPageBytes, left.count()};
     request.sealed = lot.isSealed();
     request.sealedResults = lot.sealedResults;
     Ms const limit = lot.isSealed() ? settings_.bounds.settleWithin / 2 : left + settings_.bounds.settleWithin / 2;
     try {
       co_return co_await rpc_.call(holder.address, request, limit);
     } catch (Error const& error) {
-      logDebug("lots", lot.id + ": " + holder.name + " doesn't answer a read: " + error.what());
+      logDebug("lots", "lot " + lot.id + ": reading results from " + holder.name + " failed: " + error.what());
     }
   }
   co_return std::nullopt;
@@ -240,7 +239,7 @@
     if (lot.holders.empty()) throw Error(ErrorCode::lotStateUnknown);
     page = co_await readFromHolders(lot, from, std::min(until, Clock::now() + hold));
     if (page) break;
-    // Whoever asks next doesn't wait for the same silent store.
+    // Drops the cached record, so that the next request doesn't wait for the same unresponsive store.
     cachedLots_.erase(key);
     if (Clock::now() + settings_.bounds.step > until) throw Error(ErrorCode::lotStateUnknown);
     co_await sleepFor(settings_.bounds.step / 2);
@@ -253,7 +252,7 @@
   for (int turn = 0;; ++turn) {
     LotRecord const lot = co_await findLot(key, turn > 0);
     if (lot.holders.empty()) throw Error(ErrorCode::lotStateUnknown);
-    // All items of a sealed lot are listed, or the lot was ended: their bodies are gone.
+    // Replicas of a sealed lot have no item bodies.
     if (lot.isSealed()) throw Error(ErrorCode::itemUnknown);
     try {
       ReadItem const request{key.host, key.id, item, lot.stamp};
--- a/lots/api/lot_api.hpp
+++ b/lots/api/lot_api.hpp
@@ -5,35 +5,35 @@
 
 namespace tealshelf {
 
-/// Who calls about lots.
+/// The origin of a client's request about lots.
 struct LotCaller {
-  string host;    ///< of the route
-  string tenant;  ///< "" where the configuration names no tenants
+  string host;    ///< Host header, which names the route
+  string tenant;  ///< "" if the configuration has no tenants
 };
 
-/// The lot calls of clients at an edge node.
+/// Serves clients' HTTP requests about lots at an edge node.
 ///
-/// Runs on the io thread. Everything passed in must outlive it.
+/// Runs on the io thread. The constructor's arguments must outlive it.
 class LotApi {
  public:
   LotApi(Settings const& settings, RpcClient& rpc, FleetView& view) : settings_(settings), rpc_(rpc), view_(view) {}
-  /// True if a call is one about lots by its method and path.
+  /// True if a request is about submitted lots, by its host, method and path.
   bool isLotRequest(Configuration const& configuration, string_view verb, string_view host, string_view path) const;
-  /// Answers a call under /lots/ or /items/. A 503 says that this node can't be sure of the lot. A tenant sees its own
-  /// lots only.
+  /// Answers a request under /lots/ or /items/. Status 503 means that this node can't tell the state of the lot. A
+  /// tenant sees only its own lots.
   Task<HttpReply> call(LotCaller caller, string verb, string target, Ms hold);
-  /// Takes a lot in: opens it, puts it on its holders, and has it accepted. Throws only what promises that no item
-  /// runs.
+  /// Submits a lot: opens it at its coordinator, creates its replicas, and has it accepted. Throws only errors after
+  /// which no item of the lot runs.
   Task<HttpReply> submit(Route const& route, string tenant, string id, string const& body);
 
  private:
-  /// Asks the control node in use, then others.
+  /// Calls the control node in use, and others if it fails; each forwards to the lot's coordinator.
   template <class Request>
   Task<typename Request::Reply> askCoordinator(Request request, Ms limit);
-  /// Opens a lot, puts it on its holders and has it accepted; tries other holders once.
+  /// Opens a lot, creates its replicas and has it accepted; retries once with another primary.
   Task<void> place(OpenLot request, string items);
-  /// The record of a lot, as this node knows it or, if asked for, as its coordinator knows it now.
-  Task<LotRecord> findLot(LotKey key, bool anew);
+  /// The record of a lot: the cached one if there is one and no refresh is asked for, else from its coordinator.
+  Task<LotRecord> findLot(LotKey key, bool refresh);
   void cacheLot(LotRecord const& lot);
   Task<HttpReply> endLot(LotKey key);
   Task<std::optional<ReadResultsReply>> readFromHolders(LotRecord lot, std::uint64_t from, TimePoint until);
--- a/lots/api/lot_parser.cpp
+++ b/lots/api/lot_parser.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr std::size_t maxItems = 200;
-/// Of an id, a path, or the name or value of a header: no request can hold more.
+/// Limit for an id, a path, and a header's name or value: a request can't hold more.
 constexpr std::size_t maxTextBytes = std::numeric_limits<std::uint16_t>::max() - 2;
 
 constexpr std::array<signed char, 256> makeBase64Digits() {
@@ -23,7 +23,7 @@
 }
 constexpr std::array<signed char, 256> base64Digits = makeBase64Digits();
 
-/// What would end a header or a request's first line.
+/// Characters that could end a header or the request line, and so inject another one.
 string const forbiddenCharacters("\r\n\0", 3);
 
 string textOf(rapidjson::Value const& value) {
@@ -31,11 +31,12 @@
 }
 
 string requiredText(rapidjson::Value const& object, char const* name) {
-  if (!object.HasMember(name) || !object[name].IsString()) throw Error(ErrorCode::lotUnreadable, "item");
+  if (!object.HasMember(name) || !object[name].IsString())
+    throw Error(ErrorCode::lotUnreadable, string("an item's ") + name + " is missing or not a string");
   return textOf(object[name]);
 }
 
-/// True for a text that can't break out of its line and fits into a request.
+/// True for a text without line breaks or NUL that fits into a request.
 bool isOneLine(string const& text) {
   return text.size() <= maxTextBytes && text.find_first_of(forbiddenCharacters) == string::npos;
 }
@@ -53,11 +54,11 @@
   vector<HeaderField> headers;
   if (!item.HasMember("headerMap")) return headers;
   rapidjson::Value const& map = item["headerMap"];
-  if (!map.IsObject()) throw Error(ErrorCode::lotUnreadable, "headerMap");
+  if (!map.IsObject()) throw Error(ErrorCode::lotUnreadable, "headerMap is not an object");
   for (rapidjson::Value::Member const& member : map.GetObject()) {
-    if (!member.value.IsString()) throw Error(ErrorCode::lotUnreadable, "headerMap");
+    if (!member.value.IsString()) throw Error(ErrorCode::lotUnreadable, "a value in headerMap is not a string");
     HeaderField const header{textOf(member.name), textOf(member.value)};
-    if (!isSafeHeader(header)) throw Error(ErrorCode::lotUnreadable, "headerMap");
+    if (!isSafeHeader(header)) throw Error(ErrorCode::lotUnreadable, "headerMap has an invalid header");
     headers.push_back(header);
   }
   return headers;
@@ -74,17 +75,18 @@
 
 std::uint64_t parseTokens(rapidjson::Value const& item) {
   bool const valid = item.HasMember("tokens") && item["tokens"].IsNumber() && item["tokens"].GetDouble() >= 0;
-  if (!valid) throw Error(ErrorCode::lotUnreadable, "tokens");
+  if (!valid) throw Error(ErrorCode::lotUnreadable, "an item's tokens is missing, negative or not a number");
   return static_cast<std::uint64_t>(item["tokens"].GetDouble());
 }
 
 ItemRecord parseItem(rapidjson::Value const& value, std::set<string>& ids) {
-  if (!value.IsObject()) throw Error(ErrorCode::lotUnreadable, "item");
+  if (!value.IsObject()) throw Error(ErrorCode::lotUnreadable, "an item is not an object");
   ItemRecord item;
   item.id = requiredText(value, "serverId");
   item.path = requiredText(value, "urlPath");
   bool const sendable = !item.id.empty() && isOneLine(item.id) && isSafePath(item.path);
-  if (!sendable) throw Error(ErrorCode::lotUnreadable, "item");
+  if (!sendable)
+    throw Error(ErrorCode::lotUnreadable, "an item's serverId or urlPath is empty or can't be sent in a request");
   if (!ids.insert(item.id).second) throw Error(ErrorCode::duplicateItem, item.id);
   item.headers = parseHeaders(value);
   item.body = parsePayload(value, item.id);
@@ -124,10 +126,11 @@
   document.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
   bool const valid = !document.HasParseError() && document.IsObject() && document.HasMember("requests") &&
                      document["requests"].IsArray();
-  if (!valid) throw Error(ErrorCode::lotUnreadable);
+  if (!valid) throw Error(ErrorCode::lotUnreadable, "the body is not a JSON object with an array of requests");
   rapidjson::Value const& requests = document["requests"];
-  if (requests.Size() > maxItems) throw Error(ErrorCode::lotTooManyItems);
-  if (requests.Empty()) throw Error(ErrorCode::lotUnreadable, "no items");
+  if (requests.Size() > maxItems)
+    throw Error(ErrorCode::lotTooManyItems, std::to_string(requests.Size()) + "; at most " + std::to_string(maxItems));
+  if (requests.Empty()) throw Error(ErrorCode::lotUnreadable, "requests is empty");
   vector<ItemRecord> items;
   std::set<string> ids;
   for (rapidjson::Value const& request : requests.GetArray()) items.push_back(parseItem(request, ids));
--- a/lots/api/lot_parser.hpp
+++ b/lots/api/lot_parser.hpp
@@ -3,10 +3,10 @@
 
 namespace tealshelf {
 
-/// Reads a lot as a client hands it in; throws lotUnreadable, lotTooManyItems, duplicateItem or badItemPayload.
+/// Parses the body of a submitted lot; throws lotUnreadable, lotTooManyItems, duplicateItem or badItemPayload.
 vector<ItemRecord> parseLot(string const& body);
 
-/// Decodes base64; nothing if the text isn't.
+/// Decodes base64 with padding; nothing if the text is invalid.
 std::optional<string> decodeBase64(string_view text);
 
 }  // namespace tealshelf
