--- a/lots/execution/item_execution.cpp
+++ b/lots/execution/item_execution.cpp
@@ -1,11 +1,12 @@
-// How the items of lots are run at workers.
+// Runs the items of lots at workers.
 #include "lots/execution/lot_runner.hpp"
 #include "tenants/caller.hpp"
 
 namespace tealshelf {
 
 namespace {
-/// Part of a worker's slots that items leave free: while their lot has time, and when it is urgent.
+/// Share of a worker's capacity that items leave free for other requests: while more than half of the lot's time
+/// remains, and after that.
 constexpr double relaxedReservedShare = 0.25, urgentReservedShare = 0.1;
 constexpr Ms firstRetryPause{2};
 
@@ -63,7 +64,7 @@
   for (auto const& [key, run] : runs_) {
     if (!isActive(*run) || run->stalled) continue;
     while (run->nextItem < run->items.size() && run->items[run->nextItem].state != ItemState::queued) ++run->nextItem;
-    // A lot without workers must not hold up the others.
+    // A lot without workers must not block other lots.
     if (run->nextItem >= run->items.size() || !canRunItems(*run)) continue;
     std::int64_t const remaining = remainingTimeMs(run->lot, now);
     if (best && remaining >= least) continue;
@@ -75,18 +76,18 @@
 
 bool LotRunner::mayStartItem(LotRun const& next, TimePoint now) const {
   Route const* const route = routeOf(next.lot, *view_.configuration());
-  // The items of a lot whose route is gone are given up, which needs no worker.
+  // Items of a lot without a route are given up, which needs no worker.
   if (!route) return true;
   std::uint64_t const slots = slotsOf(*route);
   double wanted = 1;
   for (auto const& [key, run] : runs_) {
     if (run->abandoned || run->ended()) continue;
-    auto const open = std::count_if(run->items.begin(), run->items.end(),
-                                    [](LotRun::Item const& item) { return item.state != ItemState::done; });
-    // So many items run at once that each lot would be done by two fifths of its time.
+    auto const unfinished = std::count_if(run->items.begin(), run->items.end(),
+                                          [](LotRun::Item const& item) { return item.state != ItemState::done; });
+    // Concurrency is chosen so that each lot finishes within two fifths of its time.
     std::int64_t const reserve = run->lot.dueInMs * 3 / 5;
-    double const spare = static_cast<double>(remainingTimeMs(run->lot, now) - reserve);
-    wanted += static_cast<double>(open) * meanItemMs_ / std::max(spare, meanItemMs_ / 2);
+    double const timeLeft = static_cast<double>(remainingTimeMs(run->lot, now) - reserve);
+    wanted += static_cast<double>(unfinished) * meanItemMs_ / std::max(timeLeft, meanItemMs_ / 2);
   }
   return static_cast<double>(runningItems_) < std::min(wanted, static_cast<double>(slots) / 2);
 }
@@ -131,7 +132,8 @@
     try {
       over = co_await tryItem(run, index, events);
     } catch (std::exception const& error) {
-      logWarning("lots", run->lot.id + ": a try of an item failed: " + error.what());
+      logWarning("lots", "lot " + run->lot.id + ": sending item " + run->items[index].record.id +
+                             " to a worker failed: " + error.what());
     }
     if (over || !canRunItems(*run)) break;
     co_await sleepFor(retryPause);
@@ -155,9 +157,10 @@
   std::shared_ptr<Configuration const> const configuration = view_.configuration();
   Route const* const route = routeOf(lot, *configuration);
   Ms const age = ages_.atLeast(lot.key(), Clock::now());
-  // The edge that took the lot may have had a newer configuration than this store.
-  bool const routeIsGone = !route && age > settings_.bounds.applyWithin;
-  if (routeIsGone || age > Ms(lot.keepForMs)) {
+  // The edge that received the lot may have a newer configuration than this store, so a route that is missing counts as
+  // removed only after a delay.
+  bool const routeRemoved = !route && age > settings_.bounds.applyWithin;
+  if (routeRemoved || age > Ms(lot.keepForMs)) {
     finishItem(*run, index, false, "");
     co_return true;
   }
@@ -208,7 +211,7 @@
   if (notSent || exchange.onNewConnection()) view_.tally(worker, false);
 }
 
-/// Reads an answer to its end; true once the item has its result.
+/// Reads a response to its end; true once the item has its result.
 Task<bool> LotRunner::readAnswer(RunPtr run, std::size_t index, Exchange& exchange, EventStreamReader& events,
                                  std::uint64_t tries, TimePoint startedAt) {
   string const worker = exchange.worker().id;
--- a/lots/execution/lot_ages.hpp
+++ b/lots/execution/lot_ages.hpp
@@ -3,22 +3,22 @@
 
 namespace tealshelf {
 
-/// How old lots are, by the steady clock of this process.
+/// Ages of lots by this process's steady clock.
 ///
-/// The time of day may step and differs between machines, so nothing final is decided by it. A process counts a lot's
-/// age from the time at which it first learned of it; a restart or a new owner may only make a lot seem younger.
+/// The wall clock may step and differs between machines, so no irrevocable decision depends on it. A process counts a
+/// lot's age from when it first learned of the lot; after a restart or a change of owner a lot can only seem younger.
 class LotAges {
  public:
-  /// Notes that a lot is known, unless it was known before.
+  /// Starts counting a lot's age, unless that has started already.
   void learn(LotKey const& lot, TimePoint now) { learnedAt_.emplace(lot, now); }
   void forget(LotKey const& lot) { learnedAt_.erase(lot); }
-  /// The lot is at least so old.
+  /// Lower bound of a lot's age.
   Ms atLeast(LotKey const& lot, TimePoint now) const {
     auto const learned = learnedAt_.find(lot);
     return learned == learnedAt_.end() ? Ms(0) : std::chrono::duration_cast<Ms>(now - learned->second);
   }
-  /// How old the lot likely is, for questions of urgency only: the time of day may say that it is older than this
-  /// process knows, but never that it is younger, nor that it is past its due time.
+  /// Estimate of a lot's age, for scheduling by urgency only. The age by the wall clock may raise it above the lower
+  /// bound, but not beyond the time at which the lot is due.
   Ms likely(LotKey const& lot, TimePoint now, Ms byTimeOfDay, Ms dueIn) const {
     Ms const least = atLeast(lot, now);
     return std::clamp(byTimeOfDay, least, std::max(least, dueIn));
--- a/lots/execution/lot_run.hpp
+++ b/lots/execution/lot_run.hpp
@@ -5,39 +5,38 @@
 
 enum class ItemState : char { queued, running, done };
 
-/// A lot that this store runs as its primary.
+/// State of a lot that this store runs as its primary.
 struct LotRun {
-  /// One item on its way to its result.
   struct Item {
-    ItemRecord record;  ///< its body is let go once the item is done
+    ItemRecord record;  ///< its body is dropped once the item is done
     ItemState state = ItemState::queued;
-    std::uint64_t failures = 0;
+    std::uint64_t failures = 0;  ///< answers with status 500
   };
 
   LotRecord lot;
   vector<Item> items;
-  std::size_t nextItem = 0;  ///< no item before it is queued
+  std::size_t nextItem = 0;  ///< all items before it are running or done
   std::uint64_t listedResults = 0;
   std::uint64_t finishedTokens = 0;
-  std::deque<ResultRecord> unlistedResults;  ///< results that aren't on all holders yet
-  /// No item is started and nothing is listed until the coordinator's next record.
+  std::deque<ResultRecord> unlistedResults;  ///< results that not all holders have synced yet
+  /// No item is started and no result is listed until the coordinator sends a new record.
   bool stalled = false;
-  /// It was given up here; what is under way ends without effect.
+  /// The run has ended at this store; results of items still running are discarded.
   bool abandoned = false;
-  /// This store's own disk failed it, so that it needs a fresh stamp.
+  /// An append to this store's own replica failed; the replica must be settled under a new stamp.
   bool needsSettlement = false;
-  std::set<NodeId> failedHolders;
-  std::set<std::shared_ptr<asio::steady_timer>> readers;  ///< reads that are held; cancelled when there is news
+  std::set<NodeId> failedHolders;                         ///< holders that refused or failed an append
+  std::set<std::shared_ptr<asio::steady_timer>> readers;  ///< of waiting long polls; cancelled to answer them
 
   bool ended() const { return lot.state == LotState::ended; }
-  /// True once nothing more will be listed under this stamp: all is listed, or the lot was ended and nothing of it is
-  /// under way.
+  /// True once no more results will be listed under this stamp: all are listed, or the lot was ended and none of its
+  /// items or results is in progress.
   bool isFinal() const {
     if (listedResults >= items.size()) return true;
-    bool const underWay = !unlistedResults.empty() || std::any_of(items.begin(), items.end(), [](Item const& item) {
+    bool const inProgress = !unlistedResults.empty() || std::any_of(items.begin(), items.end(), [](Item const& item) {
       return item.state == ItemState::running;
     });
-    return ended() && !underWay;
+    return ended() && !inProgress;
   }
   void wakeReaders() const {
     for (std::shared_ptr<asio::steady_timer> const& reader : readers) reader->cancel();
--- a/lots/execution/lot_runner.cpp
+++ b/lots/execution/lot_runner.cpp
@@ -1,4 +1,4 @@
-// Which lots this store runs.
+// Start, stop and progress reports of runs of lots.
 #include "lots/execution/lot_runner.hpp"
 
 namespace tealshelf {
@@ -51,7 +51,7 @@
                 [&finished](ResultRecord const& result) { return finished.contains(result.item); });
   for (ResultRecord const& result : run->unlistedResults) finished.insert(result.item);
   run->finishedTokens = 0;
-  bool resultsCut = false;
+  bool resultsTruncated = false;
   for (std::uint32_t index = 0; index < run->items.size(); ++index) {
     LotRun::Item& item = run->items[index];
     if (finished.contains(index)) {
@@ -59,11 +59,11 @@
       run->finishedTokens += item.record.tokens;
     } else if (item.state == ItemState::done) {
       item.state = ItemState::queued;
-      resultsCut = true;
+      resultsTruncated = true;
     }
   }
-  // An item whose result was cut by the recovery runs once more; its body was let go and is read again.
-  if (resultsCut) loadItems(*run, replica);
+  // An item whose result the recovery truncated runs again; its body was dropped and is loaded from the replica.
+  if (resultsTruncated) loadItems(*run, replica);
   run->nextItem = 0;
   run->lot = lot;
   run->listedResults = replica.results.size();
@@ -124,18 +124,19 @@
 }
 
 void LotRunner::logState() const {
-  std::size_t queued = 0, unlistedResults = 0, stalled = 0, open = 0;
+  std::size_t queued = 0, unlistedResults = 0, stalled = 0, incomplete = 0;
   for (auto const& [key, run] : runs_) {
     for (LotRun::Item const& item : run->items) queued += item.state == ItemState::queued;
     unlistedResults += run->unlistedResults.size();
     stalled += run->stalled;
-    open += run->listedResults < run->items.size();
+    incomplete += run->listedResults < run->items.size();
   }
-  if (!open) return;
-  logDebug("lots", std::to_string(open) + " lots open, " + std::to_string(stalled) + " stalled; items queued " +
-                       std::to_string(queued) + ", running " + std::to_string(runningItems_) + ", unlisted " +
-                       std::to_string(unlistedResults) + ", mean run " + std::to_string(static_cast<int>(meanItemMs_)) +
-                       " ms; lease " + std::to_string(hasLease()));
+  if (!incomplete) return;
+  logDebug("lots", std::to_string(incomplete) + " incomplete lots, " + std::to_string(stalled) +
+                       " stalled; items: queued " + std::to_string(queued) + ", running " +
+                       std::to_string(runningItems_) + ", unlisted " + std::to_string(unlistedResults) +
+                       ", mean run time " + std::to_string(static_cast<int>(meanItemMs_)) +
+                       " ms; has lease: " + std::to_string(hasLease()));
 }
 
 }  // namespace tealshelf
--- a/lots/execution/result_listing.cpp
+++ b/lots/execution/result_listing.cpp
@@ -1,18 +1,18 @@
-// How results get their positions and are read.
+// Appends results at all holders, lists them, and answers reads.
 #include "lots/execution/lot_runner.hpp"
 
 namespace tealshelf {
 
 namespace {
-/// Added to the text of a result when the size of an answer is bounded.
+/// Added per result to the size of its text when a page is limited in size.
 constexpr std::size_t resultOverheadBytes = 128;
 
 struct ResultCounts {
-  std::uint64_t total = 0;   ///< its items
-  std::uint64_t listed = 0;  ///< its results that may be read
+  std::uint64_t total = 0;   ///< items of the lot
+  std::uint64_t listed = 0;  ///< results that may be read
 };
 
-/// Listed results from a position on, up to the size that is asked for.
+/// Listed results starting at the requested position, up to the requested size.
 template <class ItemId>
 ReadResultsReply makeResultsPage(Replica const& replica, ReadResults const& request, ResultCounts const& lot,
                                  ItemId itemId) {
@@ -104,7 +104,7 @@
     logDebug("segments", error.what());
     ownDiskSynced = false;
   }
-  // The answers refer to this frame, so all of them are awaited.
+  // The handlers of all replies refer to this coroutine's locals, so none may outlive it.
   error_code ignored;
   while (outstanding) co_await allAnswered.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   for (auto const& [id, holder] : holders)
@@ -129,7 +129,8 @@
   run.listedResults = std::max(run.listedResults, batch.part.from + count);
   if (run.listedResults == run.lot.itemCount) {
     std::int64_t const tookMs = run.lot.dueInMs - remainingTimeMs(run.lot, Clock::now());
-    logInfo("lots", run.lot.id + " is complete after " + std::to_string(tookMs) + " ms");
+    logInfo("lots", "lot " + run.lot.id + " is complete after " + std::to_string(tookMs) +
+                        " ms; results: " + std::to_string(run.lot.itemCount));
   }
   run.unlistedResults.erase(run.unlistedResults.begin(),
                             run.unlistedResults.begin() + static_cast<std::ptrdiff_t>(count));
@@ -142,7 +143,7 @@
   return run->second;
 }
 
-/// The results of a sealed lot: any intact replica has them, and no lease is needed as they never change.
+/// Reads a sealed lot. Any intact replica has its results, and no lease is needed because they never change.
 ReadResultsReply LotRunner::readSealed(ReadResults const& request) const {
   Replica const& replica = replicas_.table().readAtLeast(request.key(), request.stamp, request.sealedResults);
   vector<ItemRecord> const items = deserialize<vector<ItemRecord>>(replica.items);
@@ -158,8 +159,8 @@
     RunPtr const run = requireRun(request.key(), request.stamp);
     Replica const& replica = replicas_.table().read(request.key(), request.stamp);
     if (!replica.settledSinceStart) throw Error(ErrorCode::staleStamp, request.lot);
-    bool const due = run->listedResults > request.from || run->ended() || Clock::now() >= until;
-    if (due) co_return resultsFrom(*run, replica, request);
+    bool const canAnswer = run->listedResults > request.from || run->ended() || Clock::now() >= until;
+    if (canAnswer) co_return resultsFrom(*run, replica, request);
     std::shared_ptr<asio::steady_timer> const reader = std::make_shared<asio::steady_timer>(io_, until);
     run->readers.insert(reader);
     error_code ignored;
