--- a/lots/replicas/replica_store.cpp
+++ b/lots/replicas/replica_store.cpp
@@ -6,9 +6,9 @@
 namespace tealshelf {
 
 namespace {
-/// The part of the disk's space that the log of segments may use.
+/// Share of the disk budget for the log of replicas.
 constexpr double logShare = 0.9;
-/// The part of the process's memory that replicas may take. While a snapshot is written they are there twice.
+/// Share of the process's memory for replicas, which are in memory twice while a snapshot is written.
 constexpr double replicaMemoryShare = 0.3;
 }  // namespace
 
@@ -22,8 +22,11 @@
   RecoveredLog const& recovered = log_.recovered();
   for (string const& record : recovered.records) table_.replay(record);
   if (recovered.tornBytes)
-    logWarning("segments", "a torn tail of " + std::to_string(recovered.tornBytes) + " bytes was cut");
-  for (string const& place : recovered.corruptions) logWarning("segments", "synced records are lost: " + place);
+    logWarning("segments", "the replica log ended in an incomplete record; cut its last " +
+                               std::to_string(recovered.tornBytes) + " bytes");
+  for (string const& place : recovered.corruptions)
+    logWarning("segments",
+               "the replica log is corrupt and lost synced records; all replicas count as damaged: " + place);
   if (!recovered.corruptions.empty()) table_.markAllDamaged();
   log_.releaseRecovered();
 }
@@ -60,17 +63,18 @@
   requireDisk();
   if (table_.find(lot.key())) return;
   if (table_.bytes() + bytes <= maxReplicaBytes()) return;
-  throw Error(ErrorCode::storeFull, std::to_string(table_.bytes() >> 20) + " MB");
+  throw Error(ErrorCode::storeFull,
+              std::to_string(table_.bytes() >> 20) + " of " + std::to_string(maxReplicaBytes() >> 20) + " MB are used");
 }
 
 StoreLoad ReplicaStore::load() const {
   double growth = 0;
   table_.forEach([&growth](Replica const& replica) {
     LotRecord const& lot = replica.lot;
-    bool const grows = !replica.sealed && lot.state != LotState::ended && replica.results.size() < lot.itemCount;
-    if (!grows) return;
-    double const open = static_cast<double>(lot.itemCount - replica.results.size());
-    growth += open / static_cast<double>(lot.itemCount) * expectedResultBytes(lot);
+    bool const unfinished = !replica.sealed && lot.state != LotState::ended && replica.results.size() < lot.itemCount;
+    if (!unfinished) return;
+    double const missingResults = static_cast<double>(lot.itemCount - replica.results.size());
+    growth += missingResults / static_cast<double>(lot.itemCount) * expectedResultBytes(lot);
   });
   return {table_.bytes(), static_cast<std::uint64_t>(growth), maxReplicaBytes()};
 }
@@ -78,11 +82,12 @@
 Task<Acknowledgement> ReplicaStore::create(CreateReplica request) {
   requireRoom(request.lot, request.items.size());
   bool const forwardToHolders = std::exchange(request.forwardToHolders, false);
-  string const forOthers = forwardToHolders ? serialize(request) : "";
+  string const serializedRequest = forwardToHolders ? serialize(request) : "";
   vector<StoreRef> const holders = request.lot.holders;
   table_.create(request.lot, std::move(request.items), std::move(request.results));
   persist();
-  std::shared_ptr<PendingCopies> const copies = sendCopies(forwardToHolders ? holders : vector<StoreRef>(), forOthers);
+  std::shared_ptr<PendingCopies> const copies =
+      sendCopies(forwardToHolders ? holders : vector<StoreRef>(), serializedRequest);
   co_await log_.waitSynced();
   if (!forwardToHolders) co_return Acknowledgement{};
   co_await awaitCopies(copies);
@@ -106,8 +111,8 @@
   return copies;
 }
 
-/// Waits until enough other holders have synced their copy. A slower one gets only a moment more; if it fails, the lot
-/// is recovered without it.
+/// Waits until enough holders have synced the replica, then briefly for the remaining ones. If one of these fails, the
+/// lot is recovered without it.
 Task<void> ReplicaStore::awaitCopies(std::shared_ptr<PendingCopies> copies) {
   error_code ignored;
   if (copies->outstanding && 1 + copies->synced < neededCopies())
--- a/lots/replicas/replica_store.hpp
+++ b/lots/replicas/replica_store.hpp
@@ -5,9 +5,9 @@
 
 namespace tealshelf {
 
-/// The replicas of one store on its disk, and the calls of coordinators and other stores about them.
+/// Keeps a store's replicas durable in a log, and serves the calls of coordinators and other stores about them.
 ///
-/// Runs on the io thread; the log has a thread of its own. Settings and client must outlive it.
+/// Runs on the io thread; the log has its own thread. The constructor's arguments must outlive it.
 class ReplicaStore {
  public:
   ReplicaStore(asio::io_context& io, Settings const& settings, RpcClient& rpc);
@@ -17,19 +17,19 @@
   ReplicaTable& table() { return table_; }
   ReplicaTable const& table() const { return table_; }
   bool diskHealthy() const { return log_.healthy(); }
-  /// How full this store is.
+  /// Bytes used, expected growth and limit of this store's replicas.
   StoreLoad load() const;
-  /// Queues the table's records for the disk.
+  /// Queues the table's new records for the log.
   void persist();
-  /// Writes what is queued, without waiting.
+  /// Starts writing the queued records, without waiting.
   void flush() { log_.flush(); }
-  /// Queues the table's records and waits until they are synced; throws ErrorCode::diskUnavailable.
+  /// Queues the table's new records and waits until they are synced; throws ErrorCode::diskUnavailable.
   Task<void> persistAndSync();
-  /// Called when a recovery inspects or settles a replica: its writer must wait for the new record.
+  /// Called when a recovery inspects or settles a replica: the local run must stall until it gets the new record.
   std::function<void(LotKey const&)> onRecovery;
 
  private:
-  /// Copies of a new replica on their way to the other holders.
+  /// Calls that forward a new replica to the other holders.
   struct PendingCopies {
     explicit PendingCopies(asio::io_context& io) : timer(io, TimePoint::max()) {}
     asio::steady_timer timer;
@@ -45,12 +45,12 @@
   Task<Acknowledgement> copy(CopyReplica request);
   Task<CreateReplica> fetch(FetchReplica request);
   Task<ConfirmReplicasReply> confirm(ConfirmReplicas request);
-  /// Throws diskUnavailable while the disk takes nothing.
+  /// Throws diskUnavailable while the disk accepts no writes.
   void requireDisk() const;
-  /// Throws diskUnavailable while the disk takes nothing, and storeFull if a replica of a lot that isn't here yet would
-  /// not fit.
+  /// Throws diskUnavailable while the disk accepts no writes, and storeFull if a new replica would exceed the limit. A
+  /// replica that is present may be replaced in any case.
   void requireRoom(LotRecord const& lot, std::size_t bytes) const;
-  /// Bytes of replicas that this store takes at the most: its state must fit its disk and its memory.
+  /// Limit for the bytes of all replicas, which must fit both the disk and the memory.
   std::size_t maxReplicaBytes() const;
   std::size_t neededCopies() const { return static_cast<std::size_t>(settings_.surviveMachines) + 1; }
 
--- a/lots/replicas/store_metrics.hpp
+++ b/lots/replicas/store_metrics.hpp
@@ -4,7 +4,7 @@
 
 namespace tealshelf {
 
-/// What a store tells about itself.
+/// Metrics of a store's replicas and lease.
 class StoreMetrics {
  public:
   StoreMetrics();
