--- a/lots/store_node.cpp
+++ b/lots/store_node.cpp
@@ -3,7 +3,7 @@
 namespace tealshelf {
 
 namespace {
-/// Every so many heartbeats the list of all replicas goes along.
+/// Each sixth heartbeat carries the list of all replicas.
 constexpr std::uint64_t heartbeatsPerReplicaList = 6;
 }  // namespace
 
@@ -38,7 +38,7 @@
   runner_.start(server_);
   server_.start();
   spawnTask(io_, "store heartbeat", heartbeatLoop());
-  logInfo("store", settings_.nodeName + " holds " + std::to_string(replicas_.table().size()) + " replicas");
+  logInfo("store", settings_.nodeName + " started with " + std::to_string(replicas_.table().size()) + " replicas");
 }
 
 void StoreNode::stop() {
@@ -93,7 +93,7 @@
   TimePoint const sentAt = Clock::now();
   try {
     StoreHeartbeatReply const reply = co_await rpc_.call(to, heartbeat, settings_.bounds.inTouch / 5);
-    // A lease counts from the question on, since the grant may have been held back on its way.
+    // The lease runs from the time at which the heartbeat was sent, as the reply may have been delayed.
     if (reply.granted && heartbeat.lease == lease_) link.leaseGrantedAt = sentAt;
     applyReply(link, heartbeat, reply);
   } catch (Error const& error) {
@@ -104,12 +104,12 @@
 
 void StoreNode::applyReply(ControlLink& link, StoreHeartbeat const& sent, StoreHeartbeatReply const& reply) {
   controlMembers_ = reply.members;
-  // A fence that a minority agreed to, as one that was cut off does, takes nothing from a lease that a majority grants.
+  // A minority, such as control nodes cut off by a partition, can't fence a lease that a majority still grants.
   if (reply.fenced && sent.lease == lease_ && !hasLease()) renewLease(reply.fencedUpTo);
   if (link.process != reply.process) {
     link.process = reply.process;
     link.revision = 0;
-    // What it left out was known to its former process only; the next heartbeat asks for all.
+    // The reply is a delta against a revision of the node's former process; the next heartbeat asks for all records.
     if (sent.process != 0) return;
   }
   for (LotRecord const& lot : reply.lots) updateRecord(lot);
@@ -121,17 +121,18 @@
 }
 
 void StoreNode::renewLease(std::uint64_t fencedUpTo) {
-  // The time of day may have been set back since the former lease.
+  // Lease numbers start from the wall clock, which may have been set back since the former lease.
   lease_ = std::max(lease_, fencedUpTo) + 1;
   for (auto& [address, link] : controls_) link.leaseGrantedAt = TimePoint();
   runner_.stallAll();
-  logInfo("store", "the lease was fenced; a new one is asked for");
+  logInfo("store", "leases up to number " + std::to_string(fencedUpTo) + " are fenced; requesting lease " +
+                       std::to_string(lease_));
 }
 
 void StoreNode::updateRecord(LotRecord const& lot) {
   runner_.ages().learn(lot.key(), Clock::now());
   LotRecord& known = lots_[lot.key()];
-  // The stamp of a record rises with each change but for that of its state.
+  // Every change of a record raises its stamp, except a change of its state.
   bool const outdated = lot.stamp < known.stamp || (lot.stamp == known.stamp && lot.state < known.state);
   if (known.stamp.value && outdated) return;
   known = lot;
@@ -144,7 +145,8 @@
   lots_.erase(key);
   runner_.ages().forget(key);
   unusable_.erase(key);
-  logInfo("segments", "the replica of " + key.id + " is stale and deleted");
+  logInfo("segments", "deleted the stale replica of lot " + key.id + ", stamp " + std::to_string(replica.stamp.value) +
+                          " or lower");
 }
 
 void StoreNode::reconcile() {
@@ -174,7 +176,7 @@
 
 void StoreNode::noteMissingReplica(LotRecord const& lot, TimePoint now) {
   UnusableReplica& unusable = unusable_[lot.key()];
-  // A copy may still be on its way here; then nothing is amiss.
+  // The grace period covers a copy that is still on its way here.
   if (unusable.stamp != lot.stamp) unusable = {lot.stamp, now + settings_.bounds.inTouch / 4};
 }
 
@@ -182,10 +184,10 @@
   LotKey const key = lot.key();
   runner_.abandon(key);
   Replica const* const replica = replicas_.table().find(key);
-  bool const whole = replica && replica->intact && replica->lot.stamp >= lot.sealedStamp &&
-                     replica->results.size() >= lot.sealedResults;
-  if (whole && !replica->sealed) replicas_.table().seal(key, lot.sealedStamp, lot.sealedResults);
-  if (whole || !lot.isHeldBy(replicas_.id()))
+  bool const complete = replica && replica->intact && replica->lot.stamp >= lot.sealedStamp &&
+                        replica->results.size() >= lot.sealedResults;
+  if (complete && !replica->sealed) replicas_.table().seal(key, lot.sealedStamp, lot.sealedResults);
+  if (complete || !lot.isHeldBy(replicas_.id()))
     unusable_.erase(key);
   else
     noteMissingReplica(lot, now);
--- a/lots/store_node.hpp
+++ b/lots/store_node.hpp
@@ -6,8 +6,8 @@
 
 namespace tealshelf {
 
-/// The data plane of a storage machine: keeps replicas, holds a lease of the control nodes, and runs the lots that the
-/// coordinators want it to.
+/// A store node: keeps replicas on its disk, renews its lease at the control nodes by heartbeats, and runs the lots of
+/// which the coordinators made it the primary.
 class StoreNode {
  public:
   StoreNode(asio::io_context& io, Settings const& settings);
@@ -15,36 +15,37 @@
   void stop();
 
  private:
-  /// What is known of one control node.
+  /// The state of the heartbeats to one control node.
   struct ControlLink {
-    std::uint64_t process = 0, revision = 0;  ///< of its last reply
-    TimePoint leaseGrantedAt;
+    std::uint64_t process = 0, revision = 0;  ///< from its last reply
+    TimePoint leaseGrantedAt;                 ///< when the last heartbeat that it granted the lease for was sent
     bool awaitsReply = false;
   };
-  /// A replica that this store should hold and can't use.
+  /// A replica that this store should hold but that is missing, damaged or not settled.
   struct UnusableReplica {
     GenerationStamp stamp;
-    TimePoint since;
+    TimePoint since;  ///< lies in the future while a copy may still arrive
   };
 
   Task<void> heartbeatLoop();
   Task<void> sendHeartbeat(Address to, bool withReplicas);
   StoreHeartbeat makeHeartbeat(ControlLink const& link, bool withReplicas) const;
   void applyReply(ControlLink& link, StoreHeartbeat const& sent, StoreHeartbeatReply const& reply);
-  /// True while a majority of the control nodes granted this store its lease.
+  /// True while grants of a majority of the control nodes are current.
   bool hasLease() const;
-  /// The lease was fenced: a new one is asked for, and every lot run here must be settled anew first.
+  /// After the lease was fenced: picks a higher lease number, and stalls all runs until their replicas are settled
+  /// under a new stamp.
   void renewLease(std::uint64_t fencedUpTo);
 
-  /// Takes a record of a coordinator, unless a newer one is known.
+  /// Stores a record from a coordinator, unless the known one is newer.
   void updateRecord(LotRecord const& lot);
   void removeStaleReplica(ReplicaVersion const& replica);
-  /// Brings what runs here to what the coordinators want.
+  /// Starts, updates and stops runs so that they match the coordinators' records.
   void reconcile();
   void reconcileAsPrimary(LotRecord const& lot, TimePoint now);
   void reconcileAsHolder(LotRecord const& lot, TimePoint now);
   void reconcileSealed(LotRecord const& lot, TimePoint now);
-  /// Notes that a replica that this store should hold isn't there; it is reported after a grace time.
+  /// Marks a replica that this store should hold as unusable; it is reported after a grace period.
   void noteMissingReplica(LotRecord const& lot, TimePoint now);
 
   asio::io_context& io_;
@@ -59,7 +60,7 @@
   std::uint64_t lease_;
   std::map<Address, ControlLink> controls_;
   vector<Member> controlMembers_;
-  std::map<LotKey, LotRecord> lots_;  ///< as their coordinators want them
+  std::map<LotKey, LotRecord> lots_;  ///< newest records from the coordinators
   std::map<LotKey, UnusableReplica> unusable_;
   bool stopping_ = false;
   StoreMetrics metrics_;
