--- a/tests/segments/sealed_replica_test.cpp
+++ b/tests/segments/sealed_replica_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 LotKey const key{"h", "lot"};
 
-LotRecord sealedLotWith(std::uint64_t stamp) {
+LotRecord lotRecordWithStamp(std::uint64_t stamp) {
   LotRecord lot;
   lot.host = key.host;
   lot.id = key.id;
@@ -46,29 +46,29 @@
 TEST_GROUP(sealedReplica) {
   ReplicaTable table;
   vector<string> log;
-  void note() {
+  void saveRecords() {
     for (string& record : table.takeRecords()) log.push_back(std::move(record));
   }
   void setup() override {
-    table.create(sealedLotWith(5), twoItems(), {});
+    table.create(lotRecordWithStamp(5), twoItems(), {});
     table.append(key, GenerationStamp(5), 0, {"a", "b"});
-    note();
+    saveRecords();
   }
 };
 
-TEST(sealedReplica, neverChangesAgain) {
+TEST(sealedReplica, refusesAllChanges) {
   table.seal(key, GenerationStamp(5), 2);
   CHECK(refusalOf([&] { table.append(key, GenerationStamp(5), 2, {"c"}); }) == ErrorCode::staleStamp);
   CHECK(refusalOf([&] { table.settle(key, GenerationStamp(5), GenerationStamp(8), 1); }) == ErrorCode::staleStamp);
   LONGS_EQUAL(2, table.find(key)->results.size());
-  note();
+  saveRecords();
   std::size_t const records = log.size();
   table.seal(key, GenerationStamp(5), 2);
-  note();
+  saveRecords();
   LONGS_EQUAL(records, log.size());
 }
 
-TEST(sealedReplica, isRefusedBelowTheStampOrWithFewerResults) {
+TEST(sealedReplica, sealingAndReadingRequireStampAndResultCount) {
   CHECK(refusalOf([&] { table.seal(key, GenerationStamp(6), 2); }) == ErrorCode::staleStamp);
   CHECK(refusalOf([&] { table.seal(key, GenerationStamp(5), 3); }) == ErrorCode::staleStamp);
   CHECK_FALSE(table.find(key)->sealed);
@@ -77,7 +77,7 @@
   LONGS_EQUAL(2, table.readAtLeast(key, GenerationStamp(4), 2).results.size());
 }
 
-TEST(sealedReplica, letsTheBodiesGoAndKeepsTheIds) {
+TEST(sealedReplica, dropsItemBodiesAndKeepsItemIds) {
   std::size_t const before = table.bytes();
   table.seal(key, GenerationStamp(5), 2);
   CHECK(table.bytes() + 1000 <= before);
@@ -87,9 +87,9 @@
   CHECK(items.at(0).body.empty());
 }
 
-TEST(sealedReplica, isTheSameAfterARestart) {
+TEST(sealedReplica, isRestoredFromLogAndSnapshot) {
   table.seal(key, GenerationStamp(5), 1);
-  note();
+  saveRecords();
   ReplicaTable const fromLog = replayed(log), fromSnapshot = replayed(table.snapshot());
   for (ReplicaTable const* const restarted : {&fromLog, &fromSnapshot}) {
     Replica const& replica = restarted->readAtLeast(key, GenerationStamp(5), 1);
@@ -100,21 +100,22 @@
   }
 }
 
-/// A store knows at each moment how full it is, also after a restart.
-TEST(sealedReplica, theSumOfBytesIsTrueAfterAnyChange) {
+/// The table's byte count decides whether a store accepts new replicas, so it must match the replicas after every
+/// change and after a restart.
+TEST(sealedReplica, byteCountMatchesTheReplicasAfterAnyChange) {
   std::mt19937_64 random(7);
   std::uint64_t stamp = 5;
   for (int step = 0; step < 400; ++step) {
     LotKey const other{"h", "lot-" + std::to_string(random() % 5)};
-    LotRecord lot = sealedLotWith(++stamp);
+    LotRecord lot = lotRecordWithStamp(++stamp);
     lot.id = other.id;
-    Replica const* const present = table.find(other);
+    Replica const* const existing = table.find(other);
     switch (random() % 5) {
       case 0:
         table.create(lot, twoItems(), {});
         break;
       case 1:
-        if (present) refusalOf([&] { table.append(other, present->lot.stamp, 0, {string(random() % 90, 'r')}); });
+        if (existing) refusalOf([&] { table.append(other, existing->lot.stamp, 0, {string(random() % 90, 'r')}); });
         break;
       case 2:
         refusalOf([&] { table.settle(other, GenerationStamp(1), lot.stamp, random() % 2); });
@@ -125,7 +126,7 @@
       default:
         if (random() % 3 == 0) table.remove(other, lot.stamp);
     }
-    note();
+    saveRecords();
     LONGS_EQUAL(sumOfBytes(table), table.bytes());
   }
   LONGS_EQUAL(table.bytes(), replayed(log).bytes());
