--- a/tests/lots/clocks_and_seeds_test.cpp
+++ b/tests/lots/clocks_and_seeds_test.cpp
@@ -1,4 +1,4 @@
-// Faults that days of our own brought about: clocks that step, and seeds that know nothing.
+// Guards against wall clocks that step, and against seeds that have no disk and so start without a membership.
 #include "consensus/heartbeat_targets.hpp"
 #include "lots/coordination/lease_grants.hpp"
 #include "lots/execution/lot_ages.hpp"
@@ -10,9 +10,9 @@
 namespace {
 LotKey const agedLot("host", "lot");
 
-/// Three members with disks and three control nodes without; all start at once and have the latter as seeds.
-/// Gives how many know the membership after so many rounds of heartbeats.
-std::size_t informed(std::size_t rounds, bool membersCallSeeds) {
+/// Three members with disks and three control nodes without start at once; the latter are everyone's seeds. Returns how
+/// many nodes know the membership after a number of heartbeat rounds.
+std::size_t nodesKnowingMembership(std::size_t rounds, bool membersCallSeeds) {
   vector<string> const ips{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"};
   vector<Address> const seeds{{ips[3], 1}, {ips[4], 1}, {ips[5], 1}};
   Membership membership;
@@ -38,11 +38,12 @@
 TEST_GROUP(clocksAndSeeds){};
 
 TEST(clocksAndSeeds, seedsWithoutDisksLearnOfTheMembership) {
-  LONGS_EQUAL(6, informed(1, true));
-  LONGS_EQUAL_TEXT(3, informed(50, false), "members that call no seeds leave two islands");
+  LONGS_EQUAL(6, nodesKnowingMembership(1, true));
+  LONGS_EQUAL_TEXT(3, nodesKnowingMembership(50, false),
+                   "without heartbeats from members to seeds, the seeds never learn the membership");
 }
 
-TEST(clocksAndSeeds, aStepOfTheTimeOfDayAgesNoLot) {
+TEST(clocksAndSeeds, aStepOfTheWallClockDoesNotChangeTheAgeOfALot) {
   LotAges ages;
   TimePoint const start = TimePoint() + std::chrono::hours(1);
   ages.learn(agedLot, start);
@@ -60,7 +61,7 @@
   LONGS_EQUAL(0, ages.atLeast(agedLot, start + due).count());
 }
 
-TEST(clocksAndSeeds, aStoreWhoseClockWentBackGetsItsLeaseAtOnce) {
+TEST(clocksAndSeeds, aFencedStoreWhoseClockWasSetBackGetsALeaseOnItsNextRequest) {
   TimePoint now = TimePoint() + std::chrono::hours(1);
   LeaseGrants grants(Ms(600), now - Ms(10000));
   NodeId const store(7);
--- a/tests/lots/full_stores_test.cpp
+++ b/tests/lots/full_stores_test.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 constexpr std::size_t largeLotBytes = 150u << 10;
-constexpr int lotsAtMost = 40;
+constexpr int maxLots = 40;
 
-/// Hands lots in until stores with small disks take no more; gives those that were accepted.
-vector<string> fill(StoreFleet& fleet) {
+/// Submits lots until the stores' small disks are full; returns the ids of the accepted ones.
+vector<string> fillWithLots(StoreFleet& fleet) {
   vector<string> accepted;
   fleet.runUntil([&fleet] { return fleet.submit("first", largeLotBytes) == 0; }, Ms(20000));
   accepted.emplace_back("first");
-  for (int number = 0; number < lotsAtMost; ++number) {
+  for (int number = 0; number < maxLots; ++number) {
     string const id = "lot-" + std::to_string(number);
     if (fleet.submit(id, largeLotBytes) == 0) accepted.push_back(id);
   }
@@ -21,11 +21,11 @@
 
 TEST_GROUP(fullStores){};
 
-/// The incident LOST: two of six stores are lost while the others are full. Each accepted lot has two intact copies
-/// left, and must be readable again.
-TEST(fullStores, anAcceptedLotIsReadableAfterTheLossThatMustBeSurvived) {
+/// Guards against the loss of accepted lots in the incident LOST: two of six stores failed while the others were full.
+/// Each accepted lot has two intact copies left and must become readable again.
+TEST(fullStores, acceptedLotsAreReadableAfterTheTolerableLosses) {
   StoreFleet fleet("/tmp/tealshelf-full-stores", 6, 2, 17760);
-  vector<string> const accepted = fill(fleet);
+  vector<string> const accepted = fillWithLots(fleet);
   CHECK(accepted.size() > 5);
   fleet.halt(0);
   fleet.halt(1);
@@ -35,10 +35,11 @@
   }
 }
 
-/// Losses that overlap beyond what must be survived: service may rest, but nothing is lost once the stores are back.
-TEST(fullStores, anAcceptedLotIsReadableAgainAfterTooManyLosses) {
+/// More stores fail at once than the fleet must survive. Lots may be unavailable, but all are readable once the stores
+/// are back.
+TEST(fullStores, acceptedLotsAreReadableOnceStoresReturnAfterTooManyLosses) {
   StoreFleet fleet("/tmp/tealshelf-full-stores-2", 6, 2, 17780);
-  vector<string> const accepted = fill(fleet);
+  vector<string> const accepted = fillWithLots(fleet);
   for (std::size_t const store : {0, 1, 2, 3}) fleet.halt(store);
   fleet.runUntil([] { return false; }, Ms(4000));
   for (std::size_t const store : {0, 1, 2, 3}) fleet.resume(store);
--- a/tests/lots/gone_disk_test.cpp
+++ b/tests/lots/gone_disk_test.cpp
@@ -4,10 +4,10 @@
 
 TEST_GROUP(goneDisk){};
 
-/// Of three holders one comes back with an empty disk, and another is silent for a while. The silent one still has its
-/// copy, so the record goes on naming it: with fewer holders than survive the losses to come it would count for
-/// nothing.
-TEST(goneDisk, aHolderWithoutItsDiskIsCountedOnce) {
+/// One of three holders restarts with an empty disk while another is unreachable for a while. The unreachable one still
+/// has its copy, so the record must keep naming it: with it dropped, the record would name too few holders to survive
+/// further losses.
+TEST(goneDisk, anUnreachableHolderStaysInTheRecordWhenAnotherLosesItsDisk) {
   StoreFleet fleet("/tmp/tealshelf-gone-disk", 3, 2, 17860);
   CHECK(fleet.runUntil([&fleet] { return fleet.submit("lot", 1000) == 0; }, Ms(20000)));
   std::optional<LotRecord> const accepted = fleet.find("lot");
@@ -19,12 +19,12 @@
   fleet.halt(indexOf(2));
   fleet.runUntil([] { return false; }, Ms(550));
   fleet.replaceDisk(indexOf(1));
-  NodeId const silent = accepted->holders[2].id;
-  bool const forgotten = fleet.runUntil(
+  NodeId const unreachable = accepted->holders[2].id;
+  bool const dropped = fleet.runUntil(
       [&] {
         std::optional<LotRecord> const lot = fleet.find("lot");
-        return lot && lot->holders.size() < 3 && !lot->isHeldBy(silent);
+        return lot && lot->holders.size() < 3 && !lot->isHeldBy(unreachable);
       },
       Ms(4000));
-  CHECK_FALSE(forgotten);
+  CHECK_FALSE(dropped);
 }
--- a/tests/lots/lot_api_test.cpp
+++ b/tests/lots/lot_api_test.cpp
@@ -14,8 +14,8 @@
     "100,\"protocol\":\"h1\",\"useTls\":false}],\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":4194304,"
     "\"headerWaitMs\":3000,\"idleLimitMs\":15000}}";
 
-/// The lot calls of an edge node, a stand-in for control and a store that was given a lot over. The store that had the
-/// lot before takes connections and never answers.
+/// The LotApi of an edge node with a fake control node and two fake stores: the former primary of a lot, which accepts
+/// connections and never answers, and the new one.
 struct LotApiRig {
   LotApiRig()
       : rpc(io, settings.bounds.inTouch / 2),
@@ -59,7 +59,7 @@
     io.restart();
     io.run_for(duration);
   }
-  /// The status of a call of a client.
+  /// The status of the response to a client's request.
   int call(string const& target, Ms hold, string const& tenant = "") {
     std::shared_ptr<int> const status = std::make_shared<int>(0);
     asio::co_spawn(io, lots.call(LotCaller{apiHost, tenant}, "GET", target, hold),
@@ -78,35 +78,35 @@
   RpcServer relay;
   LotApi lots;
   LotRecord record;
-  std::optional<ErrorCode> failure;  ///< of control
-  string askedFor;                   ///< the lot that control was asked for last
+  std::optional<ErrorCode> failure;  ///< that the control node answers with
+  string askedFor;                   ///< the lot in the last request to the control node
 };
 
 void readThroughATakeover(string const& target, Ms hold) {
   LotApiRig rig;
   rig.holdAt(17695);
   rig.call(target, hold);
-  // The lot went over to another store while this node was reading.
+  // Another store becomes the primary while the edge node has the former one cached.
   rig.holdAt(17696);
   rig.call(target, hold);
   LONGS_EQUAL(200, rig.call(target, hold));
 }
 }  // namespace
 
-/// A record that this node keeps of a lot must not outlive the store that it names.
+/// A cached record must be dropped when the primary that it names doesn't answer.
 TEST_GROUP(lotApi){};
 
-TEST(lotApi, resultsAreReadAtTheNewPrimaryThoughTheOldOneIsSilent) {
+TEST(lotApi, resultsAreReadFromTheNewPrimaryIfTheFormerOneIsUnresponsive) {
   readThroughATakeover("/lots/lot?startAfter=0", Ms(300));
 }
-TEST(lotApi, itemsAreReadAtTheNewPrimaryThoughTheOldOneIsSilent) {
+TEST(lotApi, itemsAreReadFromTheNewPrimaryIfTheFormerOneIsUnresponsive) {
   readThroughATakeover("/items/lot?serverId=item-0", Ms(0));
 }
 
-/// Only what is said of the lot itself may reach its client as a 4xx.
+/// A client gets a 4xx status only for errors about the lot or the request itself.
 TEST_GROUP(lotCalls){};
 
-TEST(lotCalls, aFailureWithinTheSystemSaysNothingOfTheLot) {
+TEST(lotCalls, internalErrorsAnswer503AndErrorsAboutTheLotAnswer4xx) {
   for (ErrorCode const code : {ErrorCode::badMessage, ErrorCode::unknownNode, ErrorCode::noQuorum}) {
     LotApiRig rig;
     rig.failure = code;
@@ -118,10 +118,10 @@
   LONGS_EQUAL(400, rig.call("/lots/lot?startAfter=x", Ms(0)));
 }
 
-/// Lots belong to tenants; the id that a client gives is its own.
+/// Lots belong to tenants; two tenants may use the same lot id.
 TEST_GROUP(lotsOfTenants){};
 
-TEST(lotsOfTenants, eachTenantAsksForItsOwnLotsOnly) {
+TEST(lotsOfTenants, eachTenantReadsOnlyItsOwnLots) {
   LotApiRig rig;
   rig.holdAt(17696);
   LONGS_EQUAL(200, rig.call("/lots/lot?startAfter=0", Ms(0), "lantern"));
@@ -129,7 +129,7 @@
   rig.call("/items/lot?serverId=i", Ms(0), "ferry");
   STRCMP_EQUAL("ferry/lot", rig.askedFor.c_str());
 }
-TEST(lotsOfTenants, noTwoPairsOfNamesGiveOneId) {
+TEST(lotsOfTenants, scopedLotIdsAreUnique) {
   CHECK(scopedLotId("a", "b/c") != scopedLotId("a/b", "c"));
   CHECK(scopedLotId("a%", "b") != scopedLotId("a", "%b"));
   CHECK(scopedLotId("a", "b") != scopedLotId("", "ab"));
--- a/tests/lots/lot_parser_test.cpp
+++ b/tests/lots/lot_parser_test.cpp
@@ -7,20 +7,20 @@
 TEST_GROUP(lotParser){};
 
 TEST(lotParser, readsItems) {
-  vector<ItemRecord> const v = parseLot(
+  vector<ItemRecord> const items = parseLot(
       "{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/p/"
       "1\",\"headerMap\":{\"Model\":\"m\"},\"payload\":\"q83vEjRWeJA=\",\"tokens\":940}]}");
-  LONGS_EQUAL(1, v.size());
-  LONGS_EQUAL(8, v[0].body.size());
-  LONGS_EQUAL(0xab, static_cast<unsigned char>(v[0].body[0]));
-  LONGS_EQUAL(940, v[0].tokens);
+  LONGS_EQUAL(1, items.size());
+  LONGS_EQUAL(8, items[0].body.size());
+  LONGS_EQUAL(0xab, static_cast<unsigned char>(items[0].body[0]));
+  LONGS_EQUAL(940, items[0].tokens);
 }
-TEST(lotParser, refusesBadOnesByNumber) {
-  auto const code = [](string const& s) {
+TEST(lotParser, refusesInvalidLotsWithTheirErrorCode) {
+  auto const code = [](string const& body) {
     try {
-      parseLot(s);
-    } catch (Error const& x) {
-      return static_cast<int>(x.code());
+      parseLot(body);
+    } catch (Error const& error) {
+      return static_cast<int>(error.code());
     }
     return 0;
   };
@@ -32,12 +32,13 @@
   LONGS_EQUAL(303, code("{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/p\",\"payload\":\"a\",\"tokens\":1}]}"));
   LONGS_EQUAL(302, code("{\"requests\":[{\"serverId\":\"a\",\"urlPath\":\"/"
                         "p\",\"tokens\":1},{\"serverId\":\"a\",\"urlPath\":\"/p\",\"tokens\":1}]}"));
-  string many = "{\"requests\":[";
+  string tooManyItems = "{\"requests\":[";
   for (int i = 0; i < 201; ++i)
-    many += string(i ? "," : "") + "{\"serverId\":\"a" + std::to_string(i) + "\",\"urlPath\":\"/p\",\"tokens\":1}";
-  LONGS_EQUAL(301, code(many + "]}"));
+    tooManyItems +=
+        string(i ? "," : "") + "{\"serverId\":\"a" + std::to_string(i) + "\",\"urlPath\":\"/p\",\"tokens\":1}";
+  LONGS_EQUAL(301, code(tooManyItems + "]}"));
 }
-/// What could never be sent to a worker as it is must not be taken: nothing would ever come of it.
+/// An item that can't be sent to a worker unchanged must be refused: it would never get a result.
 TEST(lotParser, refusesItemsThatCannotBeSent) {
   auto const isTaken = [](string const& id, string const& path, string const& header) {
     try {
--- a/tests/lots/store_fleet.hpp
+++ b/tests/lots/store_fleet.hpp
@@ -5,11 +5,11 @@
 #include <CppUTest/TestHarness.h>
 #include <filesystem>
 
-/// A control node and several stores with small disks, all real, on loopback.
+/// A real control node and several real stores with small disks, on loopback.
 namespace tealshelf {
 
-/// Each store has an event loop of its own, so that one can be halted as by a loss of power. There are no workers: the
-/// items of lots stay unfinished.
+/// Each store has its own event loop, so that halting it simulates a loss of power. There are no workers, so no item
+/// finishes.
 class StoreFleet {
  public:
   StoreFleet(string folder, std::size_t stores, std::int64_t survive, int firstPort)
@@ -28,9 +28,10 @@
 
   static string host() { return "shop.example"; }
 
-  /// Hands a lot with one item of a size in as an edge does; the number of the error, or 0 once it is accepted.
+  /// Submits a lot with one item of a given size, as an edge node does. Returns 0 once it is accepted, else the error
+  /// code.
   int submit(string const& id, std::size_t bytes) { return submitFor("", id, bytes, 0); }
-  /// The same for a tenant of whose tokens so many may wait; 0: no limit.
+  /// The same for a tenant with a limit of queued tokens; 0 means no limit.
   int submitFor(string const& tenant, string const& id, std::size_t bytes, std::uint64_t maxQueuedTokens) {
     string const items = serialize(vector<ItemRecord>{{"item-" + id, "/night/x", string(bytes, 'b'), {}, 10}});
     OpenLot open;
@@ -52,13 +53,13 @@
     if (created) return created;
     return ask(controlAddress(), AcceptLot{host(), id, record.stamp, 0}).first;
   }
-  /// The record of a lot as the coordinator answers; none if it isn't known.
+  /// The coordinator's record of a lot, if it knows the lot.
   std::optional<LotRecord> find(string const& id) {
     std::pair<int, FindLotReply> const reply = ask(controlAddress(), FindLot{host(), id, 0});
     if (reply.first || !reply.second.known) return std::nullopt;
     return reply.second.lot;
   }
-  /// True if the store that the record names first answers a read.
+  /// True if the lot's primary answers a read.
   bool isReadable(string const& id) {
     std::optional<LotRecord> const lot = find(id);
     if (!lot || lot->holders.empty()) return false;
@@ -68,7 +69,7 @@
 
   void halt(std::size_t store) { stores_[store]->halted = true; }
   void resume(std::size_t store) { stores_[store]->halted = false; }
-  /// A store comes back at once with an empty disk, as another store of the same name.
+  /// Restarts a store at once with an empty disk, which makes it another store of the same name.
   void replaceDisk(std::size_t store) {
     Settings const settings = stores_[store]->settings;
     stores_[store].reset();
@@ -82,7 +83,7 @@
   Address controlAddress() const { return controlSettings_.controlAddress(controlSettings_.ip); }
   StoreNode& store(std::size_t index) { return *stores_[index]->node; }
 
-  /// Runs all event loops until something holds; false if it doesn't within a time.
+  /// Runs all event loops until a condition holds; false if it doesn't within the limit.
   bool runUntil(std::function<bool()> const& holds, Ms limit) {
     TimePoint const end = Clock::now() + limit;
     while (!holds()) {
@@ -91,8 +92,8 @@
     }
     return true;
   }
-  /// Puts a replica of a host whose lots nobody owns on a store, so that it stays there; false if it was refused. Under
-  /// a higher stamp it may grow past the limit, as open lots may.
+  /// Fills a store with a replica for a host that no coordinator owns, so that it is never deleted; false if it was
+  /// refused. With a higher stamp it may grow past the limit, as replicas of open lots may.
   bool putFiller(std::size_t store, std::size_t bytes, std::uint64_t stamp = 1, string const& id = "filler") {
     LotRecord lot;
     lot.host = "filler.example";
@@ -103,7 +104,7 @@
     Settings const& holder = stores_.at(store)->settings;
     return ask(holder.storeAddress(holder.ip), CreateReplica{lot, items, {}, false}).first == 0;
   }
-  /// The answer to a call, or the number of the error.
+  /// Error code and reply of a call; the code is 0 on success.
   template <class Request>
   std::pair<int, typename Request::Reply> ask(Address const& to, Request const& request) {
     using Answer = std::pair<int, typename Request::Reply>;
