--- a/control/control_node.cpp
+++ b/control/control_node.cpp
@@ -40,7 +40,7 @@
     return UpdatePublisher::Proof{healthy, 0, driver_.consensus().majorityContact(Clock::now())};
   };
   workers_.onChange = [this] { publish(); };
-  workers_.zoneRevision = [this](string const& zone) { return evacuations_.revisionOf(zone); };
+  workers_.evacuationRevision = [this](string const& zone) { return evacuations_.revisionOf(zone); };
   driver_.onHeartbeat = [this](HeartbeatMessage const& message) { onHeartbeat(message); };
   driver_.fillHeartbeat = [this](HeartbeatMessage& message, bool isExtra) {
     workers_.fillHeartbeat(message, isExtra);
--- a/control/duty_holder.cpp
+++ b/control/duty_holder.cpp
@@ -123,7 +123,7 @@
 Task<void> DutyHolder::platformProbeLoop() {
   for (;;) {
     Ms const period = settings_.bounds.lease / probesPerLease;
-    bool const isReachable = co_await takesConnection(io_, settings_.provider.address, period);
+    bool const isReachable = co_await respondsToConnect(io_, settings_.provider.address, period);
     if (isReachable) contact_.noteReached(Clock::now());
     co_await sleepFor(period);
   }
--- a/control/worker_directory.cpp
+++ b/control/worker_directory.cpp
@@ -65,7 +65,7 @@
   Worker worker;
   if (call.verb == "PUT") {
     worker = parseWorkerHeartbeat(id, call.body);
-    if (zoneRevision) worker.zoneRevision = zoneRevision(worker.zone);
+    if (evacuationRevision) worker.evacuationRevision = evacuationRevision(worker.zone);
   } else {
     if (Worker const* const known = registry_.find(id)) worker = *known;
     worker.id = id;
@@ -212,7 +212,8 @@
   registry_.forEachPresent([&](Worker const& worker) {
     auto const allowance = allowances.find(worker.service);
     if (allowance == allowances.end()) return;
-    bool const mayBeCold = worker.warmingUp || (zoneRevision && worker.zoneRevision < zoneRevision(worker.zone));
+    bool const mayBeCold =
+        worker.warmingUp || (evacuationRevision && worker.evacuationRevision < evacuationRevision(worker.zone));
     if (mayBeCold) limits[worker.id] = allowance->second;
   });
   return limits;
--- a/control/worker_directory.hpp
+++ b/control/worker_directory.hpp
@@ -43,7 +43,7 @@
   /// Limits on what all nodes together may send to each worker that is or may be warming up, by worker id.
   std::map<string, RateAllowance> warmUpLimits(Configuration const& configuration) const;
   /// Returns the revision of a zone's evacuation; 0 for none.
-  std::function<std::uint64_t(string const& zone)> zoneRevision;
+  std::function<std::uint64_t(string const& zone)> evacuationRevision;
   /// Called when the registry has changed.
   std::function<void()> onChange;
 
--- a/edge/client_connection.cpp
+++ b/edge/client_connection.cpp
@@ -7,7 +7,7 @@
 namespace tealshelf {
 
 namespace {
-string_view const goAhead = "HTTP/1.1 100 Continue\r\n\r\n";
+string_view const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 }
 
 void ClientConnection::beginRequest() {
@@ -35,7 +35,7 @@
 
 Task<error_code> ClientConnection::sendContinue() {
   error_code error;
-  co_await asio::async_write(socket, asio::buffer(goAhead.data(), goAhead.size()),
+  co_await asio::async_write(socket, asio::buffer(continueResponse.data(), continueResponse.size()),
                              asio::redirect_error(asio::use_awaitable, error));
   co_return error;
 }
--- a/edge/client_watch.cpp
+++ b/edge/client_watch.cpp
@@ -29,7 +29,7 @@
     if (input == Input::none) return wait(state);
     if (input == Input::bytes) return;
     state->gone = true;
-    if (state->onGone) std::exchange(state->onGone, nullptr)();
+    if (state->onDisconnect) std::exchange(state->onDisconnect, nullptr)();
   });
 }
 
--- a/edge/client_watch.hpp
+++ b/edge/client_watch.hpp
@@ -14,15 +14,15 @@
   ClientWatch(ClientWatch const&) = delete;
   ClientWatch& operator=(ClientWatch const&) = delete;
 
-  bool clientIsGone() const { return state_->gone; }
+  bool clientDisconnected() const { return state_->gone; }
   /// Called once, at the moment at which the client goes; empty: nothing is.
-  void onGone(std::function<void()> callback) { state_->onGone = std::move(callback); }
+  void onDisconnect(std::function<void()> callback) { state_->onDisconnect = std::move(callback); }
 
  private:
   struct State {
     tcp::socket* socket = nullptr;  ///< null once the watch is gone
     bool gone = false;
-    std::function<void()> onGone;
+    std::function<void()> onDisconnect;
   };
   static void wait(std::shared_ptr<State> state);
 
--- a/edge/edge_node.cpp
+++ b/edge/edge_node.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t headReadBytes = 1u << 12;
 /// So often within the idle limit is looked for connections that have reached it; and within inTouch, at least, as the
 /// limit may change.
-constexpr int checksInIdleLimit = 16, checksInTouch = 4;
+constexpr int checksPerIdleLimit = 16, checksPerInTouch = 4;
 
 /// Counts a request while it is under way, however it ends. It may outlive the node, as a task that never ended.
 struct ActiveRequest {
@@ -63,14 +63,14 @@
     spawnTask(io_, "client", serve(std::make_shared<ClientConnection>(std::move(socket))));
   });
   spawnTask(io_, "edge sweep", sweepLoop());
-  spawnTask(io_, "idle clients", endIdleLoop());
+  spawnTask(io_, "idle clients", closeIdleLoop());
   logInfo("edge", settings_.nodeName + " serves clients at " + settings_.outside.text());
 }
 
 void EdgeNode::stop() {
   stopping_ = true;
   stoppedAt_ = Clock::now();
-  idle_.endAll();
+  idle_.cancelAll();
 }
 
 bool EdgeNode::isEndingSoon() const {
@@ -82,11 +82,11 @@
     co_await sleepFor(settings_.bounds.inTouch / 2);
     forwarder_.sweep();
     quotas_.sweep();
-    noteIsolation();
+    logIsolationChange();
   }
 }
 
-void EdgeNode::noteIsolation() {
+void EdgeNode::logIsolationChange() {
   bool const isolated = isIsolated();
   if (isolated == wasIsolated_) return;
   wasIsolated_ = isolated;
@@ -112,11 +112,11 @@
 }
 
 /// The limit may change while connections are idle, so it is looked up at each turn.
-Task<void> EdgeNode::endIdleLoop() {
+Task<void> EdgeNode::closeIdleLoop() {
   for (;;) {
     Ms const limit = limitsInForce().idleLimit;
-    idle_.endOlderThan(limit);
-    co_await sleepFor(std::clamp(limit / checksInIdleLimit, Ms(1), settings_.bounds.inTouch / checksInTouch));
+    idle_.cancelOlderThan(limit);
+    co_await sleepFor(std::clamp(limit / checksPerIdleLimit, Ms(1), settings_.bounds.inTouch / checksPerInTouch));
   }
 }
 
@@ -166,7 +166,7 @@
   co_await http::async_read_header(client.socket, client.buffer, parser,
                                    asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return error;
-  if (!hasOneReading(parser.get(), parser.get().version())) co_return http::error::bad_field;
+  if (!isUnambiguous(parser.get(), parser.get().version())) co_return http::error::bad_field;
   deadline.expireAt(Clock::now() + limits.idleLimit);
   if (awaitsContinue(parser.get()) && !parser.is_done()) error = co_await client.sendContinue();
   if (error) co_return error;
--- a/edge/edge_node.hpp
+++ b/edge/edge_node.hpp
@@ -52,14 +52,14 @@
   /// True once this process ends so soon that a request taken now might be cut off.
   bool isEndingSoon() const;
   /// True if this node can reach no zone but its own, and control neither: clients are better served elsewhere.
-  bool isIsolated() const { return !view_.isFresh() && forwarder_.isCutOff(); }
+  bool isIsolated() const { return !view_.isFresh() && forwarder_.isZonePartitioned(); }
   /// Tells the log when that begins and ends.
-  void noteIsolation();
+  void logIsolationChange();
   Task<void> sweepLoop();
   /// Requests at workers, by service.
   vector<ServiceLoad> loads() const;
   void sampleMetrics();
-  Task<void> endIdleLoop();
+  Task<void> closeIdleLoop();
 
   asio::io_context& io_;
   Settings const& settings_;
--- a/edge/idle_connections.cpp
+++ b/edge/idle_connections.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 /// The wait is told that it ended; what arrived before stays where it is.
-void endWait(ClientConnection& client) {
+void cancelWait(ClientConnection& client) {
   error_code ignored;
   client.socket.cancel(ignored);
 }
@@ -18,14 +18,14 @@
   co_return !error || client.hasInput();
 }
 
-void IdleConnections::endOlderThan(Ms limit) {
+void IdleConnections::cancelOlderThan(Ms limit) {
   TimePoint const now = Clock::now();
   for (auto const& [client, since] : idleSince_)
-    if (now - since >= limit) endWait(*client);
+    if (now - since >= limit) cancelWait(*client);
 }
 
-void IdleConnections::endAll() {
-  for (auto const& [client, since] : idleSince_) endWait(*client);
+void IdleConnections::cancelAll() {
+  for (auto const& [client, since] : idleSince_) cancelWait(*client);
 }
 
 }  // namespace tealshelf
--- a/edge/idle_connections.hpp
+++ b/edge/idle_connections.hpp
@@ -13,9 +13,9 @@
   /// The connection must outlive the wait.
   Task<bool> awaitRequest(ClientConnection& client);
   /// Ends the waits that have lasted for so long.
-  void endOlderThan(Ms limit);
+  void cancelOlderThan(Ms limit);
   /// Ends all waits.
-  void endAll();
+  void cancelAll();
 
  private:
   std::map<ClientConnection*, TimePoint> idleSince_;
--- a/edge/request_form.cpp
+++ b/edge/request_form.cpp
@@ -12,7 +12,7 @@
 }
 }  // namespace
 
-bool hasOneReading(http::fields const& head, unsigned version) {
+bool isUnambiguous(http::fields const& head, unsigned version) {
   if (version != version10 && version != version11) return false;
   std::size_t const hosts = countOf(head, http::field::host), codings = countOf(head, http::field::transfer_encoding);
   bool const hasHost = hosts == 1 || (hosts == 0 && version == version10);
--- a/edge/request_forwarder.cpp
+++ b/edge/request_forwarder.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 /// Part of a route's target within which it must be known that a request is inside its tenant's limit.
-constexpr int quotaWithin = 5;
+constexpr int quotaWaitTargetDivisor = 5;
 /// A worker that is silent for so many targets counts as failed.
-constexpr int silentTargets = 4;
+constexpr int silentTargetMultiple = 4;
 /// Parts: of a route's target after which a silent worker is probed, and of inTouch in which it must take the probe.
-constexpr int probeAfter = 2, probeWithin = 40;
+constexpr int probeAfterTargetDivisor = 2, probeTimeoutDivisor = 40;
 
 /// Headers of a client that this system sets itself, or has dealt with.
 constexpr char const* replacedHeaders[] = {"Time-Left-Ms", "Wanted-Server", "Expect"};
@@ -54,10 +54,10 @@
   RetryState retries(client);
   NextStep next = NextStep::tryAnother;
   while (next == NextStep::tryAnother && retries.sends < plan.tries && Clock::now() < plan.deadline) {
-    bool const mayBeSent = co_await holdCredit(plan, retries);
-    if (!mayBeSent || retries.watch.clientIsGone()) break;
+    bool const mayBeSent = co_await ensureCredit(plan, retries);
+    if (!mayBeSent || retries.watch.clientDisconnected()) break;
     std::optional<Target> const target = co_await nextTarget(client, plan, retries);
-    if (!target || retries.watch.clientIsGone()) break;
+    if (!target || retries.watch.clientDisconnected()) break;
     next = co_await tryWorker(client, request, plan, *target, retries);
   }
   bool const ranNowhere = next != NextStep::done && !retries.mayHaveRun;
@@ -67,12 +67,12 @@
 
 /// A request is counted once, and again if it is sent to another worker after its credit has lapsed: the worker then
 /// gets it in another window.
-Task<bool> RequestForwarder::holdCredit(RequestPlan const& plan, RetryState& retries) {
+Task<bool> RequestForwarder::ensureCredit(RequestPlan const& plan, RetryState& retries) {
   Tenant const* const tenant = plan.caller.tenant;
   if (!tenant || !tenant->isLimited()) co_return true;
   TimePoint const now = Clock::now();
   if (retries.credit && retries.credit->isValid(now)) co_return true;
-  TimePoint const until = std::min(plan.deadline, now + plan.route->target / quotaWithin);
+  TimePoint const until = std::min(plan.deadline, now + plan.route->target / quotaWaitTargetDivisor);
   try {
     retries.credit = co_await quotas_.take(*tenant, until);
   } catch (Error const& error) {
@@ -89,32 +89,33 @@
   retries.triedWorkers.insert(worker.id);
   HttpRequest const forwarded = requestForWorker(request, plan, worker, retries.events);
   Exchange exchange(pool_, worker, plan.mayRepeat);
-  exchange.mustBeSentBy(target.sendBy);
+  exchange.setSendDeadline(target.sendDeadline);
   // Any other request is left to its worker: the client may have ended its sending only, and sends it to nobody else.
   bool const endsWithClient = plan.mayRepeat || plan.isStream;
-  if (endsWithClient) retries.watch.onGone([&exchange] { exchange.cancel(); });
-  std::uint64_t const unreadTokens = plan.pick.promptTokens - plan.pick.sharedTokens;
-  balancer_.requestStarted(worker.id, unreadTokens);
+  if (endsWithClient) retries.watch.onDisconnect([&exchange] { exchange.cancel(); });
+  std::uint64_t const prefillTokens = plan.pick.promptTokens - plan.pick.sharedTokens;
+  balancer_.requestStarted(worker.id, prefillTokens);
   TimePoint const sentAt = Clock::now();
   retries.sentAt = sentAt;
   view_.tallyVersion(worker, plan.route->name, sentTally());
-  SilenceProbe::Timing const timing{plan.route->target / probeAfter, settings_.bounds.inTouch / probeWithin};
+  SilenceProbe::Timing const timing{plan.route->target / probeAfterTargetDivisor,
+                                    settings_.bounds.inTouch / probeTimeoutDivisor};
   SilenceProbe probe(io_, worker.address, timing,
                      [&](bool reachable) { noteProbe(reachable, worker, plan, retries, exchange); });
   SendResult const result = co_await exchange.send(forwarded, plan.attempt, plan.deadline);
   probe.noteProgress();
   retries.probe = &probe;
-  balancer_.promptRead(worker.id, unreadTokens);
+  balancer_.prefillFinished(worker.id, prefillTokens);
   if (target.placement && result == SendResult::answered)
     prefixes_.record(*target.placement, std::chrono::duration_cast<Ms>(Clock::now() - sentAt));
   logDebug("request", plan.attempt + " at " + worker.id + " result " + std::to_string(static_cast<int>(result)) +
                           (result == SendResult::answered ? " status " + std::to_string(exchange.status()) : ""));
   NextStep next = NextStep::done;
-  if (endsWithClient && retries.watch.clientIsGone())
+  if (endsWithClient && retries.watch.clientDisconnected())
     abandon(client, exchange);
   else
     next = co_await judge(client, plan, exchange, result, retries);
-  retries.watch.onGone(nullptr);
+  retries.watch.onDisconnect(nullptr);
   retries.probe = nullptr;
   balancer_.requestEnded(worker.id);
   co_return next;
@@ -126,7 +127,7 @@
     balancer_.noteReached(worker);
     return;
   }
-  metrics_.unreachedWorkers.increment();
+  metrics_.unreachableWorkers.increment();
   balancer_.noteUnreached(worker);
   bool const mayMove = plan.mayRepeat && retries.sends + 1 < plan.tries;
   if (mayMove) exchange.cancel();
@@ -195,7 +196,7 @@
 
 RequestForwarder::NextStep RequestForwarder::noteTimeout(string const& worker, RequestPlan const& plan,
                                                          RetryState& retries) {
-  if (plan.deadline - plan.receivedAt > silentTargets * plan.route->target) view_.tally(worker, false);
+  if (plan.deadline - plan.receivedAt > silentTargetMultiple * plan.route->target) view_.tally(worker, false);
   retries.mayHaveRun = true;
   retries.lastFailure = ErrorCode::deadlineExceeded;
   return NextStep::stop;
@@ -207,21 +208,21 @@
   string const worker = exchange.worker().id;
   ++retries.sends;
   // A stream begins with its first event.
-  if (!plan.isStream) noteBegun(plan, retries, retries.sentAt);
+  if (!plan.isStream) countUsageOnce(plan, retries, retries.sentAt);
   if (std::optional<WorkerLoad> const load = exchange.workerLoad()) balancer_.reportLoad(exchange.worker(), *load);
   int const status = exchange.status();
   if (status >= 500) view_.tally(worker, false);
   if (status >= 500) view_.tallyVersion(exchange.worker(), plan.route->name, outcomeTally(false, std::nullopt));
   bool const tryAgain = plan.mayRepeat && status >= 500 && retries.sends < plan.tries;
-  bool const passes = !tryAgain && mayPassOn(client, plan, exchange);
+  bool const passes = !tryAgain && mayRelay(client, plan, exchange);
   bool passed = false;
   if (passes && plan.isStream && status == 200 && !client.isHead)
     passed = co_await relayEvents(client, plan, exchange, retries);
   else if (passes)
-    passed = co_await passWhole(client, plan, exchange);
+    passed = co_await relayWholeAnswer(client, plan, exchange);
   if (passed && !plan.isStream)
     retries.paceMs = std::chrono::duration<double, std::milli>(Clock::now() - retries.sentAt).count();
-  if (!passed && passes && retries.watch.clientIsGone()) {
+  if (!passed && passes && retries.watch.clientDisconnected()) {
     abandon(client, exchange);
     co_return NextStep::done;
   }
@@ -246,15 +247,15 @@
 /// True if a worker's answer may go to the client as it is. 408, 421, 429 and 503 would promise that the request never
 /// runs, which the worker didn't say; a success counts only with the worker's seal; and nothing but more events may
 /// follow a stream's head.
-bool RequestForwarder::mayPassOn(ClientConnection const& client, RequestPlan const& plan,
-                                 Exchange const& exchange) const {
+bool RequestForwarder::mayRelay(ClientConnection const& client, RequestPlan const& plan,
+                                Exchange const& exchange) const {
   int const status = exchange.status();
   if (status == 408 || status == 421 || status == 429 || status == 503) return false;
   if (status < 300 && !exchange.isSealed()) return false;
   return !client.headSent || (plan.isStream && status == 200);
 }
 
-Task<bool> RequestForwarder::passWhole(ClientConnection& client, RequestPlan const& plan, Exchange& exchange) {
+Task<bool> RequestForwarder::relayWholeAnswer(ClientConnection& client, RequestPlan const& plan, Exchange& exchange) {
   string body;
   BodyState state = BodyState::partial;
   while (state == BodyState::partial) state = co_await exchange.readBody(body, plan.deadline);
@@ -279,7 +280,7 @@
   co_return true;
 }
 
-void RequestForwarder::noteBegun(RequestPlan const& plan, RetryState& retries, TimePoint begunAt) {
+void RequestForwarder::countUsageOnce(RequestPlan const& plan, RetryState& retries, TimePoint begunAt) {
   if (!plan.caller.tenant || std::exchange(retries.isCounted, true)) return;
   usage_.count(plan.caller.tenant->name, begunAt);
 }
@@ -315,7 +316,7 @@
     bool const ends = state == BodyState::complete;
     if (!body.empty() && retries.probe) retries.probe->noteProgress();
     if (!complete.empty()) pace.note(events.lastId(), Clock::now());
-    if (!complete.empty()) noteBegun(plan, retries, Clock::now());
+    if (!complete.empty()) countUsageOnce(plan, retries, Clock::now());
     if (complete.empty() && !ends) continue;
     deadline.expireAt(Clock::now() + 2 * settings_.bounds.inTouch);
     if (ends) exchange.release();
--- a/edge/request_forwarder.hpp
+++ b/edge/request_forwarder.hpp
@@ -39,7 +39,7 @@
   std::int64_t runningAt(string const& worker) const { return balancer_.runningAt(worker); }
   LoadBalancer& balancer() { return balancer_; }
   /// True if no zone but the own one can be reached.
-  bool isCutOff() const { return balancer_.isCutOff(view_.workers()); }
+  bool isZonePartitioned() const { return balancer_.isZonePartitioned(view_.workers()); }
 
  private:
   /// What the tries of one request have come to so far.
@@ -48,7 +48,7 @@
     ClientWatch watch;
     std::set<string> triedWorkers;
     std::uint64_t sends = 0;
-    bool startedOver = false;  ///< all workers were tried once, and are tried again
+    bool inSecondRound = false;  ///< all workers were tried once, and are tried again
     bool mayHaveRun = false;
     std::optional<Credit> credit;  ///< to send it; nothing before the first was taken
     ErrorCode lastFailure = ErrorCode::noWorker;
@@ -61,12 +61,12 @@
   enum class NextStep { tryAnother, stop, done };
 
   /// Makes sure that the request is counted for its tenant; false if it may not be sent now.
-  Task<bool> holdCredit(RequestPlan const& plan, RetryState& retries);
+  Task<bool> ensureCredit(RequestPlan const& plan, RetryState& retries);
   /// A worker that a request may be sent to now, until a time.
   struct Target {
     Worker worker;
     std::optional<PrefixPlacement> placement;
-    TimePoint sendBy = TimePoint::max();
+    TimePoint sendDeadline = TimePoint::max();
   };
   // Choice of a worker: request_targets.cpp.
   /// The worker to try next, if there is one. Waits a moment once every worker was tried.
@@ -90,13 +90,13 @@
   NextStep noteMaybeRun(Exchange const& exchange, RequestPlan const& plan, RetryState& retries);
   NextStep noteTimeout(string const& worker, RequestPlan const& plan, RetryState& retries);
   Task<NextStep> passOn(ClientConnection& client, RequestPlan const& plan, Exchange& exchange, RetryState& retries);
-  bool mayPassOn(ClientConnection const& client, RequestPlan const& plan, Exchange const& exchange) const;
+  bool mayRelay(ClientConnection const& client, RequestPlan const& plan, Exchange const& exchange) const;
   /// Takes a short answer whole, then passes it on; false if the worker broke it off.
-  Task<bool> passWhole(ClientConnection& client, RequestPlan const& plan, Exchange& exchange);
+  Task<bool> relayWholeAnswer(ClientConnection& client, RequestPlan const& plan, Exchange& exchange);
   /// Passes events on as they come; true once nothing more is to be done, false if the worker broke off.
   Task<bool> relayEvents(ClientConnection& client, RequestPlan const& plan, Exchange& exchange, RetryState& retries);
   /// A worker began to run the request: counts it in its tenant's use, once.
-  void noteBegun(RequestPlan const& plan, RetryState& retries, TimePoint begunAt);
+  void countUsageOnce(RequestPlan const& plan, RetryState& retries, TimePoint begunAt);
   Task<error_code> sendStreamHead(ClientConnection& client, Exchange const& exchange);
   /// Closes the connection in the middle of an answer, which must not look complete.
   void cutOff(ClientConnection& client);
--- a/edge/request_targets.cpp
+++ b/edge/request_targets.cpp
@@ -5,24 +5,24 @@
 
 namespace {
 /// Parts of a route's target: until when all workers are tried once more, and the pause before that.
-constexpr int startOverWithin = 4, startOverPause = 20;
+constexpr int secondRoundTargetDivisor = 4, secondRoundPauseDivisor = 20;
 /// Part of a route's target within which a worker that warms up must be free to take a request.
-constexpr int creditWithin = 10;
+constexpr int creditWaitTargetDivisor = 10;
 /// Workers that a request may turn out not to be for, before it is refused.
-constexpr int maxUnadmitted = 4;
+constexpr int maxAdmissionAttempts = 4;
 /// A warm worker has room while less than this part of its slots is taken: a worker that warms up isn't asked for then.
-constexpr double loadWithRoom = 0.5;
+constexpr double maxLoadWithRoom = 0.5;
 }  // namespace
 
 bool RequestForwarder::hasRoom(Worker const& worker) const {
   TimePoint const now = Clock::now();
-  double const ofAll = balancer_.recentLoadOf(worker.service, now).value_or(0);
-  return std::max(balancer_.load(worker, now), ofAll) < loadWithRoom;
+  double const ofAll = balancer_.recentMeanLoad(worker.service, now).value_or(0);
+  return std::max(balancer_.load(worker, now), ofAll) < maxLoadWithRoom;
 }
 
 Task<std::optional<RequestForwarder::Target>> RequestForwarder::warmingTarget(RequestPlan const& plan,
                                                                               std::set<string> passedOver, int most) {
-  TimePoint const until = std::min(plan.deadline, Clock::now() + plan.route->target / creditWithin);
+  TimePoint const until = std::min(plan.deadline, Clock::now() + plan.route->target / creditWaitTargetDivisor);
   for (int asked = 0; asked < most && Clock::now() < until; ++asked) {
     Worker const* const candidate = balancer_.pickWarmingUp(view_, plan.pick, passedOver);
     if (!candidate) co_return std::nullopt;
@@ -32,7 +32,7 @@
     WarmUpGate::Admission const admission = co_await warmUps_.ask(worker, until);
     Worker const* const present = view_.find(worker.id);
     bool const isThere = present && view_.takesRequests(*present);
-    if (admission.isGranted && isThere) co_return Target{worker, std::nullopt, admission.sendBy};
+    if (admission.isGranted && isThere) co_return Target{worker, std::nullopt, admission.sendDeadline};
   }
   co_return std::nullopt;
 }
@@ -42,18 +42,18 @@
   Pick pick = balancer_.pick(view_, plan.pick, retries.triedWorkers);
   bool const hasGood = pick.worker && !balancer_.isLastResort(*pick.worker);
   // Services with a cold worker are rare, so that is asked first.
-  bool const triesCold = balancer_.hasWarmingUp(view_, plan.pick.service) && (!hasGood || !hasRoom(*pick.worker));
+  bool const triesCold = balancer_.hasWarmingUpWorker(view_, plan.pick.service) && (!hasGood || !hasRoom(*pick.worker));
   if (triesCold) {
-    int const most = hasGood ? 1 : maxUnadmitted;
+    int const most = hasGood ? 1 : maxAdmissionAttempts;
     std::optional<Target> target = co_await warmingTarget(plan, retries.triedWorkers, most);
     if (target) co_return target;
     pick = balancer_.pick(view_, plan.pick, retries.triedWorkers);
   }
-  for (int asked = 0; pick.worker && asked < maxUnadmitted && Clock::now() < plan.deadline; ++asked) {
+  for (int asked = 0; pick.worker && asked < maxAdmissionAttempts && Clock::now() < plan.deadline; ++asked) {
     Target target{*pick.worker, pick.prefix, TimePoint::max()};
     if (warmUps_.isOpen(target.worker)) co_return target;
     WarmUpGate::Admission const admission = co_await warmUps_.ask(target.worker, plan.deadline);
-    target.sendBy = admission.sendBy;
+    target.sendDeadline = admission.sendDeadline;
     if (admission.isGranted) co_return target;
     retries.triedWorkers.insert(target.worker.id);
     if (admission.isUnanswered) balancer_.markFailed(target.worker.id, true);
@@ -66,12 +66,12 @@
                                                                            RequestPlan const& plan,
                                                                            RetryState& retries) {
   std::optional<Target> target = co_await admittedTarget(plan, retries);
-  if (target || retries.startedOver || client.headSent) co_return target;
-  retries.startedOver = true;
+  if (target || retries.inSecondRound || client.headSent) co_return target;
+  retries.inSecondRound = true;
   Ms const inTime = plan.route->target;
-  if (Clock::now() - plan.receivedAt > inTime / startOverWithin) co_return std::nullopt;
+  if (Clock::now() - plan.receivedAt > inTime / secondRoundTargetDivisor) co_return std::nullopt;
   retries.triedWorkers.clear();
-  co_await sleepFor(std::max(Ms(1), inTime / startOverPause));
+  co_await sleepFor(std::max(Ms(1), inTime / secondRoundPauseDivisor));
   if (Clock::now() >= plan.deadline) co_return std::nullopt;
   target = co_await admittedTarget(plan, retries);
   co_return target;
--- a/edge/zone_prober.cpp
+++ b/edge/zone_prober.cpp
@@ -7,7 +7,7 @@
 namespace {
 /// Parts of inTouch: between two rounds, and in which a worker must take or refuse a connection.
 /// And for how long a zone that was reached isn't probed again.
-constexpr int zoneProbePeriodPart = 16, zoneProbeLimitPart = 40, zoneRestPart = 4;
+constexpr int zoneProbePeriodDivisor = 16, zoneProbeTimeoutDivisor = 40, zoneReprobeDivisor = 4;
 }  // namespace
 
 void ZoneProber::start() {
@@ -16,7 +16,7 @@
 
 Task<void> ZoneProber::probeLoop() {
   for (;;) {
-    co_await sleepFor(settings_.bounds.inTouch / zoneProbePeriodPart);
+    co_await sleepFor(settings_.bounds.inTouch / zoneProbePeriodDivisor);
     if (!view_.configuration() || view_.isFresh()) continue;
     for (Worker const& worker : candidates()) spawnTask(io_, "zone probe", probe(worker));
   }
@@ -27,8 +27,9 @@
   std::map<string, vector<Worker const*>> zones;
   for (auto const& [id, worker] : view_.workers()) {
     auto const reached = reachedAt_.find(worker.zone);
-    bool const rests = reached != reachedAt_.end() && now - reached->second < settings_.bounds.inTouch / zoneRestPart;
-    bool const isKnown = rests || balancer_.isOutOfReach(worker.zone);
+    bool const rests =
+        reached != reachedAt_.end() && now - reached->second < settings_.bounds.inTouch / zoneReprobeDivisor;
+    bool const isKnown = rests || balancer_.isZoneUnreachable(worker.zone);
     if (worker.zone != settings_.zone && !isKnown) zones[worker.zone].push_back(&worker);
   }
   ++turn_;
@@ -38,7 +39,8 @@
 }
 
 Task<void> ZoneProber::probe(Worker worker) {
-  bool const reached = co_await takesConnection(io_, worker.address, settings_.bounds.inTouch / zoneProbeLimitPart);
+  bool const reached =
+      co_await respondsToConnect(io_, worker.address, settings_.bounds.inTouch / zoneProbeTimeoutDivisor);
   if (!reached) {
     balancer_.noteUnreached(worker);
     co_return;
--- a/fleet/evacuation.hpp
+++ b/fleet/evacuation.hpp
@@ -15,7 +15,7 @@
 /// True if a worker says that it warms up, or if nothing was heard from it since its zone's evacuation changed (null:
 /// it never did): workers of an evacuated zone may go cold, and are taken for cold until they say otherwise.
 inline bool mayBeWarmingUp(Worker const& worker, Evacuation const* evacuation) {
-  return worker.warmingUp || (evacuation && worker.zoneRevision < evacuation->revision);
+  return worker.warmingUp || (evacuation && worker.evacuationRevision < evacuation->revision);
 }
 
 }  // namespace tealshelf
--- a/fleet/nodes.hpp
+++ b/fleet/nodes.hpp
@@ -9,7 +9,7 @@
   string id, service, zone, version;
   Address address;
   std::uint64_t capacity = 1;
-  std::uint64_t callCount = 0;  ///< rises with each of its heartbeats, so that a late one is known
+  std::uint64_t heartbeatSequence = 0;  ///< rises with each of its heartbeats, so that a late one is known
   bool draining = false;
   bool removed = false;  ///< it said that it ends
   std::int64_t warmupLeftMs = 0;
@@ -19,9 +19,9 @@
   std::uint64_t ejectionRevision = 0;  ///< rises with each change of `ejected`
   bool warmingUp = false;              ///< by its last heartbeat
   /// Revision of its zone's evacuation that the registrar knew when it got the last heartbeat.
-  std::uint64_t zoneRevision = 0;
-  MSGPACK_DEFINE(id, service, zone, version, address, capacity, callCount, draining, removed, warmupLeftMs, lost,
-                 registrar, ejected, ejectionRevision, warmingUp, zoneRevision)
+  std::uint64_t evacuationRevision = 0;
+  MSGPACK_DEFINE(id, service, zone, version, address, capacity, heartbeatSequence, draining, removed, warmupLeftMs,
+                 lost, registrar, ejected, ejectionRevision, warmingUp, evacuationRevision)
 };
 
 /// How requests at a worker went, as seen by those who sent them.
--- a/lots/execution/item_execution.cpp
+++ b/lots/execution/item_execution.cpp
@@ -146,7 +146,8 @@
 
 std::optional<Worker> LotRunner::pickWorker(PickRequest const& pick) {
   Worker const* worker = balancer_.pick(view_, pick, {}).worker;
-  if (!worker && !balancer_.hasFitWarm(view_, pick.service)) worker = balancer_.pickWarmingUp(view_, pick, {});
+  if (!worker && !balancer_.hasHealthyWarmWorker(view_, pick.service))
+    worker = balancer_.pickWarmingUp(view_, pick, {});
   if (!worker) return std::nullopt;
   return *worker;
 }
@@ -182,13 +183,13 @@
   string const workerId = worker->id;
   HttpRequest const request = requestFor(item, lot, *route, *worker, *configuration, events);
   TimePoint const startedAt = Clock::now();
-  std::uint64_t const unreadTokens = item.tokens / 2;
+  std::uint64_t const prefillTokens = item.tokens / 2;
   Exchange exchange(pool_, *worker, true);
-  exchange.mustBeSentBy(admission.sendBy);
-  balancer_.requestStarted(workerId, unreadTokens);
+  exchange.setSendDeadline(admission.sendDeadline);
+  balancer_.requestStarted(workerId, prefillTokens);
   view_.tallyVersion(exchange.worker(), route->name, sentTally());
   SendResult const result = co_await exchange.send(request, item.id, startedAt + 2 * settings_.bounds.inTouch);
-  balancer_.promptRead(workerId, unreadTokens);
+  balancer_.prefillFinished(workerId, prefillTokens);
   bool over = false;
   if (result == SendResult::answered)
     over = co_await readAnswer(run, index, exchange, events, route->tries, startedAt);
--- a/tests/control/evacuation_test.cpp
+++ b/tests/control/evacuation_test.cpp
@@ -10,10 +10,10 @@
     R"({"version":1,"routes":[{"name":"r","host":"h","pathStart":"/","kind":"repeatable","timeLimitMs":1000,"targetMs":100,)"
     R"("service":"app"}],"services":[{"name":"app","warmUpS":3,"warmupPerS":12}],"limits":{}})";
 
-string heartbeat(int warmupLeftMs, int callCount) {
+string heartbeat(int warmupLeftMs, int heartbeatSequence) {
   return R"({"service":"app","address":"127.0.0.1:9","zone":"z","version":"v","capacity":8,"state":"ready",)"
          R"("warmupLeftMs":)" +
-         std::to_string(warmupLeftMs) + R"(,"callCount":)" + std::to_string(callCount) + "}";
+         std::to_string(warmupLeftMs) + R"(,"callCount":)" + std::to_string(heartbeatSequence) + "}";
 }
 
 /// Takes credits for a worker at one node after the other until each refuses; returns how many were granted.
@@ -60,8 +60,8 @@
     CHECK(plane.callUntil(200, 0, "/servers/i-1", heartbeat(warmupLeftMs, 1)));
     for (std::size_t node = 0; node < ControlPlane::nodeCount; ++node) CHECK(plane.waitForWorker(node, "i-1"));
   }
-  void sendHeartbeat(int warmupLeftMs, int callCount) {
-    LONGS_EQUAL(200, plane.call(0, "PUT", "/servers/i-1", heartbeat(warmupLeftMs, callCount)));
+  void sendHeartbeat(int warmupLeftMs, int heartbeatSequence) {
+    LONGS_EQUAL(200, plane.call(0, "PUT", "/servers/i-1", heartbeat(warmupLeftMs, heartbeatSequence)));
   }
 };
 
--- a/tests/control/worker_directory_test.cpp
+++ b/tests/control/worker_directory_test.cpp
@@ -7,10 +7,10 @@
 namespace {
 string const workerPath = "/servers/i-1";
 
-string heartbeatWithState(string const& state, int callCount) {
+string heartbeatWithState(string const& state, int heartbeatSequence) {
   return "{\"service\":\"app\",\"address\":\"127.0.0.1:9\",\"zone\":\"z\",\"version\":\"v\",\"capacity\":8,\"state\":"
          "\"" +
-         state + "\",\"warmupLeftMs\":0,\"callCount\":" + std::to_string(callCount) + "}";
+         state + "\",\"warmupLeftMs\":0,\"callCount\":" + std::to_string(heartbeatSequence) + "}";
 }
 }  // namespace
 
--- a/tests/edge/client_watch_test.cpp
+++ b/tests/edge/client_watch_test.cpp
@@ -44,13 +44,13 @@
   tcp::socket served = acceptor.accept();
   ClientWatch watch(served);
   int calls = 0;
-  watch.onGone([&calls] { ++calls; });
+  watch.onDisconnect([&calls] { ++calls; });
   io.poll();
-  CHECK_FALSE(watch.clientIsGone());
+  CHECK_FALSE(watch.clientDisconnected());
   client.close();
   io.restart();
   io.run_one_for(Ms(1000));
-  CHECK(watch.clientIsGone());
+  CHECK(watch.clientDisconnected());
   LONGS_EQUAL(1, calls);
 }
 TEST(clientWatch, leavesTheBytesOfTheNextRequestAlone) {
@@ -62,7 +62,7 @@
   ClientWatch watch(served);
   asio::write(client, asio::buffer("next", 4));
   io.run_one_for(Ms(1000));
-  CHECK_FALSE(watch.clientIsGone());
+  CHECK_FALSE(watch.clientDisconnected());
   LONGS_EQUAL(4, served.available());
 }
 /// What repeats does no harm is ended at its worker, and goes to no other.
--- a/tests/edge/cold_worker_test.cpp
+++ b/tests/edge/cold_worker_test.cpp
@@ -70,14 +70,14 @@
   warm.capacity = cold.capacity = 8;
   cold.id = "i-1";
   cold.warmingUp = true;
-  CHECK_FALSE(balancer.recentLoadOf("app", Clock::now()).has_value());
+  CHECK_FALSE(balancer.recentMeanLoad("app", Clock::now()).has_value());
   for (int report = 0; report < 40; ++report) balancer.reportLoad(warm, {7, 1, 8});
-  DOUBLES_EQUAL(1.0, *balancer.recentLoadOf("app", Clock::now()), 0.01);
+  DOUBLES_EQUAL(1.0, *balancer.recentMeanLoad("app", Clock::now()), 0.01);
   // What a cold worker tells is no sign of how busy the warm ones are.
   for (int report = 0; report < 40; ++report) balancer.reportLoad(cold, {0, 0, 8});
-  DOUBLES_EQUAL(1.0, *balancer.recentLoadOf("app", Clock::now()), 0.01);
-  CHECK_FALSE(balancer.recentLoadOf("app", Clock::now() + settings.bounds.inTouch).has_value());
-  CHECK_FALSE(balancer.recentLoadOf("other", Clock::now()).has_value());
+  DOUBLES_EQUAL(1.0, *balancer.recentMeanLoad("app", Clock::now()), 0.01);
+  CHECK_FALSE(balancer.recentMeanLoad("app", Clock::now() + settings.bounds.inTouch).has_value());
+  CHECK_FALSE(balancer.recentMeanLoad("other", Clock::now()).has_value());
 }
 TEST(coldWorkers, areNotAskedByThoseWithoutACredit) {
   for (CreditVerdict const verdict : {CreditVerdict::exhausted, CreditVerdict::notCounting}) {
--- a/tests/formats.hpp
+++ b/tests/formats.hpp
@@ -96,7 +96,7 @@
   w.version = "v";
   w.address = {"10.0.0.1", 80};
   w.capacity = 4;
-  w.callCount = 7;
+  w.heartbeatSequence = 7;
   w.draining = true;
   w.warmupLeftMs = 3;
   w.registrar = NodeId(1);
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -201,7 +201,7 @@
   expectBytes("dc0010a3692d31a173a17aa17692a831302e302e302e31500407c3c203c201c302c200", worker());
   Worker warming = worker();
   warming.warmingUp = true;
-  warming.zoneRevision = 5;
+  warming.evacuationRevision = 5;
   expectBytes("dc0010a3692d31a173a17aa17692a831302e302e302e31500407c3c203c201c302c305", warming);
   expectBytes("93a17ac302", Evacuation{"z", true, 2});
   expectBytes("92a36c6d2d01", TakeCredit{"lm-", CreditKind::warmUp});
--- a/tests/traffic/idle_limit_test.cpp
+++ b/tests/traffic/idle_limit_test.cpp
@@ -5,28 +5,28 @@
 using namespace tealshelf;
 
 namespace {
-constexpr Ms quietSpan{4000};
+constexpr Ms recoveryInterval{4000};
 TimePoint const someTime = TimePoint() + std::chrono::hours(1);
 }  // namespace
 
 TEST_GROUP(idleLimit){};
 
 TEST(idleLimit, isAPartOfWhatAWorkerTakes) {
-  IdleLimit limit(quietSpan);
+  IdleConnectionLimit limit(recoveryInterval);
   limit.setMaxConnections(440);
   LONGS_EQUAL(55, limit.value(someTime));
   limit.setMaxConnections(3);
   LONGS_EQUAL(1, limit.value(someTime));
 }
 TEST(idleLimit, halvesWithEachResetAndGrowsAgain) {
-  IdleLimit limit(quietSpan);
+  IdleConnectionLimit limit(recoveryInterval);
   limit.setMaxConnections(440);
   limit.noteReset(20, someTime);
   LONGS_EQUAL(10, limit.value(someTime));
   limit.noteReset(10, someTime);
   LONGS_EQUAL(5, limit.value(someTime));
-  LONGS_EQUAL(8, limit.value(someTime + 3 * quietSpan));
-  LONGS_EQUAL(55, limit.value(someTime + 100 * quietSpan));
+  LONGS_EQUAL(8, limit.value(someTime + 3 * recoveryInterval));
+  LONGS_EQUAL(55, limit.value(someTime + 100 * recoveryInterval));
   for (int reset = 0; reset < 10; ++reset) limit.noteReset(0, someTime);
   LONGS_EQUAL(1, limit.value(someTime));
 }
@@ -34,9 +34,9 @@
 /// whatever each began with, together they soon hold no more than it takes.
 TEST(idleLimit, allNodesTogetherComeBelowTheBound) {
   constexpr std::size_t nodes = 320, maxConnections = 440;
-  vector<IdleLimit> limits(nodes, IdleLimit(quietSpan));
+  vector<IdleConnectionLimit> limits(nodes, IdleConnectionLimit(recoveryInterval));
   vector<std::uint64_t> held(nodes, 0);
-  for (IdleLimit& limit : limits) limit.setMaxConnections(maxConnections);
+  for (IdleConnectionLimit& limit : limits) limit.setMaxConnections(maxConnections);
   std::uint64_t total = 0, resets = 0;
   for (std::size_t step = 0; step < 20000; ++step) {
     std::size_t const node = hash64(std::to_string(step)) % nodes;
--- a/tests/traffic/prefix_test.cpp
+++ b/tests/traffic/prefix_test.cpp
@@ -15,8 +15,8 @@
   placement.choice = choice;
   placement.worker = "i-1";
   placement.workerZone = zone;
-  placement.keeper = "i-2";
-  placement.keeperZone = "z2";
+  placement.preferredWorker = "i-2";
+  placement.preferredZone = "z2";
   return placement;
 }
 }  // namespace
@@ -61,7 +61,7 @@
 TEST(prefixReport, tellsChoicesPerPrefixAndSite) {
   report.record(placementOf(7, PrefixChoice::carried, "z2"), Ms(40));
   report.record(placementOf(7, PrefixChoice::carried, "z2"), Ms(40));
-  report.record(placementOf(7, PrefixChoice::computedHere, "z1"), Ms(150));
+  report.record(placementOf(7, PrefixChoice::recomputedLocal, "z1"), Ms(150));
   string const table = prefixTable(report.json());
   CHECK(table.find(hex(7)) != string::npos);
   CHECK(table.find("150.0") != string::npos);
@@ -75,9 +75,9 @@
 
 TEST(prefixReport, forgetsThePrefixUnusedForLongest) {
   for (std::uint64_t key = 1; key <= PrefixReport::maxPrefixes; ++key)
-    report.record(placementOf(key, PrefixChoice::keptHere, "z1"), Ms(1));
-  report.record(placementOf(1, PrefixChoice::keptHere, "z1"), Ms(1));
-  report.record(placementOf(5000, PrefixChoice::keptHere, "z1"), Ms(1));
+    report.record(placementOf(key, PrefixChoice::cachedLocal, "z1"), Ms(1));
+  report.record(placementOf(1, PrefixChoice::cachedLocal, "z1"), Ms(1));
+  report.record(placementOf(5000, PrefixChoice::cachedLocal, "z1"), Ms(1));
   CHECK_EQUAL(PrefixReport::maxPrefixes, report.size());
   CHECK(prefixTable(report.json()).find(hex(5000)) != string::npos);
   CHECK_FALSE_TEXT(prefixChoicesTable(report.json(), hex(1)).empty(), "used lately");
--- a/tests/traffic/silence_probe_test.cpp
+++ b/tests/traffic/silence_probe_test.cpp
@@ -36,7 +36,7 @@
   }
   bool takes(Address const& to) {
     std::optional<bool> taken;
-    asio::co_spawn(io, takesConnection(io, to, Ms(60)), [&](std::exception_ptr, bool result) { taken = result; });
+    asio::co_spawn(io, respondsToConnect(io, to, Ms(60)), [&](std::exception_ptr, bool result) { taken = result; });
     run(Ms(120));
     return taken.value_or(false);
   }
--- a/tests/traffic/warm_up_fleet_sim.hpp
+++ b/tests/traffic/warm_up_fleet_sim.hpp
@@ -119,7 +119,7 @@
       }
       news.at = beat;
       news.worker.warmingUp = isCold(beat);
-      if (!startsCold_) news.worker.zoneRevision = beat >= registrarKnowsAt ? 2 : 1;
+      if (!startsCold_) news.worker.evacuationRevision = beat >= registrarKnowsAt ? 2 : 1;
       news_.push_back(news);
       beat += heartbeatPeriod;
     }
--- a/tests/traffic/worker_stand_in.hpp
+++ b/tests/traffic/worker_stand_in.hpp
@@ -206,14 +206,14 @@
     install(configuration(++version_, ClientLimits(), true));
   }
   /// A worker's heartbeat reaches the control plane, and this edge is told what it would publish.
-  void hearHeartbeat(int number, Ms warmupLeft, std::uint64_t zoneRevision = 0) {
+  void hearHeartbeat(int number, Ms warmupLeft, std::uint64_t evacuationRevision = 0) {
     string const heartbeat = R"({"service":"app","address":")" + ip + ":" + std::to_string(17685 + number) +
                              R"(","zone":"z","version":"","capacity":8,"state":"ready","warmupLeftMs":)" +
                              std::to_string(warmupLeft.count()) + R"(,"callCount":)" + std::to_string(++heartbeats_) +
                              "}";
     string const id = "i-" + std::to_string(number);
     Worker worker = parseWorkerHeartbeat(id, heartbeat);
-    worker.zoneRevision = zoneRevision;
+    worker.evacuationRevision = evacuationRevision;
     publisher_.common.put("w/" + id, serialize(publishedForm(worker)));
     awaitUpdate();
   }
--- a/tests/traffic/zone_reachability_test.cpp
+++ b/tests/traffic/zone_reachability_test.cpp
@@ -84,17 +84,17 @@
 TEST(zoneReachability, aNodeIsCutOffOnceEveryOtherZoneIsSilent) {
   BalancerRig rig({"own", "a", "b"});
   rig.silence("a");
-  CHECK(!rig.balancer->isCutOff(rig.workers));
+  CHECK(!rig.balancer->isZonePartitioned(rig.workers));
   rig.silence("b");
-  CHECK(rig.balancer->isCutOff(rig.workers));
+  CHECK(rig.balancer->isZonePartitioned(rig.workers));
   rig.balancer->noteReached(rig.workers["a1"]);
-  CHECK(!rig.balancer->isCutOff(rig.workers));
+  CHECK(!rig.balancer->isZonePartitioned(rig.workers));
 }
 /// Where there is but one other zone, each might take itself for the one that is cut off, and nobody would be ready.
 TEST(zoneReachability, oneOtherZoneProvesNothing) {
   BalancerRig rig({"own", "a"});
   rig.silence("a");
-  CHECK(!rig.balancer->isCutOff(rig.workers));
+  CHECK(!rig.balancer->isZonePartitioned(rig.workers));
 }
 TEST(zoneReachability, workersOfASilentZoneAreTheLastResort) {
   BalancerRig rig({"own", "a"});
--- a/tests/workers/outlier_detector_test.cpp
+++ b/tests/workers/outlier_detector_test.cpp
@@ -116,13 +116,13 @@
 TEST(health, aRestIsTheRegistrarsWordAndOutlivesBeats) {
   WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   Worker w = fleet(1)[0];
-  w.callCount = 1;
+  w.heartbeatSequence = 1;
   a.merge(w, now);
   for (Worker const& x : a.takeTransitions()) b.merge(x, now);
   a.setEjected("i-0", true);
   for (Worker const& x : a.takeTransitions()) CHECK(b.merge(x, now));
   CHECK(b.find("i-0")->ejected);
-  w.callCount = 2;
+  w.heartbeatSequence = 2;
   a.merge(w, now);
   CHECK(a.find("i-0")->ejected);
   a.setEjected("i-0", false);
@@ -130,7 +130,7 @@
   CHECK_FALSE(b.find("i-0")->ejected);
 }
 TEST(health, theAgeOfIdleConnectionsIsLearnt) {
-  IdleTrust t(Ms(16000), Ms(25));
+  SafeIdleTime t(Ms(16000), Ms(25));
   LONGS_EQUAL(16000, t.trusted().count());
   t.noteReset(Ms(1500));
   LONGS_EQUAL(750, t.trusted().count());
@@ -138,6 +138,6 @@
   LONGS_EQUAL_TEXT(750, t.trusted().count(), "an older one that was reset tells nothing new");
   t.noteReset(Ms(10));
   LONGS_EQUAL(25, t.trusted().count());
-  for (int k = 0; k < 200; ++k) t.noteWorked(Ms(3000));
+  for (int k = 0; k < 200; ++k) t.noteReused(Ms(3000));
   CHECK(t.trusted() > Ms(2900));
 }
--- a/tests/workers/registry_digest_test.cpp
+++ b/tests/workers/registry_digest_test.cpp
@@ -8,12 +8,12 @@
 namespace {
 NodeId const here(1), elsewhere(2);
 
-Worker workerOf(int number, std::uint64_t callCount, NodeId registrar) {
+Worker workerOf(int number, std::uint64_t heartbeatSequence, NodeId registrar) {
   Worker worker;
   worker.id = "i-" + std::to_string(number);
   worker.service = "s";
   worker.address = {"10.0.0.1", 80};
-  worker.callCount = callCount;
+  worker.heartbeatSequence = heartbeatSequence;
   worker.registrar = registrar;
   return worker;
 }
--- a/tests/workers/worker_registry_test.cpp
+++ b/tests/workers/worker_registry_test.cpp
@@ -12,7 +12,7 @@
     w.id = "i-1";
     w.service = "s";
     w.address = {"10.0.0.1", 80};
-    w.callCount = count;
+    w.heartbeatSequence = count;
     w.draining = draining;
     return w;
   }
@@ -57,7 +57,7 @@
   CHECK_TEXT(b.takeTransitions().empty(), "another's word is not told on");
   for (std::uint64_t n = 2; n < 9; ++n) {
     now += Ms(1200);
-    w.callCount = n;
+    w.heartbeatSequence = n;
     a.merge(w, now);
     CHECK_TEXT(a.takeTransitions().empty(), "a beat like the last one is not told");
     b.noteRegistrarAlive(NodeId(1), now);
@@ -65,7 +65,7 @@
   }
   // The worker goes to the other: that is told, and the old registrar doesn't lose it.
   w.registrar = NodeId(2);
-  w.callCount = 9;
+  w.heartbeatSequence = 9;
   CHECK_FALSE(b.merge(w, now));
   told = b.takeTransitions();
   LONGS_EQUAL(1, told.size());
@@ -100,7 +100,7 @@
   now += Ms(4000);
   for (char const* const id : {"i-0", "i-1"}) {
     Worker w = *a.find(id);
-    w.callCount = 5;
+    w.heartbeatSequence = 5;
     a.merge(w, now);
   }
   CHECK(a.expire(now));
--- a/traffic/connection_pool.cpp
+++ b/traffic/connection_pool.cpp
@@ -4,7 +4,7 @@
 
 namespace tealshelf {
 
-bool WorkerConnection::isQuiet() {
+bool WorkerConnection::isOpenWithoutInput() {
   if (!socket.is_open() || buffer.size()) return false;
   char byte = 0;
   ssize_t const received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -21,13 +21,13 @@
     TimePoint const now = Clock::now();
     WorkerConnection const& candidate = *idle[index];
     bool const expired = now >= candidate.keepUntil;
-    bool const trusted = mayRepeat || now - candidate.idleSince <= trust_.trusted();
+    bool const trusted = mayRepeat || now - candidate.idleSince <= safeIdleTime_.trusted();
     // Before it are only older ones.
     if (!expired && !trusted) break;
     if (!expired && candidate.hasFailed(attempt)) continue;
     std::unique_ptr<WorkerConnection> connection = std::move(idle[index]);
     idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(index));
-    if (!expired && connection->isQuiet()) return connection;
+    if (!expired && connection->isOpenWithoutInput()) return connection;
   }
   return create();
 }
--- a/traffic/connection_pool.hpp
+++ b/traffic/connection_pool.hpp
@@ -9,7 +9,7 @@
   explicit WorkerConnection(asio::io_context& io) : socket(io) {}
   /// True if it is open and neither a byte nor its end has arrived that nobody has read. What lies there before a
   /// request is written belongs to no request that is still to come.
-  bool isQuiet();
+  bool isOpenWithoutInput();
   /// True if an attempt was refused or failed on it: a second answer to that one may come late.
   bool hasFailed(string_view attempt) const;
   tcp::socket socket;
@@ -20,13 +20,13 @@
 
 /// How long a connection may have been idle before it isn't trusted with a request that must not be sent twice: learnt
 /// from those that were reset when they were used again. No input or output of its own.
-class IdleTrust {
+class SafeIdleTime {
  public:
-  IdleTrust(Ms longest, Ms shortest) : longest_(longest), shortest_(shortest), trusted_(longest) {}
+  SafeIdleTime(Ms longest, Ms shortest) : longest_(longest), shortest_(shortest), trusted_(longest) {}
   /// A connection idle for so long was reset when a request was sent on it.
   void noteReset(Ms idle) { trusted_ = std::max(shortest_, std::min(trusted_, idle / 2)); }
   /// One idle for so long still worked: what was learnt fades.
-  void noteWorked(Ms idle) {
+  void noteReused(Ms idle) {
     Ms const raise = idle > trusted_ ? (idle - trusted_) / 4 : Ms(1);
     trusted_ = std::min(longest_, trusted_ + raise);
   }
@@ -40,7 +40,7 @@
 class ConnectionPool {
  public:
   ConnectionPool(asio::io_context& io, Settings const& settings)
-      : io_(io), settings_(settings), trust_(4 * settings.bounds.inTouch, settings.bounds.step / 8) {}
+      : io_(io), settings_(settings), safeIdleTime_(4 * settings.bounds.inTouch, settings.bounds.step / 8) {}
   /// An idle connection on which nothing arrived, or a new one not yet connected. A request that must not be sent twice
   /// gets none that was idle for longer than is trusted, and no attempt gets one on which it failed before: a second
   /// answer to that one could come late and would bear the same id.
@@ -54,15 +54,15 @@
   std::size_t idleCount(string const& worker) const;
   /// Closes what is idle for workers that are gone, for too long, or beyond what the configuration allows by now.
   void sweep(FleetView const& view);
-  IdleTrust& trust() { return trust_; }
+  SafeIdleTime& safeIdleTime() { return safeIdleTime_; }
   asio::io_context& io() { return io_; }
   Settings const& settings() const { return settings_; }
 
  private:
   struct IdleConnections {
-    explicit IdleConnections(Ms quietSpan) : limit(quietSpan) {}
+    explicit IdleConnections(Ms recoveryInterval) : limit(recoveryInterval) {}
     vector<std::unique_ptr<WorkerConnection>> connections;  ///< the one given back last at the end
-    IdleLimit limit;
+    IdleConnectionLimit limit;
   };
   IdleConnections& idleOf(string const& worker) {
     return idle_.try_emplace(worker, settings_.bounds.inTouch).first->second;
@@ -73,7 +73,7 @@
 
   asio::io_context& io_;
   Settings const& settings_;
-  IdleTrust trust_;
+  SafeIdleTime safeIdleTime_;
   std::map<string, IdleConnections> idle_;  ///< by worker
 };
 
--- a/traffic/connection_probe.cpp
+++ b/traffic/connection_probe.cpp
@@ -2,7 +2,7 @@
 
 namespace tealshelf {
 
-Task<bool> takesConnection(asio::io_context& io, Address to, Ms answerWithin) {
+Task<bool> respondsToConnect(asio::io_context& io, Address to, Ms answerWithin) {
   tcp::socket socket(io);
   SocketDeadline deadline(io, socket);
   deadline.expireAt(Clock::now() + answerWithin);
--- a/traffic/event_stream.cpp
+++ b/traffic/event_stream.cpp
@@ -21,7 +21,7 @@
     if (newline == string::npos && carriageReturn == string::npos) break;
     std::size_t const end = std::min(newline == string::npos ? newline : newline + 2,
                                      carriageReturn == string::npos ? carriageReturn : carriageReturn + 4);
-    takeEvent(string_view(partial_).substr(complete, end - complete));
+    parseEvent(string_view(partial_).substr(complete, end - complete));
     complete = end;
   }
   string events = partial_.substr(0, complete);
@@ -29,17 +29,17 @@
   return events;
 }
 
-void EventStreamReader::takeEvent(string_view event) {
+void EventStreamReader::parseEvent(string_view event) {
   while (!event.empty()) {
     std::size_t const newline = event.find('\n');
     string_view line = event.substr(0, newline);
     event.remove_prefix(newline == string_view::npos ? event.size() : newline + 1);
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    takeLine(line);
+    parseLine(line);
   }
 }
 
-void EventStreamReader::takeLine(string_view line) {
+void EventStreamReader::parseLine(string_view line) {
   if (std::optional<string_view> const value = fieldValue(line, "id:")) {
     if (std::optional<std::uint64_t> const id = parseNumber(*value)) {
       lastId_ = *id;
--- a/traffic/event_stream.hpp
+++ b/traffic/event_stream.hpp
@@ -33,8 +33,8 @@
   std::optional<string> data;
 
  private:
-  void takeEvent(string_view event);
-  void takeLine(string_view line);
+  void parseEvent(string_view event);
+  void parseLine(string_view line);
   string partial_;
   std::uint64_t lastId_ = 0;
   bool hasEvents_ = false;
--- a/traffic/exchange.cpp
+++ b/traffic/exchange.cpp
@@ -7,7 +7,7 @@
 constexpr std::uint32_t maxHeadBytes = 64u << 10;
 /// Part of inTouch in which a connection comes up. A worker that is there takes or refuses it at once, however busy it
 /// is; another worker does better than a second try of a lost packet.
-constexpr int connectPart = 20;
+constexpr int connectTimeoutDivisor = 20;
 /// Late answers to other requests that are read past.
 constexpr int maxSkippedAnswers = 3;
 constexpr std::size_t maxSkippedBytes = 1u << 16;
@@ -72,7 +72,7 @@
       co_return SendResult::notSent;
     }
   }
-  if (Clock::now() >= sendBy_) {
+  if (Clock::now() >= sendDeadline_) {
     abort();
     co_return SendResult::notSent;
   }
@@ -94,12 +94,12 @@
   if (newConnection_)
     pool_.noteReset(worker_.id);
   else
-    pool_.trust().noteReset(idleBefore_);
+    pool_.safeIdleTime().noteReset(idleBefore_);
 }
 
 Task<bool> Exchange::connect(TimePoint until) {
   Bounds const& bounds = pool_.settings().bounds;
-  deadline_->expireAt(std::min(until, Clock::now() + bounds.inTouch / connectPart));
+  deadline_->expireAt(std::min(until, Clock::now() + bounds.inTouch / connectTimeoutDivisor));
   error_code error;
   co_await connection_->socket.async_connect(endpointOf(worker_.address),
                                              asio::redirect_error(asio::use_awaitable, error));
@@ -115,7 +115,7 @@
   http::request_serializer<http::string_body> serializer(request);
   std::size_t sent = 0;
   while (!serializer.is_done()) {
-    if (!connection_->isQuiet()) co_return sent ? WriteResult::disturbed : WriteResult::nothing;
+    if (!connection_->isOpenWithoutInput()) co_return sent ? WriteResult::inputArrived : WriteResult::nothing;
     error_code error;
     sent += co_await http::async_write_some(connection_->socket, serializer,
                                             asio::redirect_error(asio::use_awaitable, error));
@@ -150,7 +150,7 @@
       if (!goesOn) co_return giveUp();
       continue;
     }
-    if (!newConnection_) pool_.trust().noteWorked(idleBefore_);
+    if (!newConnection_) pool_.safeIdleTime().noteReused(idleBefore_);
     if (!isRefusal()) co_return SendResult::answered;
     // A success that says it was not run contradicts itself.
     if (status() < 300) co_return giveUp();
@@ -163,7 +163,7 @@
 
 /// Reads an answer to its end and lets it go; true if another may follow on the connection.
 Task<bool> Exchange::skipAnswer(TimePoint until) {
-  if (endsWithConnection()) co_return false;
+  if (isCloseDelimited()) co_return false;
   bool const keepAlive = parser_->get().keep_alive();
   std::size_t bytes = 0;
   string piece;
@@ -178,7 +178,7 @@
 
 /// The parser knows how the body is framed; the message would call every answer that closes its connection one without
 /// an end of its own, chunked ones too.
-bool Exchange::endsWithConnection() const {
+bool Exchange::isCloseDelimited() const {
   return parser_ && parser_->need_eof();
 }
 
@@ -204,11 +204,11 @@
 }
 
 Task<BodyState> Exchange::readEvents(string& body, TimePoint until) {
-  if (connection_ && !parser_->is_done() && endsWithConnection()) abort();
+  if (connection_ && !parser_->is_done() && isCloseDelimited()) abort();
   co_return co_await readBody(body, until);
 }
 
-Ms Exchange::keepTime() const {
+Ms Exchange::keepAliveTime() const {
   Ms const inTouch = pool_.settings().bounds.inTouch;
   Ms keep = inTouch;
   string const keepAlive = header("Keep-Alive");
@@ -224,7 +224,7 @@
   deadline_.reset();
   bool const clean = connection_->buffer.size() == 0 && connection_->socket.is_open();
   if (!parser_->get().keep_alive() || !clean) return abort();
-  Ms const keep = keepTime();
+  Ms const keep = keepAliveTime();
   if (keep <= Ms(0)) return abort();
   if (status() >= 300) connection_->failedAttempts.push_back(hash64(attempt_));
   if (connection_->failedAttempts.size() > maxFailedAttempts) return abort();
--- a/traffic/exchange.hpp
+++ b/traffic/exchange.hpp
@@ -38,7 +38,7 @@
       : pool_(pool), worker_(worker), mayRepeat_(mayRepeat) {}
   ~Exchange();
   /// From this time on the request is no longer written; send() then ends as notSent.
-  void mustBeSentBy(TimePoint sendBy) { sendBy_ = sendBy; }
+  void setSendDeadline(TimePoint sendDeadline) { sendDeadline_ = sendDeadline; }
   /// Sends the request and reads the head of the answer that bears its id. Any doubt closes the connection and ends as
   /// maybeRun.
   Task<SendResult> send(HttpRequest const& request, string attempt, TimePoint until);
@@ -70,7 +70,7 @@
 
  private:
   /// How the write of a request ended.
-  enum class WriteResult { whole, nothing, part, disturbed };
+  enum class WriteResult { whole, nothing, part, inputArrived };
   /// The worker reset the connection before it gave an answer.
   void noteReset();
   Task<bool> connect(TimePoint until);
@@ -80,11 +80,11 @@
   Task<bool> skipAnswer(TimePoint until);
   bool isRefusal() const;
   /// True if nothing but the end of the connection tells where the answer ends.
-  bool endsWithConnection() const;
+  bool isCloseDelimited() const;
   /// Closes the connection; the result for a request of which something may have been sent.
   SendResult giveUp();
   /// How long the connection may be kept idle; 0 if it can't be.
-  Ms keepTime() const;
+  Ms keepAliveTime() const;
 
   ConnectionPool& pool_;
   Worker worker_;
@@ -92,7 +92,7 @@
   std::unique_ptr<SocketDeadline> deadline_;
   std::optional<http::response_parser<http::buffer_body>> parser_;
   string attempt_;
-  TimePoint sendBy_ = TimePoint::max();
+  TimePoint sendDeadline_ = TimePoint::max();
   bool mayRepeat_ = false;
   bool newConnection_ = false;
   bool connectionWasUnanswered_ = false;
--- a/traffic/idle_limit.hpp
+++ b/traffic/idle_limit.hpp
@@ -8,32 +8,32 @@
 /// A worker takes `maxConnections` from all nodes together and resets more, and no node knows what the others hold. So
 /// each keeps a part of them at the most, half as many after a new connection was reset, and one more again after each
 /// quiet span, as congestion windows do.
-class IdleLimit {
+class IdleConnectionLimit {
  public:
-  explicit IdleLimit(Ms quietSpan) : quietSpan_(quietSpan) {}
+  explicit IdleConnectionLimit(Ms recoveryInterval) : recoveryInterval_(recoveryInterval) {}
 
   /// Takes what the service's configuration says over; 0: no bound.
   void setMaxConnections(std::uint64_t maxConnections) {
-    constexpr std::uint64_t partOfOneNode = 8;
-    most_ = maxConnections ? std::max<std::uint64_t>(1, maxConnections / partOfOneNode) : unbounded;
+    constexpr std::uint64_t nodeShareDivisor = 8;
+    most_ = maxConnections ? std::max<std::uint64_t>(1, maxConnections / nodeShareDivisor) : unbounded;
   }
   /// A new connection was reset while this node held so many idle ones.
   void noteReset(std::size_t idle, TimePoint now) {
-    learnt_ = std::max<std::uint64_t>(1, std::min<std::uint64_t>(value(now), idle) / 2);
-    learntAt_ = now;
+    reducedLimit_ = std::max<std::uint64_t>(1, std::min<std::uint64_t>(value(now), idle) / 2);
+    limitReducedAt_ = now;
   }
   /// The limit at a time; one at the least.
   std::uint64_t value(TimePoint now) const {
-    if (learnt_ == unbounded) return most_;
-    std::uint64_t const quietSpans = static_cast<std::uint64_t>((now - learntAt_) / quietSpan_);
-    return std::min(most_, learnt_ + quietSpans);
+    if (reducedLimit_ == unbounded) return most_;
+    std::uint64_t const recoveryIntervals = static_cast<std::uint64_t>((now - limitReducedAt_) / recoveryInterval_);
+    return std::min(most_, reducedLimit_ + recoveryIntervals);
   }
 
  private:
   static constexpr std::uint64_t unbounded = std::numeric_limits<std::uint64_t>::max();
-  Ms quietSpan_;
-  std::uint64_t most_ = unbounded, learnt_ = unbounded;
-  TimePoint learntAt_;
+  Ms recoveryInterval_;
+  std::uint64_t most_ = unbounded, reducedLimit_ = unbounded;
+  TimePoint limitReducedAt_;
 };
 
 }  // namespace tealshelf
--- a/traffic/load_balancer.cpp
+++ b/traffic/load_balancer.cpp
@@ -4,21 +4,21 @@
 
 namespace {
 /// A prompt is weighed in pieces of so many tokens, each of which costs as much as so much load.
-constexpr double pieceTokens = 1024;
-constexpr double pieceCost = 0.25;
+constexpr double costUnitTokens = 1024;
+constexpr double costPerUnit = 0.25;
 /// Workers drawn at random before all are weighed.
-constexpr int randomDraws = 3;
+constexpr int randomSamples = 3;
 constexpr int maxWorkerFailures = 5;
 /// How much one report of a worker counts in the mean load of its service.
 constexpr double newReportWeight = 0.125;
 /// After so many failures in a row a worker is passed over, however it failed.
-constexpr int failuresUntilOut = 2;
+constexpr int failuresUntilAvoided = 2;
 
 /// With fewer other zones none can tell whether it is cut off itself, or the other.
-constexpr std::size_t zonesThatProveACut = 2;
+constexpr std::size_t minZonesForPartition = 2;
 
 double costOfTokens(double tokens) {
-  return pieceCost * tokens / pieceTokens;
+  return costPerUnit * tokens / costUnitTokens;
 }
 
 /// Rank of a worker for a session, in rendezvous hashing.
@@ -30,18 +30,18 @@
 }
 }  // namespace
 
-void LoadBalancer::requestStarted(string const& worker, std::uint64_t unreadTokens) {
+void LoadBalancer::requestStarted(string const& worker, std::uint64_t prefillTokens) {
   WorkerState& state = workers_[worker];
   ++state.ownRequests;
   ++state.ownSinceReport;
-  ++state.unreadRequests;
-  state.unreadTokens += static_cast<std::int64_t>(unreadTokens);
+  ++state.prefillRequests;
+  state.prefillTokens += static_cast<std::int64_t>(prefillTokens);
 }
 
-void LoadBalancer::promptRead(string const& worker, std::uint64_t unreadTokens) {
+void LoadBalancer::prefillFinished(string const& worker, std::uint64_t prefillTokens) {
   WorkerState& state = workers_[worker];
-  --state.unreadRequests;
-  state.unreadTokens -= static_cast<std::int64_t>(unreadTokens);
+  --state.prefillRequests;
+  state.prefillTokens -= static_cast<std::int64_t>(prefillTokens);
 }
 
 void LoadBalancer::requestEnded(string const& worker) {
@@ -64,7 +64,7 @@
   service.toldAt = state.reportedAt;
 }
 
-std::optional<double> LoadBalancer::recentLoadOf(string const& service, TimePoint now) const {
+std::optional<double> LoadBalancer::recentMeanLoad(string const& service, TimePoint now) const {
   auto const known = serviceLoads_.find(service);
   if (known == serviceLoads_.end() || now - known->second.toldAt >= settings_.bounds.inTouch) return std::nullopt;
   return known->second.mean;
@@ -77,7 +77,7 @@
 void LoadBalancer::markFailed(string const& worker, bool unreachable) {
   WorkerState& state = workers_[worker];
   state.failures = std::min(state.failures + 1, maxWorkerFailures);
-  if (!unreachable && state.failures < failuresUntilOut) return;
+  if (!unreachable && state.failures < failuresUntilAvoided) return;
   Ms const backoff = (settings_.bounds.inTouch / 12) * (1 << state.failures);
   state.failedUntil = Clock::now() + backoff;
 }
@@ -91,7 +91,7 @@
   zones_.noteSilence(worker.zone, worker.id, Clock::now());
 }
 
-bool LoadBalancer::isCutOff(std::map<string, Worker> const& workers) const {
+bool LoadBalancer::isZonePartitioned(std::map<string, Worker> const& workers) const {
   if (!zones_.hasSilent()) return false;
   std::set<string_view> others;
   for (auto const& [id, worker] : workers) {
@@ -99,7 +99,7 @@
     if (!zones_.isSilent(worker.zone)) return false;
     others.insert(worker.zone);
   }
-  return others.size() >= zonesThatProveACut;
+  return others.size() >= minZonesForPartition;
 }
 
 double LoadBalancer::loadOf(WorkerState const& state, Worker const& worker, TimePoint now) const {
@@ -117,9 +117,9 @@
 
 double LoadBalancer::costOf(Candidate const& candidate, TimePoint now) const {
   WorkerState const& state = *candidate.state;
-  double cost = loadOf(state, *candidate.worker, now) + costOfTokens(static_cast<double>(state.unreadTokens));
+  double cost = loadOf(state, *candidate.worker, now) + costOfTokens(static_cast<double>(state.prefillTokens));
   bool const freshReport = now - state.reportedAt < settings_.bounds.step;
-  if (freshReport) cost += pieceCost * static_cast<double>(state.reportedWaiting);
+  if (freshReport) cost += costPerUnit * static_cast<double>(state.reportedWaiting);
   return cost;
 }
 
@@ -153,11 +153,11 @@
   return candidates;
 }
 
-bool LoadBalancer::hasWarmingUp(FleetView const& view, string const& service) {
+bool LoadBalancer::hasWarmingUpWorker(FleetView const& view, string const& service) {
   return !candidatesFor(view, service, Group::warmingUp).empty();
 }
 
-bool LoadBalancer::hasFitWarm(FleetView const& view, string const& service) {
+bool LoadBalancer::hasHealthyWarmWorker(FleetView const& view, string const& service) {
   TimePoint const now = Clock::now();
   vector<Candidate> const& candidates = candidatesFor(view, service, Group::stable);
   return std::any_of(candidates.begin(), candidates.end(), [this, now](Candidate const& candidate) {
@@ -182,7 +182,7 @@
   if (!tried.empty() && tried.contains(candidate.worker->id)) return Fitness::none;
   bool const avoided = isAvoided(state, *candidate.worker, now);
   if (request.background) {
-    bool const busy = state.unreadRequests > 0 || loadOf(state, *candidate.worker, now) > 1 - request.reservedShare;
+    bool const busy = state.prefillRequests > 0 || loadOf(state, *candidate.worker, now) > 1 - request.reservedShare;
     if (avoided || busy) return Fitness::none;
   }
   return avoided ? Fitness::lastResort : Fitness::good;
@@ -202,8 +202,8 @@
 Pick LoadBalancer::pickFrom(vector<Candidate> const& candidates, PickRequest const& request,
                             std::set<string> const& tried, TimePoint now) {
   if (candidates.empty()) return {};
-  bool const pinned = static_cast<double>(request.sharedTokens) >= pieceTokens;
-  if (pinned) return pickPinned(candidates, request, tried, now);
+  bool const hasAffinity = static_cast<double>(request.sharedTokens) >= costUnitTokens;
+  if (hasAffinity) return pickWithAffinity(candidates, request, tried, now);
   return {pickAny(candidates, request, tried, now), std::nullopt};
 }
 
@@ -217,7 +217,7 @@
   };
   // A few drawn at random will do; all are weighed if those don't.
   Best drawn;
-  for (int draw = 0; draw < randomDraws; ++draw) weigh(drawn, candidates[nextRandom() % candidates.size()]);
+  for (int draw = 0; draw < randomSamples; ++draw) weigh(drawn, candidates[nextRandom() % candidates.size()]);
   if (drawn.fitness == Fitness::good) return drawn.worker;
   Best best;
   std::size_t const start = nextRandom() % candidates.size();
@@ -226,17 +226,17 @@
 }
 
 /// The first worker in rendezvous order likely keeps the shared parts, the second may; all others read them again.
-Pick LoadBalancer::pickPinned(vector<Candidate> const& candidates, PickRequest const& request,
-                              std::set<string> const& tried, TimePoint now) const {
-  Candidate const* keeper = nullptr;  // the first of all, those that are passed over too
+Pick LoadBalancer::pickWithAffinity(vector<Candidate> const& candidates, PickRequest const& request,
+                                    std::set<string> const& tried, TimePoint now) const {
+  Candidate const* preferredWorker = nullptr;  // the first of all, those that are passed over too
   Candidate const* first = nullptr;
   Candidate const* second = nullptr;
-  std::uint64_t keeperRank = 0, firstRank = 0, secondRank = 0;
+  std::uint64_t preferredRank = 0, firstRank = 0, secondRank = 0;
   for (Candidate const& candidate : candidates) {
     std::uint64_t const rank = rendezvousRank(candidate.hash, request.sessionKey);
-    if (!keeper || rank > keeperRank) {
-      keeper = &candidate;
-      keeperRank = rank;
+    if (!preferredWorker || rank > preferredRank) {
+      preferredWorker = &candidate;
+      preferredRank = rank;
     }
     if (fitnessOf(candidate, request, tried, now) != Fitness::good) continue;
     if (!first || rank > firstRank) {
@@ -259,27 +259,27 @@
     if (fitness > best.fitness || cost < best.cost) best = Best{candidate.worker, fitness, cost};
   }
   if (!best.worker) return {};
-  return {best.worker, placementOf(*keeper, request, tried, best, now)};
+  return {best.worker, placementOf(*preferredWorker, request, tried, best, now)};
 }
 
-PrefixPlacement LoadBalancer::placementOf(Candidate const& keeper, PickRequest const& request,
+PrefixPlacement LoadBalancer::placementOf(Candidate const& preferredWorker, PickRequest const& request,
                                           std::set<string> const& tried, Best const& best, TimePoint now) const {
-  bool const isKept = keeper.worker == best.worker;
+  bool const isPreferred = preferredWorker.worker == best.worker;
   bool const isHere = best.worker->zone == settings_.zone;
   PrefixPlacement placement;
   placement.prefixKey = request.sessionKey;
   placement.sharedTokens = request.sharedTokens;
-  if (isKept)
-    placement.choice = isHere ? PrefixChoice::keptHere : PrefixChoice::carried;
+  if (isPreferred)
+    placement.choice = isHere ? PrefixChoice::cachedLocal : PrefixChoice::carried;
   else
-    placement.choice = isHere ? PrefixChoice::computedHere : PrefixChoice::computedElsewhere;
-  bool const isFit = fitnessOf(keeper, request, tried, now) == Fitness::good;
-  if (!isKept) placement.reason = isFit ? PrefixReason::loaded : PrefixReason::unfit;
+    placement.choice = isHere ? PrefixChoice::recomputedLocal : PrefixChoice::recomputedRemote;
+  bool const isFit = fitnessOf(preferredWorker, request, tried, now) == Fitness::good;
+  if (!isPreferred) placement.reason = isFit ? PrefixReason::loaded : PrefixReason::unfit;
   placement.worker = best.worker->id;
   placement.workerZone = best.worker->zone;
-  placement.keeper = keeper.worker->id;
-  placement.keeperZone = keeper.worker->zone;
-  placement.keeperCost = costOf(keeper, now);
+  placement.preferredWorker = preferredWorker.worker->id;
+  placement.preferredZone = preferredWorker.worker->zone;
+  placement.preferredCost = costOf(preferredWorker, now);
   placement.chosenCost = best.cost;
   return placement;
 }
--- a/traffic/load_balancer.hpp
+++ b/traffic/load_balancer.hpp
@@ -34,15 +34,15 @@
   /// The best worker that warms up; null if there is none. What it may be sent is decided elsewhere (WarmUpGate).
   Worker const* pickWarmingUp(FleetView const& view, PickRequest const& request, std::set<string> const& tried);
   /// True if a worker of a service that takes ordinary traffic warms up.
-  bool hasWarmingUp(FleetView const& view, string const& service);
+  bool hasWarmingUpWorker(FleetView const& view, string const& service);
   /// True if one of them is warm and neither failed nor full lately, as far as is known here.
-  bool hasFitWarm(FleetView const& view, string const& service);
+  bool hasHealthyWarmWorker(FleetView const& view, string const& service);
   /// True if a worker is taken only where there is no other: it failed or was full lately, or is ejected.
   bool isLastResort(Worker const& worker) const;
   /// A request goes to a worker that has so many prompt tokens of it to read; then its first output came; then it
   /// ended.
-  void requestStarted(string const& worker, std::uint64_t unreadTokens);
-  void promptRead(string const& worker, std::uint64_t unreadTokens);
+  void requestStarted(string const& worker, std::uint64_t prefillTokens);
+  void prefillFinished(string const& worker, std::uint64_t prefillTokens);
   void requestEnded(string const& worker);
   /// A worker told its own load.
   void reportLoad(Worker const& worker, WorkerLoad const& load);
@@ -58,15 +58,15 @@
   /// A connection to a worker stayed without an answer: it, or its zone, is out of reach.
   void noteUnreached(Worker const& worker);
   /// True if a zone's workers gave no answer of any kind since one of them last did.
-  bool isOutOfReach(string const& zone) const { return zones_.isSilent(zone); }
+  bool isZoneUnreachable(string const& zone) const { return zones_.isSilent(zone); }
   /// True if no zone but the own one can be reached, as far as its workers show; false where there are fewer than two
   /// others.
-  bool isCutOff(std::map<string, Worker> const& workers) const;
+  bool isZonePartitioned(std::map<string, Worker> const& workers) const;
   /// Load as a part of its slots; over 1 if requests wait.
   double load(Worker const& worker, TimePoint now) const;
   /// The mean load that warm workers of a service told lately; nothing if none did. This node may not have asked the
   /// next worker for long, and then takes it for idle.
-  std::optional<double> recentLoadOf(string const& service, TimePoint now) const;
+  std::optional<double> recentMeanLoad(string const& service, TimePoint now) const;
   /// Requests of this node that are under way at a worker.
   std::int64_t runningAt(string const& worker) const;
   /// Forgets workers that are gone.
@@ -79,7 +79,7 @@
     std::int64_t reportedRequests = 0;  ///< running and waiting, by the worker's own word
     std::int64_t reportedWaiting = 0;
     std::int64_t ownSinceReport = 0;  ///< this node's requests started less ended since that word
-    std::int64_t unreadTokens = 0, unreadRequests = 0;
+    std::int64_t prefillTokens = 0, prefillRequests = 0;
     TimePoint reportedAt, failedUntil, fullUntil;
     int failures = 0;  ///< in a row
   };
@@ -124,11 +124,11 @@
   double costOf(Candidate const& candidate, TimePoint now) const;
   Worker const* pickAny(vector<Candidate> const& candidates, PickRequest const& request, std::set<string> const& tried,
                         TimePoint now);
-  Pick pickPinned(vector<Candidate> const& candidates, PickRequest const& request, std::set<string> const& tried,
-                  TimePoint now) const;
+  Pick pickWithAffinity(vector<Candidate> const& candidates, PickRequest const& request, std::set<string> const& tried,
+                        TimePoint now) const;
   /// How a request was placed, beside the worker that should keep its prefix: the first of all in rendezvous order.
-  PrefixPlacement placementOf(Candidate const& keeper, PickRequest const& request, std::set<string> const& tried,
-                              Best const& best, TimePoint now) const;
+  PrefixPlacement placementOf(Candidate const& preferredWorker, PickRequest const& request,
+                              std::set<string> const& tried, Best const& best, TimePoint now) const;
   std::uint64_t nextRandom();
 
   Settings const& settings_;
--- a/traffic/prefix_placement.hpp
+++ b/traffic/prefix_placement.hpp
@@ -7,10 +7,10 @@
 /// other on today's wire, so carrying means sending the request to the site whose worker keeps the prefix, and
 /// computing means that another worker reads the prefix again.
 enum class PrefixChoice {
-  keptHere,          ///< at the worker that should keep it, in this node's zone
-  carried,           ///< at the worker that should keep it, in another zone
-  computedHere,      ///< at another worker of this node's zone
-  computedElsewhere  ///< at another worker of another zone
+  cachedLocal,      ///< at the worker that should keep it, in this node's zone
+  carried,          ///< at the worker that should keep it, in another zone
+  recomputedLocal,  ///< at another worker of this node's zone
+  recomputedRemote  ///< at another worker of another zone
 };
 
 /// Why the worker that should keep the prefix wasn't taken.
@@ -27,12 +27,12 @@
 struct PrefixPlacement {
   std::uint64_t prefixKey = 0;
   std::uint64_t sharedTokens = 0;
-  PrefixChoice choice = PrefixChoice::keptHere;
+  PrefixChoice choice = PrefixChoice::cachedLocal;
   PrefixReason reason = PrefixReason::none;
   string worker, workerZone;
-  string keeper, keeperZone;  ///< the worker that should keep the prefix
+  string preferredWorker, preferredZone;  ///< the worker that should keep the prefix
   /// What the balancer foretold, in loads (1: all slots of a worker taken): at the keeper, and where it was placed.
-  double keeperCost = 0, chosenCost = 0;
+  double preferredCost = 0, chosenCost = 0;
 };
 
 }  // namespace tealshelf
--- a/traffic/prefix_report.cpp
+++ b/traffic/prefix_report.cpp
@@ -45,9 +45,9 @@
   count(placement);
   Prefix& prefix = touch(placement);
   prefix.sharedTokens = placement.sharedTokens;
-  prefix.keeper = placement.keeper;
-  prefix.keeperZone = placement.keeperZone;
-  if (prefix.sites.contains(placement.workerZone) || prefix.sites.size() < maxSites) {
+  prefix.preferredWorker = placement.preferredWorker;
+  prefix.preferredZone = placement.preferredZone;
+  if (prefix.sites.contains(placement.workerZone) || prefix.sites.size() < maxZones) {
     Site& site = prefix.sites[placement.workerZone];
     bool const isFirst = site.firstOutputMs == 0;
     double const observed = static_cast<double>(firstOutput.count());
@@ -66,8 +66,8 @@
     writer.StartObject();
     writeField(writer, "prefix", hex(prefix.key));
     writeField(writer, "tokens", prefix.sharedTokens);
-    writeField(writer, "keeper", prefix.keeper);
-    writeField(writer, "keeperZone", prefix.keeperZone);
+    writeField(writer, "keeper", prefix.preferredWorker);
+    writeField(writer, "keeperZone", prefix.preferredZone);
     writer.Key("sites");
     writer.StartArray();
     for (auto const& [zone, site] : prefix.sites) {
@@ -87,7 +87,7 @@
       writeField(writer, "reason", nameOf(past.placement.reason));
       writeField(writer, "worker", past.placement.worker);
       writeField(writer, "zone", past.placement.workerZone);
-      writeReal(writer, "keeperCost", past.placement.keeperCost);
+      writeReal(writer, "keeperCost", past.placement.preferredCost);
       writeReal(writer, "chosenCost", past.placement.chosenCost);
       writeField(writer, "firstOutputMs", static_cast<std::uint64_t>(past.firstOutput.count()));
       writer.EndObject();
--- a/traffic/prefix_report.hpp
+++ b/traffic/prefix_report.hpp
@@ -15,7 +15,7 @@
 class PrefixReport {
  public:
   static constexpr std::size_t maxPrefixes = 1024;
-  static constexpr std::size_t maxSites = 16;   ///< zones told of one prefix
+  static constexpr std::size_t maxZones = 16;   ///< zones told of one prefix
   static constexpr std::size_t maxChoices = 8;  ///< last choices kept of one prefix
 
   explicit PrefixReport(Metrics& metrics) : metrics_(metrics) {}
@@ -36,7 +36,7 @@
   };
   struct Prefix {
     std::uint64_t key = 0, sharedTokens = 0;
-    string keeper, keeperZone;
+    string preferredWorker, preferredZone;
     std::map<string, Site> sites;  ///< by the zone of the worker
     std::deque<PastChoice> last;
   };
--- a/traffic/silence_probe.cpp
+++ b/traffic/silence_probe.cpp
@@ -19,7 +19,7 @@
     bool const isSilent = co_await awaitSilence(state);
     if (!isSilent) co_return;
     TimePoint const silentSince = state->progressAt;
-    bool const reachable = co_await takesConnection(state->io, state->worker, state->timing.answerWithin);
+    bool const reachable = co_await respondsToConnect(state->io, state->worker, state->timing.answerWithin);
     if (state->stopped) co_return;
     if (state->progressAt != silentSince) continue;
     state->timing.silence *= 2;
--- a/traffic/warm_up_gate.cpp
+++ b/traffic/warm_up_gate.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 /// A health answer is awaited for this part of inTouch.
-constexpr int probeLimitPart = 16;
+constexpr int healthProbeTimeoutDivisor = 16;
 
 /// The time for which a worker says that it warms up yet; nothing if it doesn't say that it is well.
 std::optional<Ms> warmUpLeft(Exchange const& exchange) {
@@ -62,12 +62,14 @@
   HttpRequest const request = healthRequest(worker, healthPath);
   Exchange exchange(pool_, worker, true);
   probes_.increment();
-  SendResult const result = co_await exchange.send(request, "", std::min(until, askedAt + inTouch / probeLimitPart));
+  SendResult const result =
+      co_await exchange.send(request, "", std::min(until, askedAt + inTouch / healthProbeTimeoutDivisor));
   if (result != SendResult::answered) co_return Admission{false, TimePoint::max(), true};
   if (warmUpLeft(exchange) != Ms(0)) co_return Admission{false, TimePoint::max()};
   string body;
   BodyState state = BodyState::partial;
-  while (state == BodyState::partial) state = co_await exchange.readBody(body, askedAt + inTouch / probeLimitPart);
+  while (state == BodyState::partial)
+    state = co_await exchange.readBody(body, askedAt + inTouch / healthProbeTimeoutDivisor);
   if (state == BodyState::complete) exchange.release();
   co_return Admission{true, Clock::now() + warmUpProbeTrust(settings_.bounds)};
 }
--- a/traffic/warm_up_gate.hpp
+++ b/traffic/warm_up_gate.hpp
@@ -16,8 +16,8 @@
   /// Leave to send one request.
   struct Admission {
     bool isGranted = true;
-    TimePoint sendBy = TimePoint::max();  ///< it must be on its way by then
-    bool isUnanswered = false;            ///< the worker was asked for its health and gave no answer
+    TimePoint sendDeadline = TimePoint::max();  ///< it must be on its way by then
+    bool isUnanswered = false;                  ///< the worker was asked for its health and gave no answer
   };
   WarmUpGate(Settings const& settings, RpcClient& rpc, FleetView& view, ConnectionPool& pool);
 
--- a/workers/outlier_detector.cpp
+++ b/workers/outlier_detector.cpp
@@ -5,10 +5,10 @@
 namespace tealshelf {
 
 namespace {
-constexpr double maxReported = 1e6;  ///< a count above this is none
-constexpr double minReported = 0.5;  ///< fewer failures aren't told to other control nodes
-constexpr int maxRepetitions = 4;    ///< an ejection doubles so often at the most
-constexpr int forgetHalfLives = 8;   ///< after so long without an ejection the next one is short again
+constexpr double maxPlausibleCount = 1e6;    ///< a count above this is none
+constexpr double minReportedFailures = 0.5;  ///< fewer failures aren't told to other control nodes
+constexpr int maxRepetitions = 4;            ///< an ejection doubles so often at the most
+constexpr int ejectionMemoryHalfLives = 8;   ///< after so long without an ejection the next one is short again
 }  // namespace
 
 void OutlierDetector::decay(Counts& counts, TimePoint now) const {
@@ -24,7 +24,7 @@
 }
 
 void OutlierDetector::record(vector<WorkerTally> const& tallies, TimePoint now) {
-  auto const valid = [](double count) { return count >= 0 && count <= maxReported; };
+  auto const valid = [](double count) { return count >= 0 && count <= maxPlausibleCount; };
   for (WorkerTally const& tally : tallies) {
     if (!valid(tally.succeeded) || !valid(tally.failed)) continue;
     Counts& counts = own_[tally.worker];
@@ -46,7 +46,7 @@
   for (auto const& [worker, counts] : own_) {
     Counts decayed = counts;
     decay(decayed, now);
-    if (decayed.failed > minReported) tallies.push_back({worker, decayed.succeeded, decayed.failed});
+    if (decayed.failed > minReportedFailures) tallies.push_back({worker, decayed.succeeded, decayed.failed});
   }
   return tallies;
 }
@@ -70,7 +70,7 @@
   if (worker.total() < thresholds_.minRequests || worker.failed < thresholds_.minFailures) return false;
   double const othersTotal = service.total() - worker.total();
   double const othersRate = othersTotal > 0 ? (service.failed - worker.failed) / othersTotal : 0;
-  double const relative = std::min(thresholds_.certainFailureRate, thresholds_.timesMean * othersRate);
+  double const relative = std::min(thresholds_.certainFailureRate, thresholds_.meanRateMultiple * othersRate);
   return worker.failed / worker.total() >= std::max(thresholds_.minFailureRate, relative);
 }
 
@@ -105,10 +105,10 @@
     }
     ServiceCounts& service = services[worker.service];
     if (!isOutlier(totals[worker.id], service.counts)) continue;
-    double const limit = thresholds_.maxEjectedPart * static_cast<double>(service.workers);
+    double const limit = thresholds_.maxEjectedShare * static_cast<double>(service.workers);
     if (static_cast<double>(service.ejected + 1) > limit) continue;
     ++service.ejected;
-    bool const again = now - ejection.endedAt < forgetHalfLives * halfLife_;
+    bool const again = now - ejection.endedAt < ejectionMemoryHalfLives * halfLife_;
     ejection.repetitions = again ? std::min(ejection.repetitions + 1, maxRepetitions) : 0;
     ejection.until = now + halfLife_ * (1 << ejection.repetitions);
     changes.push_back({worker.id, true});
--- a/workers/outlier_detector.hpp
+++ b/workers/outlier_detector.hpp
@@ -11,11 +11,11 @@
  public:
   struct Thresholds {
     double minFailureRate = 0.1;       ///< share of failed requests below which nobody is ejected
-    double timesMean = 3;              ///< so many times the mean failure rate of the service
+    double meanRateMultiple = 3;       ///< so many times the mean failure rate of the service
     double certainFailureRate = 0.75;  ///< from this rate on a worker is ejected however the others are
     double minRequests = 6;            ///< so many requests must have been seen, decayed
     double minFailures = 2.5;          ///< and so many failures, so that one by chance proves nothing
-    double maxEjectedPart = 1.0 / 3;   ///< of a service's workers at once
+    double maxEjectedShare = 1.0 / 3;  ///< of a service's workers at once
   };
   /// A worker whose ejection begins or ends.
   struct EjectionChange {
--- a/workers/registry_digest.cpp
+++ b/workers/registry_digest.cpp
@@ -3,7 +3,7 @@
 namespace tealshelf {
 
 Worker publishedForm(Worker worker) {
-  worker.callCount = 0;
+  worker.heartbeatSequence = 0;
   worker.warmupLeftMs = 0;
   worker.registrar = NodeId();
   worker.ejectionRevision = 0;
--- a/workers/worker_heartbeat.cpp
+++ b/workers/worker_heartbeat.cpp
@@ -40,7 +40,7 @@
   if (heartbeat.HasMember("zone")) worker.zone = textField(heartbeat, "zone");
   if (heartbeat.HasMember("version")) worker.version = textField(heartbeat, "version");
   worker.capacity = std::max<std::uint64_t>(1, numberField(heartbeat, "capacity"));
-  worker.callCount = numberField(heartbeat, "callCount");
+  worker.heartbeatSequence = numberField(heartbeat, "callCount");
   worker.warmupLeftMs = static_cast<std::int64_t>(numberField(heartbeat, "warmupLeftMs"));
   worker.warmingUp = worker.warmupLeftMs > 0;
   worker.draining = isDraining(heartbeat);
--- a/workers/worker_registry.cpp
+++ b/workers/worker_registry.cpp
@@ -10,7 +10,7 @@
 bool WorkerRegistry::isLate(Worker const& worker) const {
   Worker const* const known = find(worker.id);
   if (!known) return false;
-  return known->removed ? !worker.removed : known->callCount > worker.callCount;
+  return known->removed ? !worker.removed : known->heartbeatSequence > worker.heartbeatSequence;
 }
 
 bool WorkerRegistry::merge(Worker const& worker, TimePoint now) {
@@ -33,7 +33,8 @@
 /// Only the node that hears a worker can lose it.
 bool WorkerRegistry::markLost(Row& row, Worker const& report) {
   bool const byRegistrar = row.worker.registrar == report.registrar;
-  if (row.lost || row.worker.removed || !byRegistrar || report.callCount < row.worker.callCount) return false;
+  if (row.lost || row.worker.removed || !byRegistrar || report.heartbeatSequence < row.worker.heartbeatSequence)
+    return false;
   row.lost = true;
   noteChange(row);
   return true;
@@ -46,27 +47,28 @@
   std::uint64_t const ejectionRevision = std::max(worker.ejectionRevision, known.ejectionRevision);
   bool const newerEjection = worker.ejectionRevision && worker.ejectionRevision >= known.ejectionRevision;
   bool const ejected = newerEjection ? worker.ejected : known.ejected;
-  bool const nothingNew = worker.callCount <= known.callCount && ejectionRevision == known.ejectionRevision;
+  bool const nothingNew =
+      worker.heartbeatSequence <= known.heartbeatSequence && ejectionRevision == known.ejectionRevision;
   if (nothingNew && !worker.removed) return false;
   // A worker that drains never serves again.
   bool const draining = known.draining || worker.draining;
   // Another node's word of an ejection may be older than the last heartbeat.
-  bool const warmingUp = worker.callCount >= known.callCount ? worker.warmingUp : known.warmingUp;
+  bool const warmingUp = worker.heartbeatSequence >= known.heartbeatSequence ? worker.warmingUp : known.warmingUp;
   // What was heard after a change of the zone stays heard.
-  std::uint64_t const zoneRevision = std::max(worker.zoneRevision, known.zoneRevision);
+  std::uint64_t const evacuationRevision = std::max(worker.evacuationRevision, known.evacuationRevision);
   bool const changed = row.lost || worker.removed != known.removed || draining != known.draining ||
                        worker.address != known.address || worker.service != known.service ||
                        worker.capacity != known.capacity || ejected != known.ejected || warmingUp != known.warmingUp ||
-                       zoneRevision != known.zoneRevision;
+                       evacuationRevision != known.evacuationRevision;
   bool const moved = worker.registrar != known.registrar;
-  std::uint64_t const callCount = std::max(worker.callCount, known.callCount);
+  std::uint64_t const heartbeatSequence = std::max(worker.heartbeatSequence, known.heartbeatSequence);
   known = worker;
-  known.callCount = callCount;
+  known.heartbeatSequence = heartbeatSequence;
   known.draining = draining;
   known.ejectionRevision = ejectionRevision;
   known.ejected = ejected;
   known.warmingUp = warmingUp;
-  known.zoneRevision = zoneRevision;
+  known.evacuationRevision = evacuationRevision;
   row.heardAt = row.toldAt = now;
   row.lost = false;
   if (changed) noteChange(row);
