--- a/edge/edge_metrics.hpp
+++ b/edge/edge_metrics.hpp
@@ -13,7 +13,7 @@
 
 /// What the forwarder of an edge tells about the requests that it couldn't bring to a good end.
 struct ForwardMetrics {
-  Counter cutOff = metrics().counter("tealshelf_edge_cut_off_total", "Connections closed inside an answer.");
+  Counter truncatedAnswers = metrics().counter("tealshelf_edge_cut_off_total", "Connections closed inside an answer.");
   Counter unreachableWorkers =
       metrics().counter("tealshelf_edge_unreached_workers_total", "Silent workers that took no new connection either.");
   Counter failed = metrics().counter("tealshelf_edge_failed_total", "Requests that no worker answered.");
--- a/edge/forwarded_headers.cpp
+++ b/edge/forwarded_headers.cpp
@@ -24,7 +24,7 @@
       if (!isAnyOf(option, identifying)) connectionOptions_.emplace_back(option.data(), option.size());
 }
 
-bool ForwardedHeaders::goesOn(beast::string_view name) const {
+bool ForwardedHeaders::isForwarded(beast::string_view name) const {
   return !isAnyOf(name, hopByHop) && !isAnyOf(name, connectionOptions_);
 }
 
--- a/edge/forwarded_headers.hpp
+++ b/edge/forwarded_headers.hpp
@@ -8,7 +8,7 @@
 class ForwardedHeaders {
  public:
   explicit ForwardedHeaders(http::fields const& message);
-  bool goesOn(beast::string_view name) const;
+  bool isForwarded(beast::string_view name) const;
 
  private:
   vector<string> connectionOptions_;  ///< names in `Connection`, as they were written
@@ -19,7 +19,7 @@
 void copyHeaders(http::fields const& from, Message& to) {
   ForwardedHeaders const forwarded(from);
   for (http::fields::value_type const& header : from)
-    if (forwarded.goesOn(header.name_string())) to.insert(header.name_string(), header.value());
+    if (forwarded.isForwarded(header.name_string())) to.insert(header.name_string(), header.value());
 }
 
 }  // namespace tealshelf
--- a/edge/request_forwarder.cpp
+++ b/edge/request_forwarder.cpp
@@ -114,7 +114,7 @@
   if (endsWithClient && retries.watch.clientDisconnected())
     abandon(client, exchange);
   else
-    next = co_await judge(client, plan, exchange, result, retries);
+    next = co_await handleResult(client, plan, exchange, result, retries);
   retries.watch.onDisconnect(nullptr);
   retries.probe = nullptr;
   balancer_.requestEnded(worker.id);
@@ -138,8 +138,9 @@
   client.close();
 }
 
-Task<RequestForwarder::NextStep> RequestForwarder::judge(ClientConnection& client, RequestPlan const& plan,
-                                                         Exchange& exchange, SendResult result, RetryState& retries) {
+Task<RequestForwarder::NextStep> RequestForwarder::handleResult(ClientConnection& client, RequestPlan const& plan,
+                                                                Exchange& exchange, SendResult result,
+                                                                RetryState& retries) {
   string const worker = exchange.worker().id;
   NextStep next = NextStep::tryAnother;
   bool const wasReached = result == SendResult::answered || result == SendResult::notRun;
@@ -163,7 +164,7 @@
       next = noteTimeout(worker, plan, retries);
       break;
     case SendResult::answered:
-      next = co_await passOn(client, plan, exchange, retries);
+      next = co_await relayAnswer(client, plan, exchange, retries);
       break;
   }
   co_return next;
@@ -203,8 +204,8 @@
 }
 
 /// Passes an answer on unless another worker may do better.
-Task<RequestForwarder::NextStep> RequestForwarder::passOn(ClientConnection& client, RequestPlan const& plan,
-                                                          Exchange& exchange, RetryState& retries) {
+Task<RequestForwarder::NextStep> RequestForwarder::relayAnswer(ClientConnection& client, RequestPlan const& plan,
+                                                               Exchange& exchange, RetryState& retries) {
   string const worker = exchange.worker().id;
   ++retries.sends;
   // A stream begins with its first event.
@@ -334,18 +335,18 @@
   events.dropPartialEvent();
   exchange.abort();
   if (Clock::now() < plan.deadline) co_return false;
-  cutOff(client);
+  truncateAnswer(client);
   co_return true;
 }
 
-void RequestForwarder::cutOff(ClientConnection& client) {
-  metrics_.cutOff.increment();
+void RequestForwarder::truncateAnswer(ClientConnection& client) {
+  metrics_.truncatedAnswers.increment();
   client.close();
 }
 
 Task<void> RequestForwarder::failRequest(ClientConnection& client, RequestPlan const& plan, RetryState const& retries) {
   if (client.headSent) {
-    cutOff(client);
+    truncateAnswer(client);
     co_return;
   }
   bool const late = Clock::now() >= plan.deadline;
--- a/edge/request_forwarder.hpp
+++ b/edge/request_forwarder.hpp
@@ -75,7 +75,7 @@
   Task<std::optional<Target>> admittedTarget(RequestPlan const& plan, RetryState& retries);
   /// A worker that warms up and that all nodes together have sent little enough; so many are asked for at most.
   Task<std::optional<Target>> warmingTarget(RequestPlan const& plan, std::set<string> passedOver, int most);
-  bool hasRoom(Worker const& worker) const;
+  bool hasSpareCapacity(Worker const& worker) const;
   Task<NextStep> tryWorker(ClientConnection& client, HttpRequest const& request, RequestPlan const& plan,
                            Target const& target, RetryState& retries);
   /// The end of a request whose client is gone: it says nothing of its worker, and no other gets it.
@@ -84,12 +84,13 @@
   void noteProbe(bool reachable, Worker const& worker, RequestPlan const& plan, RetryState const& retries,
                  Exchange& exchange);
   /// What comes after a send that ended.
-  Task<NextStep> judge(ClientConnection& client, RequestPlan const& plan, Exchange& exchange, SendResult result,
-                       RetryState& retries);
+  Task<NextStep> handleResult(ClientConnection& client, RequestPlan const& plan, Exchange& exchange, SendResult result,
+                              RetryState& retries);
   void noteRefusal(Exchange const& exchange, RetryState& retries);
   NextStep noteMaybeRun(Exchange const& exchange, RequestPlan const& plan, RetryState& retries);
   NextStep noteTimeout(string const& worker, RequestPlan const& plan, RetryState& retries);
-  Task<NextStep> passOn(ClientConnection& client, RequestPlan const& plan, Exchange& exchange, RetryState& retries);
+  Task<NextStep> relayAnswer(ClientConnection& client, RequestPlan const& plan, Exchange& exchange,
+                             RetryState& retries);
   bool mayRelay(ClientConnection const& client, RequestPlan const& plan, Exchange const& exchange) const;
   /// Takes a short answer whole, then passes it on; false if the worker broke it off.
   Task<bool> relayWholeAnswer(ClientConnection& client, RequestPlan const& plan, Exchange& exchange);
@@ -99,7 +100,7 @@
   void countUsageOnce(RequestPlan const& plan, RetryState& retries, TimePoint begunAt);
   Task<error_code> sendStreamHead(ClientConnection& client, Exchange const& exchange);
   /// Closes the connection in the middle of an answer, which must not look complete.
-  void cutOff(ClientConnection& client);
+  void truncateAnswer(ClientConnection& client);
   /// Ends a request that no worker answered.
   Task<void> failRequest(ClientConnection& client, RequestPlan const& plan, RetryState const& retries);
   string retryAfterSeconds(RequestPlan const& plan) const;
--- a/edge/request_targets.cpp
+++ b/edge/request_targets.cpp
@@ -14,7 +14,7 @@
 constexpr double maxLoadWithRoom = 0.5;
 }  // namespace
 
-bool RequestForwarder::hasRoom(Worker const& worker) const {
+bool RequestForwarder::hasSpareCapacity(Worker const& worker) const {
   TimePoint const now = Clock::now();
   double const ofAll = balancer_.recentMeanLoad(worker.service, now).value_or(0);
   return std::max(balancer_.load(worker, now), ofAll) < maxLoadWithRoom;
@@ -42,7 +42,8 @@
   Pick pick = balancer_.pick(view_, plan.pick, retries.triedWorkers);
   bool const hasGood = pick.worker && !balancer_.isLastResort(*pick.worker);
   // Services with a cold worker are rare, so that is asked first.
-  bool const triesCold = balancer_.hasWarmingUpWorker(view_, plan.pick.service) && (!hasGood || !hasRoom(*pick.worker));
+  bool const triesCold =
+      balancer_.hasWarmingUpWorker(view_, plan.pick.service) && (!hasGood || !hasSpareCapacity(*pick.worker));
   if (triesCold) {
     int const most = hasGood ? 1 : maxAdmissionAttempts;
     std::optional<Target> target = co_await warmingTarget(plan, retries.triedWorkers, most);
--- a/edge/zone_prober.cpp
+++ b/edge/zone_prober.cpp
@@ -32,9 +32,9 @@
     bool const isKnown = rests || balancer_.isZoneUnreachable(worker.zone);
     if (worker.zone != settings_.zone && !isKnown) zones[worker.zone].push_back(&worker);
   }
-  ++turn_;
+  ++roundRobin_;
   vector<Worker> chosen;
-  for (auto const& [zone, workers] : zones) chosen.push_back(*workers[turn_ % workers.size()]);
+  for (auto const& [zone, workers] : zones) chosen.push_back(*workers[roundRobin_ % workers.size()]);
   return chosen;
 }
 
--- a/edge/zone_prober.hpp
+++ b/edge/zone_prober.hpp
@@ -23,7 +23,7 @@
   Settings const& settings_;
   FleetView const& view_;
   LoadBalancer& balancer_;
-  std::uint64_t turn_ = randomId();
+  std::uint64_t roundRobin_ = randomId();
   std::map<string, TimePoint> reachedAt_;  ///< by zone
 };
 
--- a/tests/traffic/connection_pool_test.cpp
+++ b/tests/traffic/connection_pool_test.cpp
@@ -11,7 +11,7 @@
   ConnectionPool pool{io, settings};
 
   void give(std::size_t connections) {
-    for (std::size_t i = 0; i < connections; ++i) pool.give("i-1", pool.create());
+    for (std::size_t i = 0; i < connections; ++i) pool.release("i-1", pool.create());
   }
 };
 }  // namespace
--- a/tests/traffic/exchange_test.cpp
+++ b/tests/traffic/exchange_test.cpp
@@ -266,7 +266,7 @@
   c->keepUntil = Clock::now() + Ms(60000);
   c->failedAttempts.push_back(hash64("a"));
   WorkerConnection* const had = c.get();
-  pool.give(w.id, std::move(c));
-  CHECK(pool.take(w, true, "a").get() != had);
-  CHECK(pool.take(w, true, "b").get() == had);
+  pool.release(w.id, std::move(c));
+  CHECK(pool.acquire(w, true, "a").get() != had);
+  CHECK(pool.acquire(w, true, "b").get() == had);
 }
--- a/tests/traffic/prefix_test.cpp
+++ b/tests/traffic/prefix_test.cpp
@@ -59,8 +59,8 @@
 };
 
 TEST(prefixReport, tellsChoicesPerPrefixAndSite) {
-  report.record(placementOf(7, PrefixChoice::carried, "z2"), Ms(40));
-  report.record(placementOf(7, PrefixChoice::carried, "z2"), Ms(40));
+  report.record(placementOf(7, PrefixChoice::cachedRemote, "z2"), Ms(40));
+  report.record(placementOf(7, PrefixChoice::cachedRemote, "z2"), Ms(40));
   report.record(placementOf(7, PrefixChoice::recomputedLocal, "z1"), Ms(150));
   string const table = prefixTable(report.json());
   CHECK(table.find(hex(7)) != string::npos);
--- a/tests/workers/outlier_detector_test.cpp
+++ b/tests/workers/outlier_detector_test.cpp
@@ -131,13 +131,13 @@
 }
 TEST(health, theAgeOfIdleConnectionsIsLearnt) {
   SafeIdleTime t(Ms(16000), Ms(25));
-  LONGS_EQUAL(16000, t.trusted().count());
+  LONGS_EQUAL(16000, t.value().count());
   t.noteReset(Ms(1500));
-  LONGS_EQUAL(750, t.trusted().count());
+  LONGS_EQUAL(750, t.value().count());
   t.noteReset(Ms(4000));
-  LONGS_EQUAL_TEXT(750, t.trusted().count(), "an older one that was reset tells nothing new");
+  LONGS_EQUAL_TEXT(750, t.value().count(), "an older one that was reset tells nothing new");
   t.noteReset(Ms(10));
-  LONGS_EQUAL(25, t.trusted().count());
+  LONGS_EQUAL(25, t.value().count());
   for (int k = 0; k < 200; ++k) t.noteReused(Ms(3000));
-  CHECK(t.trusted() > Ms(2900));
+  CHECK(t.value() > Ms(2900));
 }
--- a/traffic/connection_pool.cpp
+++ b/traffic/connection_pool.cpp
@@ -15,15 +15,15 @@
   return std::find(failedAttempts.begin(), failedAttempts.end(), hash64(attempt)) != failedAttempts.end();
 }
 
-std::unique_ptr<WorkerConnection> ConnectionPool::take(Worker const& worker, bool mayRepeat, string_view attempt) {
+std::unique_ptr<WorkerConnection> ConnectionPool::acquire(Worker const& worker, bool mayRepeat, string_view attempt) {
   vector<std::unique_ptr<WorkerConnection>>& idle = idleOf(worker.id).connections;
   for (std::size_t index = idle.size(); index-- > 0;) {
     TimePoint const now = Clock::now();
     WorkerConnection const& candidate = *idle[index];
     bool const expired = now >= candidate.keepUntil;
-    bool const trusted = mayRepeat || now - candidate.idleSince <= safeIdleTime_.trusted();
+    bool const reusable = mayRepeat || now - candidate.idleSince <= safeIdleTime_.value();
     // Before it are only older ones.
-    if (!expired && !trusted) break;
+    if (!expired && !reusable) break;
     if (!expired && candidate.hasFailed(attempt)) continue;
     std::unique_ptr<WorkerConnection> connection = std::move(idle[index]);
     idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(index));
@@ -32,7 +32,7 @@
   return create();
 }
 
-void ConnectionPool::give(string const& worker, std::unique_ptr<WorkerConnection> connection) {
+void ConnectionPool::release(string const& worker, std::unique_ptr<WorkerConnection> connection) {
   connection->idleSince = Clock::now();
   IdleConnections& idle = idleOf(worker);
   idle.connections.push_back(std::move(connection));
--- a/traffic/connection_pool.hpp
+++ b/traffic/connection_pool.hpp
@@ -22,18 +22,18 @@
 /// from those that were reset when they were used again. No input or output of its own.
 class SafeIdleTime {
  public:
-  SafeIdleTime(Ms longest, Ms shortest) : longest_(longest), shortest_(shortest), trusted_(longest) {}
+  SafeIdleTime(Ms longest, Ms shortest) : longest_(longest), shortest_(shortest), value_(longest) {}
   /// A connection idle for so long was reset when a request was sent on it.
-  void noteReset(Ms idle) { trusted_ = std::max(shortest_, std::min(trusted_, idle / 2)); }
+  void noteReset(Ms idle) { value_ = std::max(shortest_, std::min(value_, idle / 2)); }
   /// One idle for so long still worked: what was learnt fades.
   void noteReused(Ms idle) {
-    Ms const raise = idle > trusted_ ? (idle - trusted_) / 4 : Ms(1);
-    trusted_ = std::min(longest_, trusted_ + raise);
+    Ms const raise = idle > value_ ? (idle - value_) / 4 : Ms(1);
+    value_ = std::min(longest_, value_ + raise);
   }
-  Ms trusted() const { return trusted_; }
+  Ms value() const { return value_; }
 
  private:
-  Ms longest_, shortest_, trusted_;
+  Ms longest_, shortest_, value_;
 };
 
 /// Idle connections to workers.
@@ -44,13 +44,13 @@
   /// An idle connection on which nothing arrived, or a new one not yet connected. A request that must not be sent twice
   /// gets none that was idle for longer than is trusted, and no attempt gets one on which it failed before: a second
   /// answer to that one could come late and would bear the same id.
-  std::unique_ptr<WorkerConnection> take(Worker const& worker, bool mayRepeat, string_view attempt);
+  std::unique_ptr<WorkerConnection> acquire(Worker const& worker, bool mayRepeat, string_view attempt);
   /// A new connection, not yet connected.
   std::unique_ptr<WorkerConnection> create() { return std::make_unique<WorkerConnection>(io_); }
   /// A new connection to a worker was reset before its first answer: the worker may have too many.
   void noteReset(string const& worker);
   /// Gives a connection back, clean and between requests. The oldest ones are closed where there are too many.
-  void give(string const& worker, std::unique_ptr<WorkerConnection> connection);
+  void release(string const& worker, std::unique_ptr<WorkerConnection> connection);
   std::size_t idleCount(string const& worker) const;
   /// Closes what is idle for workers that are gone, for too long, or beyond what the configuration allows by now.
   void sweep(FleetView const& view);
--- a/traffic/exchange.cpp
+++ b/traffic/exchange.cpp
@@ -61,7 +61,7 @@
 Task<SendResult> Exchange::send(HttpRequest const& request, string attempt, TimePoint until) {
   attempt_ = std::move(attempt);
   // Without an id nothing but an unused connection tells whose an answer is.
-  connection_ = attempt_.empty() ? pool_.create() : pool_.take(worker_, mayRepeat_, attempt_);
+  connection_ = attempt_.empty() ? pool_.create() : pool_.acquire(worker_, mayRepeat_, attempt_);
   newConnection_ = !connection_->socket.is_open();
   if (!newConnection_) idleBefore_ = std::chrono::duration_cast<Ms>(Clock::now() - connection_->idleSince);
   deadline_ = std::make_unique<SocketDeadline>(pool_.io(), connection_->socket);
@@ -229,7 +229,7 @@
   if (status() >= 300) connection_->failedAttempts.push_back(hash64(attempt_));
   if (connection_->failedAttempts.size() > maxFailedAttempts) return abort();
   connection_->keepUntil = Clock::now() + keep;
-  pool_.give(worker_.id, std::move(connection_));
+  pool_.release(worker_.id, std::move(connection_));
 }
 
 }  // namespace tealshelf
--- a/traffic/idle_limit.hpp
+++ b/traffic/idle_limit.hpp
@@ -15,7 +15,7 @@
   /// Takes what the service's configuration says over; 0: no bound.
   void setMaxConnections(std::uint64_t maxConnections) {
     constexpr std::uint64_t nodeShareDivisor = 8;
-    most_ = maxConnections ? std::max<std::uint64_t>(1, maxConnections / nodeShareDivisor) : unbounded;
+    configuredLimit_ = maxConnections ? std::max<std::uint64_t>(1, maxConnections / nodeShareDivisor) : unbounded;
   }
   /// A new connection was reset while this node held so many idle ones.
   void noteReset(std::size_t idle, TimePoint now) {
@@ -24,15 +24,15 @@
   }
   /// The limit at a time; one at the least.
   std::uint64_t value(TimePoint now) const {
-    if (reducedLimit_ == unbounded) return most_;
+    if (reducedLimit_ == unbounded) return configuredLimit_;
     std::uint64_t const recoveryIntervals = static_cast<std::uint64_t>((now - limitReducedAt_) / recoveryInterval_);
-    return std::min(most_, reducedLimit_ + recoveryIntervals);
+    return std::min(configuredLimit_, reducedLimit_ + recoveryIntervals);
   }
 
  private:
   static constexpr std::uint64_t unbounded = std::numeric_limits<std::uint64_t>::max();
   Ms recoveryInterval_;
-  std::uint64_t most_ = unbounded, reducedLimit_ = unbounded;
+  std::uint64_t configuredLimit_ = unbounded, reducedLimit_ = unbounded;
   TimePoint limitReducedAt_;
 };
 
--- a/traffic/load_balancer.cpp
+++ b/traffic/load_balancer.cpp
@@ -57,16 +57,16 @@
   state.ownSinceReport = 0;
   state.reportedAt = Clock::now();
   if (worker.warmingUp) return;
-  double const told = static_cast<double>(state.reportedRequests) / static_cast<double>(worker.capacity);
-  ServiceLoad& service = serviceLoads_[worker.service];
-  bool const isFirst = state.reportedAt - service.toldAt >= settings_.bounds.inTouch;
-  service.mean = isFirst ? told : service.mean + newReportWeight * (told - service.mean);
-  service.toldAt = state.reportedAt;
+  double const reported = static_cast<double>(state.reportedRequests) / static_cast<double>(worker.capacity);
+  MeanLoad& service = serviceLoads_[worker.service];
+  bool const isFirst = state.reportedAt - service.reportedAt >= settings_.bounds.inTouch;
+  service.mean = isFirst ? reported : service.mean + newReportWeight * (reported - service.mean);
+  service.reportedAt = state.reportedAt;
 }
 
 std::optional<double> LoadBalancer::recentMeanLoad(string const& service, TimePoint now) const {
   auto const known = serviceLoads_.find(service);
-  if (known == serviceLoads_.end() || now - known->second.toldAt >= settings_.bounds.inTouch) return std::nullopt;
+  if (known == serviceLoads_.end() || now - known->second.reportedAt >= settings_.bounds.inTouch) return std::nullopt;
   return known->second.mean;
 }
 
@@ -270,7 +270,7 @@
   placement.prefixKey = request.sessionKey;
   placement.sharedTokens = request.sharedTokens;
   if (isPreferred)
-    placement.choice = isHere ? PrefixChoice::cachedLocal : PrefixChoice::carried;
+    placement.choice = isHere ? PrefixChoice::cachedLocal : PrefixChoice::cachedRemote;
   else
     placement.choice = isHere ? PrefixChoice::recomputedLocal : PrefixChoice::recomputedRemote;
   bool const isFit = fitnessOf(preferredWorker, request, tried, now) == Fitness::good;
@@ -287,7 +287,7 @@
 void LoadBalancer::sweep(FleetView const& view) {
   std::erase_if(workers_, [&view](auto const& item) { return !view.find(item.first) && item.second.ownRequests <= 0; });
   std::erase_if(serviceLoads_,
-                [this](auto const& item) { return Clock::now() - item.second.toldAt >= settings_.bounds.inTouch; });
+                [this](auto const& item) { return Clock::now() - item.second.reportedAt >= settings_.bounds.inTouch; });
   candidateLists_.clear();
 }
 
--- a/traffic/load_balancer.hpp
+++ b/traffic/load_balancer.hpp
@@ -84,9 +84,9 @@
     int failures = 0;  ///< in a row
   };
   /// What the warm workers of a service told of their load, the newest counting most.
-  struct ServiceLoad {
+  struct MeanLoad {
     double mean = 0;
-    TimePoint toldAt;
+    TimePoint reportedAt;
   };
   /// A worker of a service with what is known of it, worked out anew only when the workers change.
   struct Candidate {
@@ -134,7 +134,7 @@
   Settings const& settings_;
   ZoneReachability zones_;
   std::map<string, WorkerState> workers_;
-  std::map<string, ServiceLoad> serviceLoads_;
+  std::map<string, MeanLoad> serviceLoads_;
   std::map<std::pair<string, Group>, CandidateList> candidateLists_;  ///< by service
   std::uint64_t randomState_ = randomId();
 };
--- a/traffic/prefix_placement.hpp
+++ b/traffic/prefix_placement.hpp
@@ -8,7 +8,7 @@
 /// computing means that another worker reads the prefix again.
 enum class PrefixChoice {
   cachedLocal,      ///< at the worker that should keep it, in this node's zone
-  carried,          ///< at the worker that should keep it, in another zone
+  cachedRemote,     ///< at the worker that should keep it, in another zone
   recomputedLocal,  ///< at another worker of this node's zone
   recomputedRemote  ///< at another worker of another zone
 };
--- a/traffic/prefix_report.cpp
+++ b/traffic/prefix_report.cpp
@@ -47,8 +47,8 @@
   prefix.sharedTokens = placement.sharedTokens;
   prefix.preferredWorker = placement.preferredWorker;
   prefix.preferredZone = placement.preferredZone;
-  if (prefix.sites.contains(placement.workerZone) || prefix.sites.size() < maxZones) {
-    Site& site = prefix.sites[placement.workerZone];
+  if (prefix.zones.contains(placement.workerZone) || prefix.zones.size() < maxZones) {
+    ZoneStats& site = prefix.zones[placement.workerZone];
     bool const isFirst = site.firstOutputMs == 0;
     double const observed = static_cast<double>(firstOutput.count());
     site.firstOutputMs += (isFirst ? 1 : newestWeight) * (observed - site.firstOutputMs);
@@ -70,7 +70,7 @@
     writeField(writer, "keeperZone", prefix.preferredZone);
     writer.Key("sites");
     writer.StartArray();
-    for (auto const& [zone, site] : prefix.sites) {
+    for (auto const& [zone, site] : prefix.zones) {
       writer.StartObject();
       writeField(writer, "zone", zone);
       for (std::size_t choice = 0; choice < prefixChoices; ++choice)
--- a/traffic/prefix_report.hpp
+++ b/traffic/prefix_report.hpp
@@ -26,7 +26,7 @@
   std::size_t size() const { return prefixes_.size(); }
 
  private:
-  struct Site {
+  struct ZoneStats {
     std::array<std::uint64_t, prefixChoices> count{};
     double firstOutputMs = 0;  ///< moving average
   };
@@ -37,7 +37,7 @@
   struct Prefix {
     std::uint64_t key = 0, sharedTokens = 0;
     string preferredWorker, preferredZone;
-    std::map<string, Site> sites;  ///< by the zone of the worker
+    std::map<string, ZoneStats> zones;  ///< by the zone of the worker
     std::deque<PastChoice> last;
   };
   struct Series {
--- a/workers/worker_registry.cpp
+++ b/workers/worker_registry.cpp
@@ -24,7 +24,7 @@
   if (worker.lost) return false;
   Row& row = rows_[worker.id];
   row.worker = worker;
-  row.heardAt = row.toldAt = now;
+  row.heardAt = row.reportedAt = now;
   noteChange(row);
   if (worker.registrar == self_) transitions_.push_back(worker);
   return true;
@@ -69,7 +69,7 @@
   known.ejected = ejected;
   known.warmingUp = warmingUp;
   known.evacuationRevision = evacuationRevision;
-  row.heardAt = row.toldAt = now;
+  row.heardAt = row.reportedAt = now;
   row.lost = false;
   if (changed) noteChange(row);
   if ((changed || moved) && worker.registrar == self_) transitions_.push_back(known);
@@ -105,7 +105,7 @@
   }
   for (auto& [id, row] : rows_) {
     bool const isItsOwn = !row.lost && !row.worker.removed && row.worker.registrar == from;
-    if (!isItsOwn || row.toldAt > askedAt || named.contains(id) || !covers(id)) continue;
+    if (!isItsOwn || row.reportedAt > askedAt || named.contains(id) || !covers(id)) continue;
     row.lost = true;
     noteChange(row);
     changed = true;
--- a/workers/worker_registry.hpp
+++ b/workers/worker_registry.hpp
@@ -49,7 +49,7 @@
   struct Row {
     Worker worker;
     TimePoint heardAt;
-    TimePoint toldAt;  ///< of the last word about this very worker
+    TimePoint reportedAt;  ///< of the last word about this very worker
     std::uint64_t revision = 0;
     std::uint64_t hash = 0;  ///< what the worker adds to the digest; 0 once it is lost or has ended
     bool lost = false;
