--- a/edge/client_watch.hpp
+++ b/edge/client_watch.hpp
@@ -3,10 +3,11 @@
 
 namespace tealshelf {
 
-/// Notices that a client closes its connection while its request is under way.
+/// Detects that a client closes its connection while its request is in progress.
 ///
-/// A client that ends its sending only looks the same; where that matters the caller must not rely on it. Once the next
-/// request has come in behind the present one, the end of the connection is no longer seen. The socket must outlive it.
+/// A half-close (the client shuts down its sending side only) looks the same; a caller for whom the difference matters
+/// must not rely on it. Once bytes of a pipelined request have arrived, a close is no longer detected. The socket must
+/// outlive the watch.
 class ClientWatch {
  public:
   explicit ClientWatch(tcp::socket& socket);
@@ -15,12 +16,12 @@
   ClientWatch& operator=(ClientWatch const&) = delete;
 
   bool clientDisconnected() const { return state_->gone; }
-  /// Called once, at the moment at which the client goes; empty: nothing is.
+  /// Sets a function to call once when the client disconnects; empty: none.
   void onDisconnect(std::function<void()> callback) { state_->onDisconnect = std::move(callback); }
 
  private:
   struct State {
-    tcp::socket* socket = nullptr;  ///< null once the watch is gone
+    tcp::socket* socket = nullptr;  ///< null once the watch is destroyed
     bool gone = false;
     std::function<void()> onDisconnect;
   };
--- a/edge/edge_node.cpp
+++ b/edge/edge_node.cpp
@@ -8,13 +8,12 @@
 namespace {
 constexpr int clientBacklog = 1024;
 constexpr std::uint64_t maxReadinessBytes = 1u << 16;
-/// Bytes of a head that are asked for at once.
+/// Size of one read of a head.
 constexpr std::size_t headReadBytes = 1u << 12;
-/// So often within the idle limit is looked for connections that have reached it; and within inTouch, at least, as the
-/// limit may change.
+/// Checks for idle connections per idle limit; and the minimum of checks per inTouch, since the limit may change.
 constexpr int checksPerIdleLimit = 16, checksPerInTouch = 4;
 
-/// Counts a request while it is under way, however it ends. It may outlive the node, as a task that never ended.
+/// Counts a request while it is in progress. May outlive the node, in a task that is destroyed later.
 struct ActiveRequest {
   explicit ActiveRequest(std::shared_ptr<std::size_t> active) : count(std::move(active)) { ++*count; }
   ~ActiveRequest() { --*count; }
@@ -91,9 +90,11 @@
   if (isolated == wasIsolated_) return;
   wasIsolated_ = isolated;
   if (isolated)
-    logWarning("edge", "cut off from all other zones and from control; not ready until updates come again");
+    logWarning("edge",
+               "this node can reach neither the control plane nor any other zone; it reports not ready until updates "
+               "arrive again");
   else
-    logInfo("edge", "no longer cut off");
+    logInfo("edge", "this node can reach the control plane or another zone again");
 }
 
 vector<ServiceLoad> EdgeNode::loads() const {
@@ -111,7 +112,7 @@
   return configuration ? configuration->limits : ClientLimits();
 }
 
-/// The limit may change while connections are idle, so it is looked up at each turn.
+/// Reads the limit anew in each round, as it may change while connections are idle.
 Task<void> EdgeNode::closeIdleLoop() {
   for (;;) {
     Ms const limit = limitsInForce().idleLimit;
@@ -122,7 +123,7 @@
 
 Task<bool> EdgeNode::awaitRequest(ClientConnection& client) {
   client.skipEmptyLines();
-  // A request may have come in behind the last one.
+  // A pipelined request may have been read along with the last one.
   if (client.buffer.size()) co_return true;
   bool const hasServed = client.headSent;
   if (stopping_ && hasServed && !client.hasInput()) co_return false;
@@ -148,7 +149,7 @@
     std::size_t const count =
         co_await client.socket.async_read_some(room, asio::redirect_error(asio::use_awaitable, error));
     client.buffer.commit(count);
-    // A read behind the end would never return.
+    // A read after the end of the stream would never return.
     if (error == asio::error::eof && client.buffer.size()) co_return http::error::partial_message;
     if (error == asio::error::eof) co_return http::error::end_of_stream;
     if (error) co_return error;
@@ -188,10 +189,10 @@
 
 Task<void> EdgeNode::serve(std::shared_ptr<ClientConnection> client) {
   setSocketOptions(client->socket, 2 * settings_.bounds.inTouch);
-  bool goesOn = true;
-  while (goesOn) {
-    goesOn = co_await awaitRequest(*client);
-    if (goesOn) goesOn = co_await serveRequest(*client);
+  bool mayContinue = true;
+  while (mayContinue) {
+    mayContinue = co_await awaitRequest(*client);
+    if (mayContinue) goesOn = co_await serveRequest(*client);
   }
   client->close();
 }
@@ -215,12 +216,12 @@
   try {
     co_await handle(client, std::move(request));
     if (client.headSent) co_return;
-    failure = "it was left without an answer";
+    failure = "the handler sent no answer";
   } catch (std::exception const& error) {
     failure = error.what();
   }
   ++failedRequests_;
-  logWarning("edge", "a request failed here: " + failure);
+  logWarning("edge", "request failed by a fault of this node: " + failure);
   client.keepAlive = false;
   if (!client.headSent) co_await reply(client, errorReply(Error(ErrorCode::callFailed)));
 }
@@ -230,7 +231,7 @@
   co_await client.reply(io_, std::move(answer), 5 * settings_.bounds.inTouch);
 }
 
-/// The configuration is due any moment after a start; a short wait spares the client a try.
+/// The configuration arrives soon after a start; a short wait saves the client a retry.
 Task<std::shared_ptr<Configuration const>> EdgeNode::awaitConfiguration(TimePoint now) {
   TimePoint const until = now + settings_.bounds.inTouch / 8;
   while (!view_.configuration() && Clock::now() < until) co_await sleepFor(settings_.bounds.step / 8);
@@ -241,7 +242,7 @@
   metrics_.requests.increment();
   TimePoint const now = Clock::now();
   if (isEndingSoon()) {
-    // The platform still sends requests here where too few nodes of the zone are ready.
+    // The platform still sends requests here if too few nodes of the zone are ready.
     HttpReply answer = errorReply(Error(ErrorCode::notReady));
     answer.headers.emplace_back("Retry-After", "0.05");
     co_return co_await reply(client, std::move(answer));
--- a/edge/edge_node.hpp
+++ b/edge/edge_node.hpp
@@ -10,53 +10,53 @@
 
 namespace tealshelf {
 
-/// The data plane of an edge machine: takes requests of clients in, and hands them to the forwarder or to the lot API.
+/// The data plane of an edge machine: receives requests of clients and passes them to the forwarder or the lot API.
 class EdgeNode {
  public:
   EdgeNode(asio::io_context& io, Settings const& settings);
   void start();
-  /// Takes no new work; idle connections are closed.
+  /// Begins a graceful shutdown: accepts no new work and closes idle connections.
   void stop();
-  /// How many requests are under way, those that are still being read too.
+  /// Number of requests in progress, including those that are still being read.
   std::size_t activeRequests() const { return *activeRequests_; }
-  /// How requests with long shared prefixes were placed.
+  /// Placements of requests with long shared prefixes.
   PrefixReport const& prefixes() const { return forwarder_.prefixes(); }
-  /// Requests that this node itself failed at. Must stay 0: each that was read whole has its answer, or a part of it,
-  /// once it was handled; what breaks that is logged, counted and answered with 502.
+  /// Number of requests that failed by a fault of this node itself; expected to stay 0. Each such request is logged,
+  /// counted and, if no answer has begun, answered with 502.
   std::uint64_t failedRequests() const { return failedRequests_; }
 
  private:
   Task<void> serve(std::shared_ptr<ClientConnection> client);
   using RequestParser = http::request_parser<http::string_body>;
-  /// Waits until a client's next request begins to come in; false if the connection ends instead.
+  /// Waits until a client's next request begins to arrive; false if the connection ends instead.
   Task<bool> awaitRequest(ClientConnection& client);
   /// Reads one request and answers it; true if another may follow.
   Task<bool> serveRequest(ClientConnection& client);
-  /// Reads a request that has begun, and answers one that can't be read; true if it is there whole.
+  /// Reads a request that has begun to arrive and answers it if it is malformed; true if it was read completely.
   Task<bool> readRequest(ClientConnection& client, RequestParser& parser);
-  /// Receives a request's head into the client's buffer, up to a size; an error if none comes or it can't be read.
+  /// Receives a request's head, of up to `maxBytes`, into the client's buffer.
   static Task<error_code> receiveHead(ClientConnection& client, std::size_t maxBytes);
-  /// Reads a request that has begun, within the limits.
+  /// Reads a request that has begun to arrive, within the limits of size and time.
   Task<error_code> readMessage(ClientConnection& client, RequestParser& parser, ClientLimits const& limits);
-  /// Answers a request that can't be read.
+  /// Answers a malformed or oversized request.
   Task<void> rejectUnreadable(ClientConnection& client, error_code error);
-  /// Answers a request, also if this node fails while it handles it.
+  /// Handles a request; if that throws or leaves it without an answer, sends an error.
   Task<void> answer(ClientConnection& client, HttpRequest request);
   Task<void> handle(ClientConnection& client, HttpRequest request);
-  /// Of the configuration in force; defaults before there is one.
+  /// Limits of the current configuration; defaults before there is one.
   ClientLimits limitsInForce() const;
-  /// The configuration; null if there is none yet, also after a short wait.
+  /// The configuration, after a short wait for it if need be; null if there is none yet.
   Task<std::shared_ptr<Configuration const>> awaitConfiguration(TimePoint now);
   Task<HttpReply> submitLot(RequestPlan const& plan, HttpRequest const& request);
   Task<void> reply(ClientConnection& client, HttpReply answer);
-  /// True once this process ends so soon that a request taken now might be cut off.
+  /// True if so little of the shutdown's grace period is left that a new request might not be completed.
   bool isEndingSoon() const;
-  /// True if this node can reach no zone but its own, and control neither: clients are better served elsewhere.
+  /// True if this node can reach neither the control plane nor any other zone: other nodes should serve its clients.
   bool isIsolated() const { return !view_.isFresh() && forwarder_.isZonePartitioned(); }
-  /// Tells the log when that begins and ends.
+  /// Logs when isolation begins and ends.
   void logIsolationChange();
   Task<void> sweepLoop();
-  /// Requests at workers, by service.
+  /// Load of the workers, by service.
   vector<ServiceLoad> loads() const;
   void sampleMetrics();
   Task<void> closeIdleLoop();
@@ -64,7 +64,7 @@
   asio::io_context& io_;
   Settings const& settings_;
   RpcClient rpc_;
-  RpcServer rpcServer_;  ///< updates are relayed there
+  RpcServer rpcServer_;  ///< serves update relaying
   FleetView view_;
   bool stopping_ = false, wasIsolated_ = false;
   TimePoint stoppedAt_;
--- a/edge/forwarded_headers.cpp
+++ b/edge/forwarded_headers.cpp
@@ -3,11 +3,11 @@
 namespace tealshelf {
 
 namespace {
-/// Of one connection whatever `Connection` says; the length is made anew with the message.
+/// Never forwarded, whatever `Connection` lists. Content-Length is set anew for the forwarded message.
 constexpr string_view hopByHop[] = {"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding",
                                     "TE",         "Trailer",    "Upgrade",          "Content-Length"};
-/// Without these a request can't be told; naming them in `Connection` is a mistake of the sender.
-constexpr string_view identifying[] = {"Host", "Attempt-Id"};
+/// Always forwarded, since they identify a request; a sender that lists them in `Connection` is in error.
+constexpr string_view alwaysForwarded[] = {"Host", "Attempt-Id"};
 
 template <class Names>
 bool isAnyOf(beast::string_view name, Names const& names) {
@@ -21,7 +21,7 @@
   auto const [first, end] = message.equal_range(http::field::connection);
   for (auto header = first; header != end; ++header)
     for (beast::string_view const option : http::token_list(header->value()))
-      if (!isAnyOf(option, identifying)) connectionOptions_.emplace_back(option.data(), option.size());
+      if (!isAnyOf(option, alwaysForwarded)) connectionOptions_.emplace_back(option.data(), option.size());
 }
 
 bool ForwardedHeaders::isForwarded(beast::string_view name) const {
--- a/edge/forwarded_headers.hpp
+++ b/edge/forwarded_headers.hpp
@@ -3,18 +3,18 @@
 
 namespace tealshelf {
 
-/// Tells which headers of a message go on to the other side (RFC 9110, 7.6.1): all but those that concern one
-/// connection only, which are a fixed list and those that the message names in `Connection`.
+/// Selects the end-to-end headers of a message, which a proxy forwards (RFC 9110, 7.6.1): all but the hop-by-hop ones,
+/// which are a fixed list and those that the message names in `Connection`.
 class ForwardedHeaders {
  public:
   explicit ForwardedHeaders(http::fields const& message);
   bool isForwarded(beast::string_view name) const;
 
  private:
-  vector<string> connectionOptions_;  ///< names in `Connection`, as they were written
+  vector<string> connectionOptions_;  ///< header names listed in `Connection`, in their original case
 };
 
-/// Copies the headers of a message that go on to the other side; equal names stay apart.
+/// Copies the end-to-end headers of a message; headers of the same name stay separate.
 template <class Message>
 void copyHeaders(http::fields const& from, Message& to) {
   ForwardedHeaders const forwarded(from);
--- a/edge/idle_connections.cpp
+++ b/edge/idle_connections.cpp
@@ -3,7 +3,7 @@
 namespace tealshelf {
 
 namespace {
-/// The wait is told that it ended; what arrived before stays where it is.
+/// Cancels the wait for input; bytes that have arrived stay unread.
 void cancelWait(ClientConnection& client) {
   error_code ignored;
   client.socket.cancel(ignored);
--- a/edge/idle_connections.hpp
+++ b/edge/idle_connections.hpp
@@ -3,18 +3,18 @@
 
 namespace tealshelf {
 
-/// Clients' connections that wait for their next request.
+/// Client connections that wait for their next request.
 ///
-/// Ending one here only ends its wait. The connection goes on if a request has come in meanwhile, so that none is read
-/// on a connection that can't bring its answer back. Runs on the io thread.
+/// Cancelling a wait doesn't close the connection: if a request has begun to arrive meanwhile, it is still served. Runs
+/// on the io thread.
 class IdleConnections {
  public:
-  /// Waits until a request begins to come in, or the client ends the connection; false if the wait was ended before.
-  /// The connection must outlive the wait.
+  /// Waits until a request begins to arrive or the client closes the connection; false if the wait was cancelled
+  /// before. The connection must outlive the wait.
   Task<bool> awaitRequest(ClientConnection& client);
-  /// Ends the waits that have lasted for so long.
+  /// Cancels the waits that have lasted for at least `limit`.
   void cancelOlderThan(Ms limit);
-  /// Ends all waits.
+  /// Cancels all waits.
   void cancelAll();
 
  private:
--- a/edge/request_form.hpp
+++ b/edge/request_form.hpp
@@ -3,12 +3,12 @@
 
 namespace tealshelf {
 
-/// True if all who read a request's head by HTTP/1.1 see the same request: one host, a version 1.0 or 1.1, and no
-/// transfer coding but `chunked`. What concerns lengths and bytes is the parser's part.
+/// True if all HTTP/1.1 implementations interpret a request's head in the same way: one host, version 1.0 or 1.1, and
+/// no transfer coding but `chunked`. The parser checks lengths and syntax.
 bool isUnambiguous(http::fields const& head, unsigned version);
 
-/// Brings a request whose target is in absolute form (`http://HOST/PATH`) to the usual form: the host of the target
-/// goes before that of the header.
+/// Converts a request whose target is in absolute form (`http://HOST/PATH`) to origin form; the target's host replaces
+/// that of the header.
 void useOriginForm(HttpRequest& request);
 
 }  // namespace tealshelf
--- a/edge/request_forwarder.cpp
+++ b/edge/request_forwarder.cpp
@@ -5,14 +5,14 @@
 namespace tealshelf {
 
 namespace {
-/// Part of a route's target within which it must be known that a request is inside its tenant's limit.
+/// The wait for a credit of the tenant is limited to this part of a route's target time.
 constexpr int quotaWaitTargetDivisor = 5;
-/// A worker that is silent for so many targets counts as failed.
+/// A timeout counts as a worker failure if the request was allowed more than this multiple of the target time.
 constexpr int silentTargetMultiple = 4;
-/// Parts: of a route's target after which a silent worker is probed, and of inTouch in which it must take the probe.
+/// A silent worker is probed after this part of a route's target time; the probe's timeout is this part of inTouch.
 constexpr int probeAfterTargetDivisor = 2, probeTimeoutDivisor = 40;
 
-/// Headers of a client that this system sets itself, or has dealt with.
+/// Client headers that the edge node sets itself or has handled.
 constexpr char const* replacedHeaders[] = {"Time-Left-Ms", "Wanted-Server", "Expect"};
 
 HttpRequest requestForWorker(HttpRequest const& request, RequestPlan const& plan, Worker const& worker,
@@ -60,13 +60,14 @@
     if (!target || retries.watch.clientDisconnected()) break;
     next = co_await tryWorker(client, request, plan, *target, retries);
   }
-  bool const ranNowhere = next != NextStep::done && !retries.mayHaveRun;
-  if (ranNowhere && retries.credit && plan.caller.tenant) quotas_.giveBack(plan.caller.tenant->name, *retries.credit);
+  bool const ranAtNoWorker = next != NextStep::done && !retries.mayHaveRun;
+  if (ranAtNoWorker && retries.credit && plan.caller.tenant)
+    quotas_.giveBack(plan.caller.tenant->name, *retries.credit);
   if (next != NextStep::done) co_await failRequest(client, plan, retries);
 }
 
-/// A request is counted once, and again if it is sent to another worker after its credit has lapsed: the worker then
-/// gets it in another window.
+/// A request takes one credit, and another one for a retry after the first has expired, as the retry falls into another
+/// window of the rate limit.
 Task<bool> RequestForwarder::ensureCredit(RequestPlan const& plan, RetryState& retries) {
   Tenant const* const tenant = plan.caller.tenant;
   if (!tenant || !tenant->isLimited()) co_return true;
@@ -90,7 +91,7 @@
   HttpRequest const forwarded = requestForWorker(request, plan, worker, retries.events);
   Exchange exchange(pool_, worker, plan.mayRepeat);
   exchange.setSendDeadline(target.sendDeadline);
-  // Any other request is left to its worker: the client may have ended its sending only, and sends it to nobody else.
+  // Other requests run to their end: the client may have half-closed its connection and still wait for the answer.
   bool const endsWithClient = plan.mayRepeat || plan.isStream;
   if (endsWithClient) retries.watch.onDisconnect([&exchange] { exchange.cancel(); });
   std::uint64_t const prefillTokens = plan.pick.promptTokens - plan.pick.sharedTokens;
@@ -108,7 +109,8 @@
   balancer_.prefillFinished(worker.id, prefillTokens);
   if (target.placement && result == SendResult::answered)
     prefixes_.record(*target.placement, std::chrono::duration_cast<Ms>(Clock::now() - sentAt));
-  logDebug("request", plan.attempt + " at " + worker.id + " result " + std::to_string(static_cast<int>(result)) +
+  logDebug("request", "attempt " + plan.attempt + " at worker " + worker.id + " ended with result " +
+                          std::to_string(static_cast<int>(result)) +
                           (result == SendResult::answered ? " status " + std::to_string(exchange.status()) : ""));
   NextStep next = NextStep::done;
   if (endsWithClient && retries.watch.clientDisconnected())
@@ -179,7 +181,7 @@
     return;
   }
   balancer_.markFull(worker);
-  // One that refuses while it has free slots is ill, whatever it says of its health.
+  // A worker that refuses requests while it has free slots is unhealthy, whatever its health answers say.
   std::optional<WorkerLoad> const load = exchange.workerLoad();
   if (load && load->running < load->slots / 2) view_.tally(worker, false);
 }
@@ -203,31 +205,31 @@
   return NextStep::stop;
 }
 
-/// Passes an answer on unless another worker may do better.
+/// Relays an answer, unless it is an error that a retry at another worker may avoid.
 Task<RequestForwarder::NextStep> RequestForwarder::relayAnswer(ClientConnection& client, RequestPlan const& plan,
                                                                Exchange& exchange, RetryState& retries) {
   string const worker = exchange.worker().id;
   ++retries.sends;
-  // A stream begins with its first event.
+  // A stream is counted with its first event.
   if (!plan.isStream) countUsageOnce(plan, retries, retries.sentAt);
   if (std::optional<WorkerLoad> const load = exchange.workerLoad()) balancer_.reportLoad(exchange.worker(), *load);
   int const status = exchange.status();
   if (status >= 500) view_.tally(worker, false);
   if (status >= 500) view_.tallyVersion(exchange.worker(), plan.route->name, outcomeTally(false, std::nullopt));
   bool const tryAgain = plan.mayRepeat && status >= 500 && retries.sends < plan.tries;
-  bool const passes = !tryAgain && mayRelay(client, plan, exchange);
-  bool passed = false;
-  if (passes && plan.isStream && status == 200 && !client.isHead)
-    passed = co_await relayEvents(client, plan, exchange, retries);
-  else if (passes)
-    passed = co_await relayWholeAnswer(client, plan, exchange);
-  if (passed && !plan.isStream)
+  bool const relays = !tryAgain && mayRelay(client, plan, exchange);
+  bool relayed = false;
+  if (relays && plan.isStream && status == 200 && !client.isHead)
+    relayed = co_await relayEvents(client, plan, exchange, retries);
+  else if (relays)
+    relayed = co_await relayWholeAnswer(client, plan, exchange);
+  if (relayed && !plan.isStream)
     retries.paceMs = std::chrono::duration<double, std::milli>(Clock::now() - retries.sentAt).count();
-  if (!passed && passes && retries.watch.clientDisconnected()) {
+  if (!relayed && relays && retries.watch.clientDisconnected()) {
     abandon(client, exchange);
     co_return NextStep::done;
   }
-  if (passed) {
+  if (relayed) {
     if (status < 500) view_.tallyVersion(exchange.worker(), plan.route->name, outcomeTally(true, retries.paceMs));
     if (client.keepAlive && status < 500) {
       balancer_.markHealthy(worker);
@@ -235,7 +237,7 @@
     }
     co_return NextStep::done;
   }
-  if (passes) {
+  if (relays) {
     balancer_.markFailed(worker, false);
     view_.tally(worker, false);
   }
@@ -245,9 +247,9 @@
   co_return plan.mayRepeat ? NextStep::tryAnother : NextStep::stop;
 }
 
-/// True if a worker's answer may go to the client as it is. 408, 421, 429 and 503 would promise that the request never
-/// runs, which the worker didn't say; a success counts only with the worker's seal; and nothing but more events may
-/// follow a stream's head.
+/// True if a worker's answer may be relayed unchanged. 408, 421, 429 and 503 would promise the client that the request
+/// never ran, which the worker didn't state; a success needs a Server-Seal header; and once a stream's head was sent,
+/// only more events may follow.
 bool RequestForwarder::mayRelay(ClientConnection const& client, RequestPlan const& plan,
                                 Exchange const& exchange) const {
   int const status = exchange.status();
@@ -270,7 +272,7 @@
   client.decideKeepAlive(stopping_);
   response.keep_alive(client.keepAlive);
   response.prepare_payload();
-  // That of the body which a GET would have brought.
+  // The answer to a HEAD states the length of the body that a GET would return.
   if (client.isHead && !length.empty()) response.set(http::field::content_length, length);
   client.headSent = true;
   error_code error;
@@ -312,7 +314,7 @@
     body.clear();
     state = co_await exchange.readEvents(body, plan.deadline);
     string const complete = events.feed(body);
-    // A stream that ends inside an event was broken off.
+    // A stream that ends inside an event is incomplete.
     if (state == BodyState::complete && !events.atEventBoundary()) state = BodyState::broken;
     bool const ends = state == BodyState::complete;
     if (!body.empty() && retries.probe) retries.probe->noteProgress();
--- a/edge/request_head.cpp
+++ b/edge/request_head.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 constexpr string_view lineEnd = "\r\n";
-/// Some clients send an empty line or two behind a body; the parser refuses what exceeds this.
+/// Some clients send an empty line or two after a body; the parser refuses more than this number.
 constexpr std::size_t maxEmptyLines = 4;
 
 bool isBlank(char byte) {
--- a/edge/request_head.hpp
+++ b/edge/request_head.hpp
@@ -3,16 +3,16 @@
 
 namespace tealshelf {
 
-/// What the first bytes of a request show of its head, before the parser reads them.
+/// State of a request's head as judged by the bytes received so far, before they are parsed.
 enum class HeadState {
-  incomplete,  ///< more bytes must come
-  complete,    ///< it is there whole, or has a line end that the parser refuses
-  folded       ///< a header goes on in the next line, which not all who read it understand
+  incomplete,  ///< more bytes are needed
+  complete,    ///< received completely, or has a line end that the parser refuses
+  folded       ///< has a header continued on the next line (obs-fold), which implementations interpret differently
 };
 
-/// How many bytes of empty lines come before a request, which HTTP/1.1 has a server skip.
+/// Number of bytes in the empty lines before a request, which an HTTP/1.1 server should ignore.
 std::size_t emptyLinesLength(string_view bytes);
-/// The state of a head that begins with the first of `bytes`.
+/// State of a head that begins at the start of `bytes`.
 HeadState headStateOf(string_view bytes);
 
 }  // namespace tealshelf
--- a/edge/request_plan.cpp
+++ b/edge/request_plan.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// Sets the choice of a version apart from that of a service.
+/// Makes the choice of a version independent of that of a service.
 constexpr std::uint64_t versionDrawSeed = 7;
 
 void readPrompt(string_view header, PickRequest& pick) {
--- a/edge/request_plan.hpp
+++ b/edge/request_plan.hpp
@@ -6,21 +6,21 @@
 
 namespace tealshelf {
 
-/// What shall be done with a client's request, worked out before anything is done.
+/// How a client's request is to be handled, decided before it is sent anywhere.
 struct RequestPlan {
   std::shared_ptr<Configuration const> configuration;  ///< keeps the route alive
   Route const* route = nullptr;                        ///< null if no route matches
-  Caller caller;                                       ///< of a request that has a route
-  string attempt;                                      ///< the id that the answer must bear
+  Caller caller;                                       ///< set if the request has a route
+  string attempt;                                      ///< the attempt id, which the answer must repeat
   TimePoint receivedAt, deadline;
-  std::uint64_t tries = 1;  ///< workers that the request is sent to, at the most
+  std::uint64_t tries = 1;  ///< maximum number of workers that the request is sent to
   bool mayRepeat = false, isStream = false;
   PickRequest pick;
 };
 
-/// The host that a request names, without its port, in lower case.
+/// The host of a request, without port and in lower case.
 string hostOf(HttpRequest const& request);
-/// A header of a request; "" if it has none of that name.
+/// The value of a request's header; "" if it is missing.
 string_view headerOf(HttpRequest const& request, string_view name);
 
 RequestPlan planRequest(HttpRequest const& request, std::shared_ptr<Configuration const> configuration, TimePoint now);
--- a/edge/request_targets.cpp
+++ b/edge/request_targets.cpp
@@ -1,34 +1,34 @@
-// How a request's next worker is found.
+// RequestForwarder: selection of the next worker for a request.
 #include "edge/request_forwarder.hpp"
 
 namespace tealshelf {
 
 namespace {
-/// Parts of a route's target: until when all workers are tried once more, and the pause before that.
+/// Parts of a route's target time: latest start of a second round over all workers, and the pause before it.
 constexpr int secondRoundTargetDivisor = 4, secondRoundPauseDivisor = 20;
-/// Part of a route's target within which a worker that warms up must be free to take a request.
+/// The wait for admission to a worker that is warming up is limited to this part of a route's target time.
 constexpr int creditWaitTargetDivisor = 10;
-/// Workers that a request may turn out not to be for, before it is refused.
+/// Number of admissions that may be denied before a request fails.
 constexpr int maxAdmissionAttempts = 4;
-/// A warm worker has room while less than this part of its slots is taken: a worker that warms up isn't asked for then.
+/// Below this load a warm worker has spare capacity, and workers that are warming up aren't used.
 constexpr double maxLoadWithRoom = 0.5;
 }  // namespace
 
 bool RequestForwarder::hasSpareCapacity(Worker const& worker) const {
   TimePoint const now = Clock::now();
-  double const ofAll = balancer_.recentMeanLoad(worker.service, now).value_or(0);
-  return std::max(balancer_.load(worker, now), ofAll) < maxLoadWithRoom;
+  double const meanLoad = balancer_.recentMeanLoad(worker.service, now).value_or(0);
+  return std::max(balancer_.load(worker, now), meanLoad) < maxLoadWithRoom;
 }
 
 Task<std::optional<RequestForwarder::Target>> RequestForwarder::warmingTarget(RequestPlan const& plan,
-                                                                              std::set<string> passedOver, int most) {
+                                                                              std::set<string> excluded, int most) {
   TimePoint const until = std::min(plan.deadline, Clock::now() + plan.route->target / creditWaitTargetDivisor);
   for (int asked = 0; asked < most && Clock::now() < until; ++asked) {
-    Worker const* const candidate = balancer_.pickWarmingUp(view_, plan.pick, passedOver);
+    Worker const* const candidate = balancer_.pickWarmingUp(view_, plan.pick, excluded);
     if (!candidate) co_return std::nullopt;
-    // The list of workers may change while this waits.
+    // Copied: the list of workers may change during the wait.
     Worker const worker = *candidate;
-    passedOver.insert(worker.id);
+    excluded.insert(worker.id);
     WarmUpGate::Admission const admission = co_await warmUps_.ask(worker, until);
     Worker const* const present = view_.find(worker.id);
     bool const isThere = present && view_.takesRequests(*present);
@@ -41,7 +41,7 @@
                                                                                RetryState& retries) {
   Pick pick = balancer_.pick(view_, plan.pick, retries.triedWorkers);
   bool const hasGood = pick.worker && !balancer_.isLastResort(*pick.worker);
-  // Services with a cold worker are rare, so that is asked first.
+  // Few services have a cold worker, so this is checked first.
   bool const triesCold =
       balancer_.hasWarmingUpWorker(view_, plan.pick.service) && (!hasGood || !hasSpareCapacity(*pick.worker));
   if (triesCold) {
--- a/edge/zone_prober.cpp
+++ b/edge/zone_prober.cpp
@@ -5,8 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// Parts of inTouch: between two rounds, and in which a worker must take or refuse a connection.
-/// And for how long a zone that was reached isn't probed again.
+/// Parts of inTouch: time between two rounds, timeout of a probe, and time for which a reached zone isn't probed again.
 constexpr int zoneProbePeriodDivisor = 16, zoneProbeTimeoutDivisor = 40, zoneReprobeDivisor = 4;
 }  // namespace
 
@@ -27,9 +26,9 @@
   std::map<string, vector<Worker const*>> zones;
   for (auto const& [id, worker] : view_.workers()) {
     auto const reached = reachedAt_.find(worker.zone);
-    bool const rests =
+    bool const wasReachedRecently =
         reached != reachedAt_.end() && now - reached->second < settings_.bounds.inTouch / zoneReprobeDivisor;
-    bool const isKnown = rests || balancer_.isZoneUnreachable(worker.zone);
+    bool const isKnown = wasReachedRecently || balancer_.isZoneUnreachable(worker.zone);
     if (worker.zone != settings_.zone && !isKnown) zones[worker.zone].push_back(&worker);
   }
   ++roundRobin_;
--- a/edge/zone_prober.hpp
+++ b/edge/zone_prober.hpp
@@ -3,8 +3,8 @@
 
 namespace tealshelf {
 
-/// Finds out which other zones can be reached while no updates come, so that each node of a zone that is cut off knows
-/// it, those with few requests too. While updates come it does nothing.
+/// Probes which other zones can be reached while no updates arrive, so that every node of a partitioned zone detects
+/// the partition, even with few requests. Idle while updates arrive.
 ///
 /// Runs on the io thread. Everything passed in must outlive it.
 class ZoneProber {
@@ -15,7 +15,7 @@
 
  private:
   Task<void> probeLoop();
-  /// A worker of each other zone of which nothing is known lately, another one each time.
+  /// One worker, chosen in turn, of each other zone whose reachability isn't known.
   vector<Worker> candidates();
   Task<void> probe(Worker worker);
 
