--- a/traffic/connection_pool.cpp
+++ b/traffic/connection_pool.cpp
@@ -22,7 +22,7 @@
     WorkerConnection const& candidate = *idle[index];
     bool const expired = now >= candidate.keepUntil;
     bool const reusable = mayRepeat || now - candidate.idleSince <= safeIdleTime_.value();
-    // Before it are only older ones.
+    // All that precede it have been idle for longer.
     if (!expired && !reusable) break;
     if (!expired && candidate.hasFailed(attempt)) continue;
     std::unique_ptr<WorkerConnection> connection = std::move(idle[index]);
--- a/traffic/event_stream.hpp
+++ b/traffic/event_stream.hpp
@@ -3,12 +3,12 @@
 
 namespace tealshelf {
 
-/// How fast the events of a stream follow each other.
+/// Measures the mean time between the events of a stream.
 class EventPace {
  public:
-  /// The event of an id, or several up to it, came.
+  /// Events up to this id have arrived.
   void note(std::uint64_t lastId, TimePoint now);
-  /// Nothing if fewer than two events came apart from each other.
+  /// std::nullopt until events have arrived at two different times.
   std::optional<double> millisecondsPerEvent() const;
 
  private:
@@ -17,19 +17,19 @@
   TimePoint firstAt_, lastAt_;
 };
 
-/// Takes whole events out of the bytes of an event stream.
+/// Splits the bytes of an event stream (server-sent events) into whole events.
 class EventStreamReader {
  public:
-  /// Takes bytes; gives the whole events that are complete now.
+  /// Appends bytes and returns the events that are complete now.
   string feed(string_view bytes);
-  /// True if an event with an id was given.
+  /// True if an event with an id was returned.
   bool hasEvents() const { return hasEvents_; }
   std::uint64_t lastId() const { return lastId_; }
-  /// True if no part of an event is waiting for its end.
+  /// True if no partial event is buffered.
   bool atEventBoundary() const { return partial_.empty(); }
-  /// The stream goes on elsewhere, with the event after the last whole one.
+  /// Drops the partial event: the stream resumes at another worker, after the last whole event.
   void dropPartialEvent() { partial_.clear(); }
-  /// Data of the events given so far, if it is collected; set it to "" to have it collected.
+  /// Data of the events returned so far; collected only if set to "" before.
   std::optional<string> data;
 
  private:
--- a/traffic/exchange.cpp
+++ b/traffic/exchange.cpp
@@ -5,10 +5,10 @@
 namespace {
 constexpr std::uint64_t maxBodyBytes = std::uint64_t{1} << 40;
 constexpr std::uint32_t maxHeadBytes = 64u << 10;
-/// Part of inTouch in which a connection comes up. A worker that is there takes or refuses it at once, however busy it
-/// is; another worker does better than a second try of a lost packet.
+/// The connect timeout is this part of inTouch. A reachable worker accepts or refuses a connection at once, however
+/// busy it is; trying another worker is faster than waiting for TCP to retransmit a lost packet.
 constexpr int connectTimeoutDivisor = 20;
-/// Late answers to other requests that are read past.
+/// Limits for late answers to other requests, which are skipped.
 constexpr int maxSkippedAnswers = 3;
 constexpr std::size_t maxSkippedBytes = 1u << 16;
 constexpr std::size_t maxFailedAttempts = 256;
@@ -60,7 +60,7 @@
 
 Task<SendResult> Exchange::send(HttpRequest const& request, string attempt, TimePoint until) {
   attempt_ = std::move(attempt);
-  // Without an id nothing but an unused connection tells whose an answer is.
+  // Without an id, only on an unused connection is it clear which request an answer belongs to.
   connection_ = attempt_.empty() ? pool_.create() : pool_.acquire(worker_, mayRepeat_, attempt_);
   newConnection_ = !connection_->socket.is_open();
   if (!newConnection_) idleBefore_ = std::chrono::duration_cast<Ms>(Clock::now() - connection_->idleSince);
@@ -88,7 +88,7 @@
   co_return co_await readAnswer(request, until);
 }
 
-/// A connection that was idle was idle for too long; a new one may have been one too many for the worker.
+/// A reused connection was idle for too long; a new one may have exceeded the worker's limit of connections.
 void Exchange::noteReset() {
   if (cancelled_) return;
   if (newConnection_)
@@ -109,8 +109,8 @@
   co_return true;
 }
 
-/// Writes the request piece by piece and looks before each piece whether something arrived: what does so before the
-/// whole request was sent can't be told from what was on its way before it.
+/// Writes the request in pieces and checks for input before each one: input that arrives before the whole request was
+/// sent can't be distinguished from a late answer to an earlier request.
 Task<Exchange::WriteResult> Exchange::write(HttpRequest const& request) {
   http::request_serializer<http::string_body> serializer(request);
   std::size_t sent = 0;
@@ -135,7 +135,7 @@
   co_return error;
 }
 
-/// Reads on to the head that belongs to the attempt, past late answers to others.
+/// Reads up to the head that belongs to the attempt, skipping late answers to others.
 Task<SendResult> Exchange::readAnswer(HttpRequest const& request, TimePoint until) {
   for (int skipped = 0; skipped <= maxSkippedAnswers; ++skipped) {
     error_code const error = co_await readHead(request);
@@ -146,22 +146,22 @@
     AnswerOwner const owner = answerOwner(headers(), attempt_, newConnection_ && skipped == 0);
     if (owner == AnswerOwner::unknown || status() < 200) co_return giveUp();
     if (owner == AnswerOwner::another) {
-      bool const goesOn = co_await skipAnswer(until);
-      if (!goesOn) co_return giveUp();
+      bool const mayContinue = co_await skipAnswer(until);
+      if (!mayContinue) co_return giveUp();
       continue;
     }
     if (!newConnection_) pool_.safeIdleTime().noteReused(idleBefore_);
     if (!isRefusal()) co_return SendResult::answered;
-    // A success that says it was not run contradicts itself.
+    // A success status with a refusal is contradictory.
     if (status() < 300) co_return giveUp();
-    bool const goesOn = co_await skipAnswer(std::min(until, Clock::now() + pool_.settings().bounds.slack));
-    if (goesOn) release();
+    bool const mayContinue = co_await skipAnswer(std::min(until, Clock::now() + pool_.settings().bounds.slack));
+    if (mayContinue) release();
     co_return SendResult::notRun;
   }
   co_return giveUp();
 }
 
-/// Reads an answer to its end and lets it go; true if another may follow on the connection.
+/// Reads and discards the rest of an answer; true if another may follow on the connection.
 Task<bool> Exchange::skipAnswer(TimePoint until) {
   if (isCloseDelimited()) co_return false;
   bool const keepAlive = parser_->get().keep_alive();
@@ -176,8 +176,8 @@
   co_return keepAlive&& state == BodyState::complete;
 }
 
-/// The parser knows how the body is framed; the message would call every answer that closes its connection one without
-/// an end of its own, chunked ones too.
+/// Asks the parser, which knows the framing of the body: by the message itself, each answer with `Connection: close`
+/// would count as close-delimited, also a chunked one.
 bool Exchange::isCloseDelimited() const {
   return parser_ && parser_->need_eof();
 }
--- a/traffic/exchange.hpp
+++ b/traffic/exchange.hpp
@@ -5,30 +5,29 @@
 
 namespace tealshelf {
 
-/// How a send to a worker ended.
+/// The outcome of sending a request to a worker.
 enum class SendResult {
   notSent,   ///< no byte reached the worker
-  notRun,    ///< the worker says that it did not run the request
+  notRun,    ///< the worker reported that it did not run the request
   maybeRun,  ///< the request may have run
-  answered,  ///< a head arrived
-  timedOut   ///< the time was up; the request may have run
+  answered,  ///< the head of an answer arrived
+  timedOut   ///< the deadline passed; the request may have run
 };
 
-/// What a read of a body gave.
+/// State of a body after a read.
 enum class BodyState { partial, complete, broken };
 
-/// Whose answer a head belongs to, by the attempt id that it bears.
+/// The request that an answer belongs to, by the attempt id in its head.
 enum class AnswerOwner {
-  ours,     ///< it bears our id, or it can't be another's
-  another,  ///< it bears another id: a late answer to an earlier request
-  unknown   ///< it can't be told
+  ours,     ///< it has the id of this request, or can't belong to another
+  another,  ///< it has another id: a late answer to an earlier request
+  unknown   ///< undecidable
 };
-/// Decides by the id alone; what the answer says must not count before it is known whose it is. Without an id it is
-/// ours only where no other request can have been answered: on a connection whose first request is this one, as its
-/// first answer.
+/// Decides by the id alone: the rest of an answer has no meaning until its request is known. Without an id the answer
+/// is `ours` only if it is the first on a connection whose first request is this one (`onlyRequest`).
 AnswerOwner answerOwner(http::fields const& headers, string_view attempt, bool onlyRequest);
 
-/// One request at one worker, and its answer.
+/// One request to one worker, and its answer.
 ///
 /// Runs on the io thread; the pool must outlive it. An exchange that is destroyed before release() closes its
 /// connection.
@@ -37,41 +36,41 @@
   Exchange(ConnectionPool& pool, Worker const& worker, bool mayRepeat)
       : pool_(pool), worker_(worker), mayRepeat_(mayRepeat) {}
   ~Exchange();
-  /// From this time on the request is no longer written; send() then ends as notSent.
+  /// If the request can't be written by this time, send() returns notSent.
   void setSendDeadline(TimePoint sendDeadline) { sendDeadline_ = sendDeadline; }
-  /// Sends the request and reads the head of the answer that bears its id. Any doubt closes the connection and ends as
-  /// maybeRun.
+  /// Sends the request and reads the head of the answer with its id. If it is unclear whether the request ran, closes
+  /// the connection and returns maybeRun.
   Task<SendResult> send(HttpRequest const& request, string attempt, TimePoint until);
-  // REQUIRES, up to worker(): send() ended as answered or notRun.
+  // All members up to worker() require that send() returned answered or notRun.
   http::fields const& headers() const { return parser_->get().base(); }
   int status() const { return static_cast<int>(parser_->get().result_int()); }
   string header(string_view name) const;
-  /// True if the answer bears the seal without which a success doesn't count.
+  /// True if the answer has a Server-Seal header, without which a success isn't valid.
   bool isSealed() const { return !header("Server-Seal").empty(); }
   std::optional<WorkerLoad> workerLoad() const { return parseWorkerLoad(header("Server-Load")); }
-  /// Appends some of the body. One without a length is complete when the worker ends its connection in order, and
-  /// broken if that is reset or the time is up.
+  /// Appends some of the body. A body without a length is complete when the worker closes the connection, and broken if
+  /// the connection is reset or the time is up.
   Task<BodyState> readBody(string& body, TimePoint until);
-  /// The same for a stream of events. One without a length counts as broken: a worker that crashes between two events
-  /// ends its connection as one that is done does.
+  /// The same for a stream of events. A stream without a length counts as broken: the connection of a worker that
+  /// crashes between two events closes just as that of a worker that is done.
   Task<BodyState> readEvents(string& body, TimePoint until);
 
   Worker const& worker() const { return worker_; }
-  /// True if no request was sent on its connection before.
+  /// True if this is the first request on its connection.
   bool onNewConnection() const { return newConnection_; }
-  /// True if the worker neither took nor refused a new connection in time.
+  /// True if the worker neither accepted nor refused a new connection in time.
   bool connectionWasUnanswered() const { return connectionWasUnanswered_; }
-  /// Ends the exchange; its connection is closed.
+  /// Ends the exchange and closes its connection.
   void abort();
-  /// Closes the connection under a send() or readBody() that is under way, which then ends as broken off.
+  /// Closes the connection during a send() or readBody(), which then fails.
   void cancel();
-  /// Gives the connection back if it is clean; called once the answer was read whole.
+  /// Returns the connection to the pool if it can be reused; called once the whole answer was read.
   void release();
 
  private:
-  /// How the write of a request ended.
+  /// The outcome of writing a request.
   enum class WriteResult { whole, nothing, part, inputArrived };
-  /// The worker reset the connection before it gave an answer.
+  /// The worker reset the connection before it answered.
   void noteReset();
   Task<bool> connect(TimePoint until);
   Task<WriteResult> write(HttpRequest const& request);
@@ -79,11 +78,11 @@
   Task<SendResult> readAnswer(HttpRequest const& request, TimePoint until);
   Task<bool> skipAnswer(TimePoint until);
   bool isRefusal() const;
-  /// True if nothing but the end of the connection tells where the answer ends.
+  /// True if only the close of the connection marks the end of the body.
   bool isCloseDelimited() const;
-  /// Closes the connection; the result for a request of which something may have been sent.
+  /// Closes the connection and returns the result for a request that may have been sent in part.
   SendResult giveUp();
-  /// How long the connection may be kept idle; 0 if it can't be.
+  /// How long the idle connection may be kept; 0 if not at all.
   Ms keepAliveTime() const;
 
   ConnectionPool& pool_;
@@ -97,7 +96,7 @@
   bool newConnection_ = false;
   bool connectionWasUnanswered_ = false;
   bool cancelled_ = false;
-  Ms idleBefore_{0};  ///< how long a used connection was idle
+  Ms idleBefore_{0};  ///< how long a reused connection was idle
 };
 
 }  // namespace tealshelf
--- a/traffic/idle_limit.hpp
+++ b/traffic/idle_limit.hpp
@@ -3,26 +3,26 @@
 
 namespace tealshelf {
 
-/// How many idle connections a node keeps to one worker. No input or output of its own.
+/// Limits how many idle connections a node keeps to one worker. Performs no I/O.
 ///
-/// A worker takes `maxConnections` from all nodes together and resets more, and no node knows what the others hold. So
-/// each keeps a part of them at the most, half as many after a new connection was reset, and one more again after each
-/// quiet span, as congestion windows do.
+/// A worker accepts `maxConnections` from all nodes together and resets further ones, and no node knows how many the
+/// others hold. So the limit starts as a share of `maxConnections` and changes by additive increase, multiplicative
+/// decrease: it is halved when a new connection is reset and rises by one after each recovery interval without a reset.
 class IdleConnectionLimit {
  public:
   explicit IdleConnectionLimit(Ms recoveryInterval) : recoveryInterval_(recoveryInterval) {}
 
-  /// Takes what the service's configuration says over; 0: no bound.
+  /// Sets the bound from the service's configuration; 0: unbounded.
   void setMaxConnections(std::uint64_t maxConnections) {
     constexpr std::uint64_t nodeShareDivisor = 8;
     configuredLimit_ = maxConnections ? std::max<std::uint64_t>(1, maxConnections / nodeShareDivisor) : unbounded;
   }
-  /// A new connection was reset while this node held so many idle ones.
+  /// A new connection was reset while this node held `idle` idle ones.
   void noteReset(std::size_t idle, TimePoint now) {
     reducedLimit_ = std::max<std::uint64_t>(1, std::min<std::uint64_t>(value(now), idle) / 2);
     limitReducedAt_ = now;
   }
-  /// The limit at a time; one at the least.
+  /// The limit at a time; at least 1.
   std::uint64_t value(TimePoint now) const {
     if (reducedLimit_ == unbounded) return configuredLimit_;
     std::uint64_t const recoveryIntervals = static_cast<std::uint64_t>((now - limitReducedAt_) / recoveryInterval_);
--- a/traffic/load_balancer.cpp
+++ b/traffic/load_balancer.cpp
@@ -3,18 +3,18 @@
 namespace tealshelf {
 
 namespace {
-/// A prompt is weighed in pieces of so many tokens, each of which costs as much as so much load.
+/// Prefill of each `costUnitTokens` tokens costs as much as `costPerUnit` of load.
 constexpr double costUnitTokens = 1024;
 constexpr double costPerUnit = 0.25;
-/// Workers drawn at random before all are weighed.
+/// Workers sampled at random before all are compared.
 constexpr int randomSamples = 3;
 constexpr int maxWorkerFailures = 5;
-/// How much one report of a worker counts in the mean load of its service.
+/// Weight of one worker's report in the moving average of its service's load.
 constexpr double newReportWeight = 0.125;
-/// After so many failures in a row a worker is passed over, however it failed.
+/// A worker is avoided after this many consecutive failures of any kind.
 constexpr int failuresUntilAvoided = 2;
 
-/// With fewer other zones none can tell whether it is cut off itself, or the other.
+/// With fewer other zones a node can't tell on which side of a partition it is.
 constexpr std::size_t minZonesForPartition = 2;
 
 double costOfTokens(double tokens) {
@@ -190,7 +190,7 @@
 
 Pick LoadBalancer::pick(FleetView const& view, PickRequest const& request, std::set<string> const& tried) {
   TimePoint const now = Clock::now();
-  // Only a first try goes to a new version, so that a bad one fails no request for good.
+  // Only a first try goes to a new version, so that a faulty one fails no request for good.
   VersionGroups const& groups = view.groupsOf(request.service);
   if (tried.empty() && !groups.canary.empty() && request.draw % fullShare < groups.canaryShare) {
     Pick const canary = pickFrom(candidatesFor(view, request.service, Group::canary), request, tried, now);
@@ -215,7 +215,7 @@
     double const cost = costOf(candidate, now);
     if (fitness > best.fitness || cost < best.cost) best = Best{candidate.worker, fitness, cost};
   };
-  // A few drawn at random will do; all are weighed if those don't.
+  // A few random samples usually include a good worker; otherwise all are compared.
   Best drawn;
   for (int draw = 0; draw < randomSamples; ++draw) weigh(drawn, candidates[nextRandom() % candidates.size()]);
   if (drawn.fitness == Fitness::good) return drawn.worker;
@@ -225,10 +225,11 @@
   return best.worker;
 }
 
-/// The first worker in rendezvous order likely keeps the shared parts, the second may; all others read them again.
+/// The first worker in rendezvous order probably has the shared parts cached, the second one perhaps; all others must
+/// prefill them again.
 Pick LoadBalancer::pickWithAffinity(vector<Candidate> const& candidates, PickRequest const& request,
                                     std::set<string> const& tried, TimePoint now) const {
-  Candidate const* preferredWorker = nullptr;  // the first of all, those that are passed over too
+  Candidate const* preferredWorker = nullptr;  // the first of all, including avoided ones
   Candidate const* first = nullptr;
   Candidate const* second = nullptr;
   std::uint64_t preferredRank = 0, firstRank = 0, secondRank = 0;
@@ -254,8 +255,8 @@
   for (Candidate const& candidate : candidates) {
     Fitness const fitness = fitnessOf(candidate, request, tried, now);
     if (fitness == Fitness::none || fitness < best.fitness) continue;
-    double const readAgain = &candidate == first ? 0 : &candidate == second ? missCost / 2 : missCost;
-    double const cost = costOf(candidate, now) + readAgain;
+    double const recomputeCost = &candidate == first ? 0 : &candidate == second ? missCost / 2 : missCost;
+    double const cost = costOf(candidate, now) + recomputeCost;
     if (fitness > best.fitness || cost < best.cost) best = Best{candidate.worker, fitness, cost};
   }
   if (!best.worker) return {};
--- a/traffic/prefix_placement.hpp
+++ b/traffic/prefix_placement.hpp
@@ -3,35 +3,35 @@
 
 namespace tealshelf {
 
-/// How a request whose prompt begins with a long shared prefix was placed. Workers can't hand cached prefixes to each
-/// other on today's wire, so carrying means sending the request to the site whose worker keeps the prefix, and
-/// computing means that another worker reads the prefix again.
+/// Where a request whose prompt begins with a long shared prefix was sent: to the preferred worker, which should have
+/// the prefix cached, or to another one, which computes it again. Workers can't transfer cached prefixes to each other.
 enum class PrefixChoice {
-  cachedLocal,      ///< at the worker that should keep it, in this node's zone
-  cachedRemote,     ///< at the worker that should keep it, in another zone
-  recomputedLocal,  ///< at another worker of this node's zone
-  recomputedRemote  ///< at another worker of another zone
+  cachedLocal,      ///< preferred worker, in this node's zone
+  cachedRemote,     ///< preferred worker, in another zone
+  recomputedLocal,  ///< another worker, in this node's zone
+  recomputedRemote  ///< another worker, in another zone
 };
 
-/// Why the worker that should keep the prefix wasn't taken.
+/// Why the preferred worker wasn't chosen.
 enum class PrefixReason {
-  none,    ///< it was taken
-  unfit,   ///< it was tried before, failed, refused or is ejected
-  loaded,  ///< waiting there was foretold to cost more than reading the prefix again
+  none,    ///< it was chosen
+  unfit,   ///< it was tried before, is avoided or is ejected
+  loaded,  ///< its estimated cost exceeded that of computing the prefix again
 };
 
 constexpr std::size_t prefixChoices = 4;
 string_view nameOf(PrefixChoice choice);
 string_view nameOf(PrefixReason reason);
 
+/// One placement of a request with a long shared prefix.
 struct PrefixPlacement {
   std::uint64_t prefixKey = 0;
   std::uint64_t sharedTokens = 0;
   PrefixChoice choice = PrefixChoice::cachedLocal;
   PrefixReason reason = PrefixReason::none;
   string worker, workerZone;
-  string preferredWorker, preferredZone;  ///< the worker that should keep the prefix
-  /// What the balancer foretold, in loads (1: all slots of a worker taken): at the keeper, and where it was placed.
+  string preferredWorker, preferredZone;  ///< the worker that should have the prefix cached
+  /// Estimated costs at the preferred and the chosen worker, in units of load (1: all slots of a worker in use).
   double preferredCost = 0, chosenCost = 0;
 };
 
--- a/traffic/prefix_report.cpp
+++ b/traffic/prefix_report.cpp
@@ -48,11 +48,11 @@
   prefix.preferredWorker = placement.preferredWorker;
   prefix.preferredZone = placement.preferredZone;
   if (prefix.zones.contains(placement.workerZone) || prefix.zones.size() < maxZones) {
-    ZoneStats& site = prefix.zones[placement.workerZone];
-    bool const isFirst = site.firstOutputMs == 0;
+    ZoneStats& stats = prefix.zones[placement.workerZone];
+    bool const isFirst = stats.firstOutputMs == 0;
     double const observed = static_cast<double>(firstOutput.count());
-    site.firstOutputMs += (isFirst ? 1 : newestWeight) * (observed - site.firstOutputMs);
-    ++site.count[static_cast<std::size_t>(placement.choice)];
+    stats.firstOutputMs += (isFirst ? 1 : newestWeight) * (observed - stats.firstOutputMs);
+    ++stats.count[static_cast<std::size_t>(placement.choice)];
   }
   prefix.last.push_front({placement, firstOutput});
   if (prefix.last.size() > maxChoices) prefix.last.pop_back();
@@ -70,12 +70,12 @@
     writeField(writer, "keeperZone", prefix.preferredZone);
     writer.Key("sites");
     writer.StartArray();
-    for (auto const& [zone, site] : prefix.zones) {
+    for (auto const& [zone, stats] : prefix.zones) {
       writer.StartObject();
       writeField(writer, "zone", zone);
       for (std::size_t choice = 0; choice < prefixChoices; ++choice)
-        writeField(writer, nameOf(static_cast<PrefixChoice>(choice)).data(), site.count[choice]);
-      writeReal(writer, "firstOutputMs", site.firstOutputMs);
+        writeField(writer, nameOf(static_cast<PrefixChoice>(choice)).data(), stats.count[choice]);
+      writeReal(writer, "firstOutputMs", stats.firstOutputMs);
       writer.EndObject();
     }
     writer.EndArray();
--- a/traffic/prefix_report.hpp
+++ b/traffic/prefix_report.hpp
@@ -6,22 +6,24 @@
 
 namespace tealshelf {
 
-/// Where an edge serves its report.
+/// URL path at which an edge node serves its report.
 constexpr string_view prefixesPath = "/prefixes";
 
-/// What this node chose for each long shared prefix and what came of it, for `tealshelf-control-plane prefixes`.
+/// Placements of requests with long shared prefixes and their times to first output, for
+/// `tealshelf-control-plane prefixes`.
 ///
-/// Prefixes are named by hash only. Bounded: the prefix unused for longest is forgotten first. Runs on the io thread.
+/// Prefixes are identified by hash only. Bounded: the least recently used prefix is dropped first. Runs on the io
+/// thread.
 class PrefixReport {
  public:
   static constexpr std::size_t maxPrefixes = 1024;
-  static constexpr std::size_t maxZones = 16;   ///< zones told of one prefix
-  static constexpr std::size_t maxChoices = 8;  ///< last choices kept of one prefix
+  static constexpr std::size_t maxZones = 16;   ///< zones reported for one prefix
+  static constexpr std::size_t maxChoices = 8;  ///< most recent placements kept for one prefix
 
   explicit PrefixReport(Metrics& metrics) : metrics_(metrics) {}
-  /// Notes a placement and the time until the worker's first output.
+  /// Records a placement and the time until the worker's first output.
   void record(PrefixPlacement const& placement, Ms firstOutput);
-  /// All of it as JSON, the prefix used last first. Times are in milliseconds, costs in loads.
+  /// The report as JSON, the most recently used prefix first. Times are in milliseconds, costs in units of load.
   string json() const;
   std::size_t size() const { return prefixes_.size(); }
 
@@ -48,7 +50,7 @@
   void count(PrefixPlacement const& placement);
 
   Metrics& metrics_;
-  std::list<Prefix> prefixes_;  ///< the one used last first
+  std::list<Prefix> prefixes_;  ///< the most recently used one first
   std::unordered_map<std::uint64_t, std::list<Prefix>::iterator> byKey_;
   std::map<std::tuple<PrefixChoice, PrefixReason, string>, Series> series_;
 };
--- a/traffic/prompt_prefix.hpp
+++ b/traffic/prompt_prefix.hpp
@@ -3,10 +3,11 @@
 
 namespace tealshelf {
 
-/// What a request's `Prompt-Start` says of its prompt: parts as ID:TOKENS in order, the last of them the request's own.
+/// The prompt's parts from the header `Prompt-Start`: a list of ID:TOKENS in order, the last one specific to the
+/// request.
 ///
-/// The header is untrusted: tokens are added up to `maxTokens` and no further, and parts beyond `maxParts` only count
-/// their tokens.
+/// The header is untrusted: sums of tokens are capped at `maxTokens`, and of parts beyond `maxParts` only the tokens
+/// count.
 struct PromptPrefix {
   static constexpr std::uint64_t maxTokens = 1u << 24;
   static constexpr std::size_t maxParts = 256;
--- a/traffic/silence_probe.hpp
+++ b/traffic/silence_probe.hpp
@@ -3,24 +3,24 @@
 
 namespace tealshelf {
 
-/// Looks after one exchange with a worker: whenever nothing came for a while, it opens a connection to the worker to
-/// learn whether that can be reached at all. A worker that is only slow accepts it, or refuses it, at once.
+/// Monitors one exchange with a worker: whenever the worker has been silent for a while, opens a connection to it to
+/// find out whether it can be reached. A worker that is merely slow accepts or refuses the connection at once.
 ///
-/// Runs on the io thread. It ends when it is destroyed.
+/// Runs on the io thread until it is destroyed.
 class SilenceProbe {
  public:
   struct Timing {
-    Ms silence;       ///< without anything from the worker before it is probed; doubles with each probe that succeeds
-    Ms answerWithin;  ///< in which a connection must come up or be refused
+    Ms silence;       ///< time without progress before a probe; doubles after each probe
+    Ms answerWithin;  ///< timeout of a probe
   };
-  /// Called once for each probe; no more follow after one that found the worker out of reach.
+  /// Called after each probe; an unreachable worker is not probed again.
   using OnProbed = std::function<void(bool reachable)>;
 
   SilenceProbe(asio::io_context& io, Address worker, Timing timing, OnProbed onProbed);
   ~SilenceProbe();
   SilenceProbe(SilenceProbe const&) = delete;
   SilenceProbe& operator=(SilenceProbe const&) = delete;
-  /// Something came from the worker.
+  /// The exchange made progress: bytes arrived from the worker.
   void noteProgress() { state_->progressAt = Clock::now(); }
 
  private:
@@ -36,7 +36,7 @@
     bool stopped = false;
   };
   static Task<void> watch(std::shared_ptr<State> state);
-  /// Waits until nothing came for long; false if the probe was ended meanwhile.
+  /// Waits until the worker has been silent for the set time; false if the monitoring ended before.
   static Task<bool> awaitSilence(std::shared_ptr<State> state);
 
   std::shared_ptr<State> state_;
--- a/traffic/warm_up_gate.cpp
+++ b/traffic/warm_up_gate.cpp
@@ -5,10 +5,10 @@
 namespace tealshelf {
 
 namespace {
-/// A health answer is awaited for this part of inTouch.
+/// The timeout of a health request is this part of inTouch.
 constexpr int healthProbeTimeoutDivisor = 16;
 
-/// The time for which a worker says that it warms up yet; nothing if it doesn't say that it is well.
+/// The remaining warm-up time that a worker reports; std::nullopt if it doesn't report that it is healthy.
 std::optional<Ms> warmUpLeft(Exchange const& exchange) {
   bool const isWell = exchange.status() == 200 && exchange.header("Server-Id") == exchange.worker().id;
   if (!isWell) return std::nullopt;
--- a/traffic/warm_up_rule.hpp
+++ b/traffic/warm_up_rule.hpp
@@ -1,24 +1,24 @@
 #pragma once
 
-/// What a data-plane node must do before it sends a request to a worker that may warm up.
+/// The rule for sending a request to a worker that may be warming up.
 namespace tealshelf {
 
-/// What a node knows of a worker.
+/// What a node knows of a worker's warm-up.
 struct WarmUpKnowledge {
-  bool isBounded = false;       ///< workers of its service may be sent little while they warm up
-  bool mayBeWarmingUp = false;  ///< by the last that was heard
-  bool isRecent = false;        ///< what the node knows of the fleet is recent
+  bool isBounded = false;       ///< its service limits the requests to workers that are warming up
+  bool mayBeWarmingUp = false;  ///< according to the last update
+  bool isRecent = false;        ///< the node's knowledge of the fleet is recent
 };
 
 enum class WarmUpStep {
-  send,        ///< nothing
-  takeCredit,  ///< have the request counted for all nodes together
+  send,        ///< send without admission
+  takeCredit,  ///< obtain a credit, counted over all nodes
   probe,       ///< ask the worker itself whether it is warm
   pass         ///< choose another worker
 };
 
-/// A worker that is known to warm up gets counted requests only. A node whose knowledge is old can't have them counted
-/// and can't know who has gone cold since: it passes over whom it knows as cold, and asks all others.
+/// A worker known to be warming up gets only requests with a credit. A node whose knowledge is old can't obtain credits
+/// and can't know which workers have gone cold since: it avoids those it knows as cold and probes all others.
 constexpr WarmUpStep warmUpStep(WarmUpKnowledge const& warmth) {
   if (!warmth.isBounded) return WarmUpStep::send;
   if (warmth.isRecent) return warmth.mayBeWarmingUp ? WarmUpStep::takeCredit : WarmUpStep::send;
--- a/traffic/worker_load.hpp
+++ b/traffic/worker_load.hpp
@@ -3,12 +3,12 @@
 
 namespace tealshelf {
 
-/// A worker's own word on its load.
+/// A worker's load as it reports it.
 struct WorkerLoad {
   std::uint64_t running = 0, waiting = 0, slots = 0;
 };
 
-/// Reads the header Server-Load; nothing if it is anything else than three numbers.
+/// Parses the header Server-Load, RUNNING,WAITING,SLOTS; std::nullopt if it is malformed.
 inline std::optional<WorkerLoad> parseWorkerLoad(string_view header) {
   vector<string> const parts = split(header, ',');
   if (parts.size() != 3) return std::nullopt;
--- a/traffic/zone_reachability.cpp
+++ b/traffic/zone_reachability.cpp
@@ -3,14 +3,14 @@
 namespace tealshelf {
 
 namespace {
-/// Workers that must be silent before their zone is taken for out of reach.
+/// Number of silent workers that makes their zone count as unreachable.
 constexpr std::size_t silentWorkers = 2;
 }  // namespace
 
 void ZoneReachability::noteSilence(string const& zone, string const& worker, TimePoint now) {
   SilentZone& silent = zones_[zone];
   silent.workers.insert(worker);
-  // Of several that were asked at one time, the first counts.
+  // Of several attempts made at the same time, only the first extends the pause.
   if (silent.workers.size() < silentWorkers || now < silent.avoidedUntil) return;
   silent.pause = silent.pause == Ms(0) ? shortestPause_ : std::min(2 * silent.pause, longestPause_);
   silent.avoidedUntil = now + silent.pause;
--- a/traffic/zone_reachability.hpp
+++ b/traffic/zone_reachability.hpp
@@ -3,31 +3,30 @@
 
 namespace tealshelf {
 
-/// Tells which zones this node seems to be cut off from, by whether their workers accept connections; no input or
-/// output of its own.
+/// A circuit breaker for each zone, opened by workers that don't respond to connection attempts. Performs no I/O.
 ///
-/// A circuit breaker a zone: it opens once connections to two workers of the zone stayed without an answer of any kind
-/// and nothing came from the zone since. From time to time its workers are tried again, with a growing pause; anything
-/// that comes from one of them closes it. A worker that refuses a connection can be reached.
+/// It opens once connections to two workers of the zone got no response and no worker of the zone has responded since.
+/// Requests try the zone again after growing pauses; any response of one of its workers closes the circuit breaker. A
+/// refused connection is a response.
 class ZoneReachability {
  public:
   /// The pause before the zone is tried again grows from `shortestPause` to `longestPause`.
   ZoneReachability(Ms shortestPause, Ms longestPause) : shortestPause_(shortestPause), longestPause_(longestPause) {}
 
-  /// Something came from a worker of a zone.
+  /// A worker of a zone responded.
   void noteAnswer(string const& zone) { zones_.erase(zone); }
-  /// A connection to a worker of a zone stayed without an answer.
+  /// A connection attempt to a worker of a zone got no response.
   void noteSilence(string const& zone, string const& worker, TimePoint now);
-  /// True while the zone's workers are taken only where there are no others.
+  /// True while the zone's workers are used only as a last resort.
   bool isAvoided(string const& zone, TimePoint now) const;
-  /// True from when it was first avoided until something came from it.
+  /// True from when the zone was first avoided until one of its workers responds.
   bool isSilent(string const& zone) const;
-  /// False in nearly every moment, so that there is nothing to look up.
+  /// A fast check: false almost always, and then no zone is silent.
   bool hasSilent() const { return !zones_.empty(); }
 
  private:
   struct SilentZone {
-    std::set<string> workers;  ///< that gave no answer since something came from the zone
+    std::set<string> workers;  ///< that failed to respond since the zone's last response
     Ms pause{0};
     TimePoint avoidedUntil;
   };
