--- a/workers/outlier_detector.cpp
+++ b/workers/outlier_detector.cpp
@@ -5,10 +5,10 @@
 namespace tealshelf {
 
 namespace {
-constexpr double maxPlausibleCount = 1e6;    ///< a count above this is none
-constexpr double minReportedFailures = 0.5;  ///< fewer failures aren't told to other control nodes
-constexpr int maxRepetitions = 4;            ///< an ejection doubles so often at the most
-constexpr int ejectionMemoryHalfLives = 8;   ///< after so long without an ejection the next one is short again
+constexpr double maxPlausibleCount = 1e6;    ///< a tally with a larger count is ignored
+constexpr double minReportedFailures = 0.5;  ///< fewer failures aren't reported to other control nodes
+constexpr int maxRepetitions = 4;            ///< maximum of doublings of an ejection's duration
+constexpr int ejectionMemoryHalfLives = 8;  ///< time without an ejection after which the next lasts one half-life again
 }  // namespace
 
 void OutlierDetector::decay(Counts& counts, TimePoint now) const {
@@ -97,7 +97,7 @@
     Ejection& ejection = ejections_[worker.id];
     if (worker.ejected) {
       if (now < ejection.until) continue;
-      // It is on probation: what was seen before the ejection no longer counts.
+      // Outcomes from before the ejection no longer count.
       own_.erase(worker.id);
       ejection.endedAt = now;
       changes.push_back({worker.id, false});
--- a/workers/worker_heartbeat.cpp
+++ b/workers/worker_heartbeat.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// The largest count or time in a heartbeat; more can't be meant.
+/// The largest count or time accepted in a heartbeat.
 constexpr double maxNumber = 1e15;
 
 string textField(rapidjson::Document const& heartbeat, char const* name) {
--- a/workers/worker_heartbeat.hpp
+++ b/workers/worker_heartbeat.hpp
@@ -3,7 +3,7 @@
 
 namespace tealshelf {
 
-/// Reads the body of a worker's heartbeat; throws ErrorCode::badHeartbeat.
+/// Parses the JSON body of a worker's heartbeat; throws ErrorCode::badHeartbeat.
 Worker parseWorkerHeartbeat(string const& id, string const& body);
 
 }  // namespace tealshelf
--- a/workers/worker_registry.cpp
+++ b/workers/worker_registry.cpp
@@ -3,7 +3,7 @@
 namespace tealshelf {
 
 namespace {
-/// A worker that ended or is lost is forgotten after so many times the time until it is lost.
+/// A removed or lost worker is dropped after this multiple of the time after which a worker is lost.
 constexpr int forgetAfterLost = 16;
 }  // namespace
 
@@ -30,7 +30,7 @@
   return true;
 }
 
-/// Only the node that hears a worker can lose it.
+/// Only its registrar may report a worker as lost.
 bool WorkerRegistry::markLost(Row& row, Worker const& report) {
   bool const byRegistrar = row.worker.registrar == report.registrar;
   if (row.lost || row.worker.removed || !byRegistrar || report.heartbeatSequence < row.worker.heartbeatSequence)
@@ -43,18 +43,18 @@
 bool WorkerRegistry::update(Row& row, Worker const& worker, TimePoint now) {
   Worker& known = row.worker;
   if (known.removed) return false;
-  // A heartbeat that the worker sent carries no ejection; what its registrar decided stays.
+  // A worker's own heartbeat carries no ejection; the registrar's decision stays in force.
   std::uint64_t const ejectionRevision = std::max(worker.ejectionRevision, known.ejectionRevision);
   bool const newerEjection = worker.ejectionRevision && worker.ejectionRevision >= known.ejectionRevision;
   bool const ejected = newerEjection ? worker.ejected : known.ejected;
   bool const nothingNew =
       worker.heartbeatSequence <= known.heartbeatSequence && ejectionRevision == known.ejectionRevision;
   if (nothingNew && !worker.removed) return false;
-  // A worker that drains never serves again.
+  // Draining is final.
   bool const draining = known.draining || worker.draining;
-  // Another node's word of an ejection may be older than the last heartbeat.
+  // Another node's report of an ejection may be older than the last heartbeat.
   bool const warmingUp = worker.heartbeatSequence >= known.heartbeatSequence ? worker.warmingUp : known.warmingUp;
-  // What was heard after a change of the zone stays heard.
+  // A heartbeat received after a change of the evacuation stays acknowledged.
   std::uint64_t const evacuationRevision = std::max(worker.evacuationRevision, known.evacuationRevision);
   bool const changed = row.lost || worker.removed != known.removed || draining != known.draining ||
                        worker.address != known.address || worker.service != known.service ||
