--- a/tests/edge/client_watch_test.cpp
+++ b/tests/edge/client_watch_test.cpp
@@ -36,7 +36,7 @@
 
 TEST_GROUP(clientWatch){};
 
-TEST(clientWatch, seesThatTheClientCloses) {
+TEST(clientWatch, detectsThatTheClientCloses) {
   asio::io_context io;
   tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   tcp::socket client(io);
@@ -53,7 +53,7 @@
   CHECK(watch.clientDisconnected());
   LONGS_EQUAL(1, calls);
 }
-TEST(clientWatch, leavesTheBytesOfTheNextRequestAlone) {
+TEST(clientWatch, leavesPipelinedBytesUnread) {
   asio::io_context io;
   tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   tcp::socket client(io);
@@ -66,7 +66,7 @@
   LONGS_EQUAL(4, served.available());
 }
 /// What repeats does no harm is ended at its worker, and goes to no other.
-TEST(clientWatch, aRepeatableRequestEndsAtItsWorkerWithItsClient) {
+TEST(clientWatch, aRepeatableRequestIsCancelledWithItsClient) {
   WaitingClient client("/again/x");
   std::size_t const connections = client.connectionsOfWorkers();
   client.socket.close();
@@ -74,7 +74,7 @@
   client.rig.run(Ms(50));
   LONGS_EQUAL(1, client.rig.sends());
 }
-TEST(clientWatch, aStreamEndsAtItsWorkerWithItsClient) {
+TEST(clientWatch, aStreamIsCancelledWithItsClient) {
   WaitingClient client("/streaming/x");
   std::size_t const connections = client.connectionsOfWorkers();
   client.socket.close();
@@ -83,7 +83,7 @@
   LONGS_EQUAL(1, client.rig.sends());
 }
 /// A request that must not run twice is left to its worker: the client may have ended its sending only.
-TEST(clientWatch, aRequestOfOneShotStaysAtItsWorker) {
+TEST(clientWatch, aNonRepeatableRequestContinuesWithoutItsClient) {
   WaitingClient client("/once/x");
   std::size_t const connections = client.connectionsOfWorkers();
   client.socket.close();
--- a/tests/edge/cold_worker_test.cpp
+++ b/tests/edge/cold_worker_test.cpp
@@ -27,41 +27,41 @@
 TEST_GROUP(coldWorkers){};
 
 /// Incident FAILBACK: a cold worker looks idle, so that each node takes it for the best of all.
-TEST(coldWorkers, getNothingThatWasNotCountedForAllNodes) {
+TEST(coldWorkers, getNoRequestsWithoutACredit) {
   EdgeRig rig(answersWell);
   CHECK(rig.prime());
-  rig.hearHeartbeat(1, Ms(3000));
+  rig.publishHeartbeat(1, Ms(3000));
   rig.creditVerdict = CreditVerdict::exhausted;
   for (int number = 0; number < 40; ++number) LONGS_EQUAL(200, rig.call("/once/x", "id1").status);
   LONGS_EQUAL(40, rig.workers[0].sends);
   LONGS_EQUAL(0, rig.workers[1].sends);
 }
-TEST(coldWorkers, getRequestsOnceTheySayThatTheyAreWarm) {
+TEST(coldWorkers, getRequestsOnceTheyReportThatTheyAreWarm) {
   ColdRig rig;
-  rig.hearHeartbeat(1, warmUpLeft);
-  rig.hearHeartbeat(1, Ms(0));
+  rig.publishHeartbeat(1, warmUpLeft);
+  rig.publishHeartbeat(1, Ms(0));
   LONGS_EQUAL(200, rig.call("/once/x", "id1").status);
   LONGS_EQUAL(40, rig.answered(200, 40));
   CHECK(rig.workers[1].sends > 5);
   LONGS_EQUAL(0, rig.creditsAsked);
 }
-TEST(coldWorkers, serveCountedRequestsWhereNoneIsWarm) {
+TEST(coldWorkers, serveRequestsWithCreditsIfNoneIsWarm) {
   ColdRig rig;
-  rig.hearHeartbeat(0, warmUpLeft);
-  rig.hearHeartbeat(1, warmUpLeft);
+  rig.publishHeartbeat(0, warmUpLeft);
+  rig.publishHeartbeat(1, warmUpLeft);
   LONGS_EQUAL(20, rig.answered(200, 20));
   LONGS_EQUAL(20, rig.sends());
   LONGS_EQUAL(20, rig.creditsAsked);
 }
-TEST(coldWorkers, serveCountedRequestsWhereWarmOnesAreBusy) {
+TEST(coldWorkers, serveRequestsWithCreditsIfWarmOnesAreBusy) {
   ColdRig rig(answersBusy);
-  rig.hearHeartbeat(1, warmUpLeft);
+  rig.publishHeartbeat(1, warmUpLeft);
   LONGS_EQUAL(20, rig.answered(200, 20));
   CHECK(rig.workers[1].sends > 5);
   LONGS_EQUAL(rig.creditsAsked, rig.workers[1].sends);
 }
 /// What other workers told counts for those that this node hasn't asked yet.
-TEST(coldWorkers, serveCountedRequestsWhereTheServiceIsBusy) {
+TEST(coldWorkers, serveRequestsWithCreditsIfTheServiceIsBusy) {
   Settings settings;
   LoadBalancer balancer(settings);
   Worker warm, cold;
@@ -79,21 +79,21 @@
   CHECK_FALSE(balancer.recentMeanLoad("app", Clock::now() + settings.bounds.inTouch).has_value());
   CHECK_FALSE(balancer.recentMeanLoad("other", Clock::now()).has_value());
 }
-TEST(coldWorkers, areNotAskedByThoseWithoutACredit) {
+TEST(coldWorkers, areNotUsedIfNoCreditIsGranted) {
   for (CreditVerdict const verdict : {CreditVerdict::exhausted, CreditVerdict::notCounting}) {
     ColdRig rig;
-    rig.hearHeartbeat(0, warmUpLeft);
-    rig.hearHeartbeat(1, warmUpLeft);
+    rig.publishHeartbeat(0, warmUpLeft);
+    rig.publishHeartbeat(1, warmUpLeft);
     rig.creditVerdict = verdict;
     LONGS_EQUAL(5, rig.answered(503, 5));
     LONGS_EQUAL(0, rig.sends());
   }
 }
 /// The credit lapses while it is on its way.
-TEST(coldWorkers, areNotSentWhatComesTooLate) {
+TEST(coldWorkers, getNoRequestsWithExpiredCredits) {
   ColdRig rig;
-  rig.hearHeartbeat(0, warmUpLeft);
-  rig.hearHeartbeat(1, warmUpLeft);
+  rig.publishHeartbeat(0, warmUpLeft);
+  rig.publishHeartbeat(1, warmUpLeft);
   rig.creditDelay = warmUpCreditLife() + Ms(10);
   LONGS_EQUAL(3, rig.answered(503, 3));
   LONGS_EQUAL(0, rig.sends());
@@ -108,17 +108,17 @@
   LONGS_EQUAL(3, rig.answered(503, 3));
   LONGS_EQUAL(0, rig.sends());
 }
-TEST(evacuatedZone, isTakenForColdUntilItsWorkersWereHeardSince) {
+TEST(evacuatedZone, countsAsColdUntilItsWorkersSendHeartbeats) {
   ColdRig rig;
   rig.setEvacuation(true, 1);
   rig.setEvacuation(false, 2);
   rig.creditVerdict = CreditVerdict::exhausted;
   LONGS_EQUAL(3, rig.answered(503, 3));
   // The registrar had not heard of the change yet.
-  rig.hearHeartbeat(0, Ms(0), 1);
+  rig.publishHeartbeat(0, Ms(0), 1);
   LONGS_EQUAL(3, rig.answered(503, 3));
-  rig.hearHeartbeat(0, Ms(0), 2);
-  rig.hearHeartbeat(1, warmUpLeft, 2);
+  rig.publishHeartbeat(0, Ms(0), 2);
+  rig.publishHeartbeat(1, warmUpLeft, 2);
   LONGS_EQUAL(20, rig.answered(200, 20));
   LONGS_EQUAL(20, rig.workers[0].sends);
 }
@@ -139,7 +139,7 @@
   LONGS_EQUAL(3, rig.answered(503, 3));
   LONGS_EQUAL(before, rig.sends());
 }
-TEST(coldUnheard, anAnswerOfAnotherWorkerIsNone) {
+TEST(coldUnheard, anAnswerOfAnotherWorkerIsIgnored) {
   ColdRig rig;
   rig.workers[0].id = rig.workers[1].id = "i-9";
   rig.loseMajority();
@@ -165,9 +165,9 @@
   LONGS_EQUAL(20, rig.answered(200, 20));
   CHECK(rig.workers[0].sends > 3);
 }
-TEST(coldUnheard, thoseThatWarmedUpGetNothing) {
+TEST(coldUnheard, workersKnownAsColdGetNothing) {
   ColdRig rig;
-  rig.hearHeartbeat(1, warmUpLeft);
+  rig.publishHeartbeat(1, warmUpLeft);
   rig.loseMajority();
   LONGS_EQUAL(10, rig.answered(200, 10));
   LONGS_EQUAL(0, rig.workers[1].sends);
--- a/tests/edge/forwarded_headers_test.cpp
+++ b/tests/edge/forwarded_headers_test.cpp
@@ -5,7 +5,7 @@
 using namespace tealshelf;
 
 namespace {
-vector<string> namesThatGoOn(http::fields const& message) {
+vector<string> forwardedNames(http::fields const& message) {
   http::fields target;
   copyHeaders(message, target);
   vector<string> names;
@@ -19,30 +19,30 @@
   http::fields message;
 };
 
-TEST(forwardedHeaders, everyOtherHeaderGoesAlong) {
+TEST(forwardedHeaders, endToEndHeadersAreForwarded) {
   message.insert("Host", "shop.example");
   message.insert("Model", "m");
   message.insert("X-Many", "1");
   message.insert("X-Many", "2");
-  CHECK(namesThatGoOn(message) == (vector<string>{"Host", "Model", "X-Many", "X-Many"}));
+  CHECK(forwardedNames(message) == (vector<string>{"Host", "Model", "X-Many", "X-Many"}));
 }
-TEST(forwardedHeaders, thoseOfOneConnectionStay) {
+TEST(forwardedHeaders, hopByHopHeadersAreDropped) {
   for (char const* const name : {"Connection", "keep-alive", "Proxy-Connection", "Transfer-Encoding", "TE", "Trailer",
                                  "Upgrade", "Content-Length"})
     message.insert(name, "x");
-  CHECK(namesThatGoOn(message).empty());
+  CHECK(forwardedNames(message).empty());
 }
-TEST(forwardedHeaders, thoseThatTheMessageNamesInConnectionStay) {
+TEST(forwardedHeaders, headersListedInConnectionAreDropped) {
   message.insert("Connection", "keep-alive, X-Hop");
   message.insert("X-hop", "1");
   message.insert("Model", "m");
   message.insert("Connection", "x-other");
   message.insert("X-Other", "2");
-  CHECK(namesThatGoOn(message) == vector<string>{"Model"});
+  CHECK(forwardedNames(message) == vector<string>{"Model"});
 }
-TEST(forwardedHeaders, whatIdentifiesARequestGoesAlongWhateverConnectionNames) {
+TEST(forwardedHeaders, identifyingHeadersAreAlwaysForwarded) {
   message.insert("Connection", "Host, attempt-id");
   message.insert("Host", "shop.example");
   message.insert("Attempt-Id", "a");
-  CHECK(namesThatGoOn(message) == (vector<string>{"Host", "Attempt-Id"}));
+  CHECK(forwardedNames(message) == (vector<string>{"Host", "Attempt-Id"}));
 }
--- a/tests/edge/request_forms_test.cpp
+++ b/tests/edge/request_forms_test.cpp
@@ -140,13 +140,13 @@
   }
 };
 
-TEST(requestForms, rareOnesThatHttpPermitsAreServed) {
+TEST(requestForms, permittedFormsAreServed) {
   STRCMP_EQUAL("", forms.failures(permittedForms(), 200, 1).c_str());
 }
-TEST(requestForms, thoseThatAdmitTwoReadingsReachNoWorker) {
+TEST(requestForms, ambiguousFormsReachNoWorker) {
   STRCMP_EQUAL("", forms.failures(ambiguousForms(), 400, 0).c_str());
 }
-TEST(requestForms, anEmptyLineBehindABodyDoesntDisturbTheNextRequest) {
+TEST(requestForms, emptyLinesAfterABodyAreIgnored) {
   string const request = formHead + "Content-Length: 4\r\n\r\nbody";
   KeptClient client(forms.rig);
   client.send(request + "\r\n" + request);
@@ -157,7 +157,7 @@
   client.send(request);
   LONGS_EQUAL(200, client.answer().status);
 }
-TEST(requestForms, aClientThatGoesLeavesNothingUnderWay) {
+TEST(requestForms, aDisconnectedClientLeavesNoActiveRequest) {
   { KeptClient const silent(forms.rig); }
   {
     KeptClient partial(forms.rig);
@@ -167,13 +167,13 @@
   forms.rig.run(Ms(20));
   LONGS_EQUAL(0, forms.rig.activeRequests());
 }
-TEST(requestForms, aHeadThatEndsWithTheSendingIsRefused) {
+TEST(requestForms, anIncompleteHeadIsRefused) {
   KeptClient client(forms.rig);
   client.send(formHead);
   client.endSending();
   LONGS_EQUAL(400, client.answer().status);
 }
-TEST(requestForms, whatExceedsTheLimitsIsRefusedByItsNumber) {
+TEST(requestForms, requestsOverTheLimitsGetTheirStatus) {
   Sent const head = sendInPieces(forms.rig, formHead + "X-Long: " + string(20000, 'x') + "\r\n\r\n", 1u << 20);
   LONGS_EQUAL(431, head.got.status);
   Sent const body = sendInPieces(forms.rig, formHead + "Content-Length: 99999999\r\n\r\n", 1u << 20);
--- a/tests/edge/tenant_requests_test.cpp
+++ b/tests/edge/tenant_requests_test.cpp
@@ -51,13 +51,13 @@
 /// Who a client is, is found by its key alone, on each request anew; and the key goes no further.
 TEST_GROUP(tenantRequests){};
 
-TEST(tenantRequests, workersLearnTheTenantAndNotTheKey) {
+TEST(tenantRequests, workersReceiveTheTenantAndNotTheKey) {
   TenantRig rig;
   LONGS_EQUAL(200, rig.status(bearer(firstKey) + "Customer: someone\r\nCustomer: else\r\n"));
   STRCMP_EQUAL("lantern;", rig.atWorker("Customer").c_str());
   STRCMP_EQUAL("", rig.atWorker("Authorization").c_str());
 }
-TEST(tenantRequests, withoutAKnownKeyNothingRuns) {
+TEST(tenantRequests, requestsWithoutAKnownKeyDoNotRun) {
   TenantRig rig;
   for (string const& headers :
        {string(), bearer("unknown"), bearer(""), "Authorization: Basic " + firstKey + "\r\n",
@@ -71,11 +71,11 @@
   TenantRig rig;
   LONGS_EQUAL(200, rig.status("AUTHORIZATION: bearer   " + firstKey + "  \r\n"));
 }
-TEST(tenantRequests, aKeyOfAnyLengthIsRefusedOrReadWhole) {
+TEST(tenantRequests, aVeryLongUnknownKeyIsRefused) {
   TenantRig rig;
   LONGS_EQUAL(401, rig.status(bearer(string(8000, 'k'))));
 }
-TEST(tenantRequests, aKeyThatWasTakenAwayIsRefusedOnOpenConnections) {
+TEST(tenantRequests, aRemovedKeyIsRefusedOnOpenConnections) {
   TenantRig rig;
   LONGS_EQUAL(200, rig.status(bearer(firstKey)));
   rig.rig.changeTenants(secondKeyOnly);
@@ -91,7 +91,7 @@
   LONGS_EQUAL(200, rig.status(bearer(thirdKey), "/again/prime"));
   STRCMP_EQUAL("ferry;", rig.atWorker("Customer").c_str());
 }
-TEST(tenantRequests, withoutTenantsTheHeaderIsTheWorkers) {
+TEST(tenantRequests, withoutTenantsTheHeadersAreForwarded) {
   TenantRig rig;
   rig.rig.changeTenants("");
   LONGS_EQUAL(200, rig.status(bearer("anything") + "Customer: own\r\n"));
@@ -110,7 +110,7 @@
   LONGS_EQUAL(200, rig.status(bearer(thirdKey)));
   LONGS_EQUAL(2, rig.rig.creditsAsked);
 }
-TEST(tenantLimits, whatIsOverTheLimitGets429AndRunsNowhere) {
+TEST(tenantLimits, requestsOverTheLimitGet429AndDoNotRun) {
   TenantRig rig;
   rig.rig.creditVerdict = CreditVerdict::exhausted;
   Got const got = rig.send(bearer(firstKey));
@@ -124,7 +124,7 @@
   rig.rig.run(Ms(120));
   LONGS_EQUAL(200, rig.status(bearer(firstKey)));
 }
-TEST(tenantLimits, whereNobodyCountsNothingRuns) {
+TEST(tenantLimits, requestsDoNotRunIfNoShardCounts) {
   TenantRig rig;
   rig.rig.creditVerdict = CreditVerdict::notCounting;
   LONGS_EQUAL(503, rig.status(bearer(firstKey)));
@@ -139,7 +139,7 @@
   CHECK(Clock::now() - sentAt < Ms(200));
   LONGS_EQUAL(0, rig.rig.sends());
 }
-TEST(tenantLimits, theCreditOfARequestThatRanNowhereServesTheNext) {
+TEST(tenantLimits, theCreditOfARefusedRequestIsReused) {
   TenantRig rig(refuses);
   LONGS_EQUAL(503, rig.status(bearer(firstKey)));
   LONGS_EQUAL(1, rig.rig.creditsAsked);
@@ -150,7 +150,7 @@
 /// Keys are secrets.
 TEST_GROUP(tenantKeys){};
 
-TEST(tenantKeys, standInNoLogLineMetricOrError) {
+TEST(tenantKeys, neverAppearInLogsMetricsOrErrors) {
   std::ostringstream written;
   std::streambuf* const original = std::cerr.rdbuf(written.rdbuf());
   initLogging(LogLevel::debug);
--- a/tests/edge/unanswered_test.cpp
+++ b/tests/edge/unanswered_test.cpp
@@ -18,7 +18,7 @@
 /// and no worker got it.
 TEST_GROUP(unanswered){};
 
-TEST(unanswered, aRequestThatCrossesTheStopIsAnswered) {
+TEST(unanswered, aRequestSentBeforeTheStopIsAnswered) {
   EdgeRig rig(answersOwn);
   CHECK(rig.prime());
   KeptClient client(rig);
@@ -42,7 +42,7 @@
   CHECK(client.endsWithout());
 }
 /// A client may send its next request before it has the answer to the last; a stop between them cuts neither.
-TEST(unanswered, aRequestThatWaitsBehindAnotherIsAnsweredThoughTheEdgeStops) {
+TEST(unanswered, aPipelinedRequestIsAnsweredDuringAStop) {
   EdgeRig rig(answersSlowly);
   CHECK(rig.prime());
   KeptClient client(rig);
@@ -58,7 +58,7 @@
   CHECK(says(second, "Connection: close"));
 }
 /// An exception of a library ends in an answer, and the request no longer counts as under way.
-TEST(unanswered, aFailureOfTheEdgeItselfIsAnswered) {
+TEST(unanswered, anInternalFailureIsAnswered) {
   EdgeRig rig(answersOwn);
   CHECK(rig.prime());
   KeptClient client(rig);
@@ -72,7 +72,7 @@
   LONGS_EQUAL(0, rig.sends());
 }
 /// The limits are those in force when a request comes, not those of the time at which its connection fell idle.
-TEST(unanswered, aChangeOfTheLimitsHoldsForIdleConnections) {
+TEST(unanswered, changedLimitsApplyToIdleConnections) {
   EdgeRig rig(answersOwn);
   rig.changeLimits({16384, 8, Ms(3000), Ms(200)});
   CHECK(rig.prime());
@@ -94,7 +94,7 @@
   LONGS_EQUAL(413, got.status);
   LONGS_EQUAL(0, rig.sends());
 }
-TEST(unanswered, aClientThatWaitsForTheGoAheadGetsIt) {
+TEST(unanswered, aClientThatExpects100ContinueGetsIt) {
   EdgeRig rig(answersOwn);
   CHECK(rig.prime());
   KeptClient client(rig);
@@ -115,7 +115,7 @@
   CHECK(client.send(requestText("POST", "/once/x", "id2", "b")));
   LONGS_EQUAL(200, client.answer().status);
 }
-TEST(unanswered, aClientThatEndsItsSendingStillGetsItsAnswer) {
+TEST(unanswered, aHalfClosedClientGetsItsAnswer) {
   EdgeRig rig(answersOwn);
   CHECK(rig.prime());
   KeptClient client(rig);
--- a/tests/tenants/quota_shard_test.cpp
+++ b/tests/tenants/quota_shard_test.cpp
@@ -57,7 +57,7 @@
 /// However members die, are cut off and are replaced, no window of any tenant holds more than the rule allows.
 TEST_GROUP(quotaFleet){};
 
-TEST(quotaFleet, noWindowIsOverItsBound) {
+TEST(quotaFleet, noWindowExceedsItsBound) {
   double const worst = worstShare({});
   CHECK(worst <= 1);
   // The search does press against the bound.
--- a/tests/traffic/connection_pool_test.cpp
+++ b/tests/traffic/connection_pool_test.cpp
@@ -25,14 +25,14 @@
   worker.pool.noteReset("i-1");
   LONGS_EQUAL(4, worker.pool.idleCount("i-1"));
 }
-TEST(connectionPool, whatIsGivenBackBeyondTheLimitClosesTheOldest) {
+TEST(connectionPool, releasingBeyondTheLimitClosesTheOldest) {
   PoolWithOneWorker worker;
   worker.give(8);
   worker.pool.noteReset("i-1");
   worker.give(3);
   LONGS_EQUAL(4, worker.pool.idleCount("i-1"));
 }
-TEST(connectionPool, aWorkerThatNothingWasGivenBackForHasNone) {
+TEST(connectionPool, aWorkerWithoutReleasedConnectionsHasNone) {
   PoolWithOneWorker worker;
   LONGS_EQUAL(0, worker.pool.idleCount("i-2"));
 }
--- a/tests/traffic/exchange_test.cpp
+++ b/tests/traffic/exchange_test.cpp
@@ -216,7 +216,7 @@
 }
 
 /// A stream that its worker breaks off midway, and what comes when it is asked to go on.
-TEST(exchange, aBrokenStreamIsGoneOnWithOrCut) {
+TEST(exchange, aBrokenStreamIsResumedOrClosed) {
   string const head = chunked, one = "f\r\nid: 1\ndata: a\n\n\r\n", two = "f\r\nid: 2\ndata: b\n\n\r\n";
   struct Case {
     char const* path;
@@ -244,7 +244,7 @@
   }
 }
 /// A worker that crashes between two events ends its connection as one that is done does.
-TEST(exchange, aStreamWithoutALengthIsNeverTakenForWhole) {
+TEST(exchange, aStreamWithoutALengthNeverCountsAsComplete) {
   Script const script = at("HTTP/1.1 200 x\r\nAttempt-Id: $ID\r\nServer-Seal: s\r\n\r\nid: 1\ndata: a\n\n", End::close);
   EdgeRig rig(script);
   Got const got = rig.call("/streaming/x", "id1");
@@ -254,7 +254,7 @@
   LONGS_EQUAL(1, rig.sends());
 }
 /// A second answer to a refused try may come late, under the very id of the next try.
-TEST(exchange, aTryAgainNeverGoesOverTheConnectionThatRefusedIt) {
+TEST(exchange, aRetryNeverReusesTheConnectionThatRefusedIt) {
   asio::io_context io{1};
   Settings settings;
   ConnectionPool pool(io, settings);
--- a/tests/traffic/idle_limit_test.cpp
+++ b/tests/traffic/idle_limit_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_GROUP(idleLimit){};
 
-TEST(idleLimit, isAPartOfWhatAWorkerTakes) {
+TEST(idleLimit, isAShareOfMaxConnections) {
   IdleConnectionLimit limit(recoveryInterval);
   limit.setMaxConnections(440);
   LONGS_EQUAL(55, limit.value(someTime));
@@ -32,7 +32,7 @@
 }
 /// 320 nodes that each hold as many idle connections as they may, and a worker that resets what is over its bound:
 /// whatever each began with, together they soon hold no more than it takes.
-TEST(idleLimit, allNodesTogetherComeBelowTheBound) {
+TEST(idleLimit, allNodesTogetherStayWithinTheBound) {
   constexpr std::size_t nodes = 320, maxConnections = 440;
   vector<IdleConnectionLimit> limits(nodes, IdleConnectionLimit(recoveryInterval));
   vector<std::uint64_t> held(nodes, 0);
--- a/tests/traffic/prefix_test.cpp
+++ b/tests/traffic/prefix_test.cpp
@@ -32,7 +32,7 @@
   CHECK(prefix.sharedKey != PromptPrefix::parse("5c1e07a2:800,aa:410,e4402b7d:250").sharedKey);
 }
 
-TEST(promptPrefix, absurdCountsNeverWrapAround) {
+TEST(promptPrefix, hugeCountsNeverOverflow) {
   PromptPrefix const prefix = PromptPrefix::parse("a:999999999999999999,b:999999999999999999,c:5");
   CHECK_EQUAL(PromptPrefix::maxTokens, prefix.promptTokens);
   CHECK_EQUAL(PromptPrefix::maxTokens, prefix.sharedTokens);
@@ -43,7 +43,7 @@
   CHECK(manyParts.sharedTokens <= manyParts.promptTokens);
 }
 
-TEST(promptPrefix, sharedTokensNeverOutgrowThePromptWhateverComes) {
+TEST(promptPrefix, sharedTokensNeverExceedPromptTokens) {
   std::mt19937 random(5);
   for (int round = 0; round < 2000; ++round) {
     string header;
@@ -58,7 +58,7 @@
   PrefixReport report{metrics};
 };
 
-TEST(prefixReport, tellsChoicesPerPrefixAndSite) {
+TEST(prefixReport, reportsChoicesPerPrefixAndZone) {
   report.record(placementOf(7, PrefixChoice::cachedRemote, "z2"), Ms(40));
   report.record(placementOf(7, PrefixChoice::cachedRemote, "z2"), Ms(40));
   report.record(placementOf(7, PrefixChoice::recomputedLocal, "z1"), Ms(150));
@@ -73,7 +73,7 @@
         string::npos);
 }
 
-TEST(prefixReport, forgetsThePrefixUnusedForLongest) {
+TEST(prefixReport, dropsTheLeastRecentlyUsedPrefix) {
   for (std::uint64_t key = 1; key <= PrefixReport::maxPrefixes; ++key)
     report.record(placementOf(key, PrefixChoice::cachedLocal, "z1"), Ms(1));
   report.record(placementOf(1, PrefixChoice::cachedLocal, "z1"), Ms(1));
@@ -84,7 +84,7 @@
   CHECK_THROWS(Error, prefixChoicesTable(report.json(), hex(2)));
 }
 
-TEST(prefixReport, aReportThatCannotBeReadIsAnErrorAndHalfOfOneIsShown) {
+TEST(prefixReport, aMalformedReportIsAnErrorAndAPartialOneIsShown) {
   CHECK_THROWS(Error, prefixTable("{"));
   CHECK_THROWS(Error, prefixTable("{}"));
   prefixTable("[1,{\"sites\":3},{\"prefix\":7,\"sites\":[{\"zone\":1}]}]");
--- a/tests/traffic/silence_probe_test.cpp
+++ b/tests/traffic/silence_probe_test.cpp
@@ -11,11 +11,11 @@
 constexpr SilenceProbe::Timing timing{Ms(40), Ms(60)};
 
 /// A listener that takes connections, until its queue is full.
-struct Listening {
+struct TestListener {
   asio::io_context io{1};
   tcp::acceptor acceptor{io};
   vector<std::unique_ptr<tcp::socket>> fillers;
-  Listening() {
+  TestListener() {
     acceptor.open(tcp::v4());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
     acceptor.bind(endpointOf(address()));
@@ -45,15 +45,15 @@
 
 TEST_GROUP(silenceProbe){};
 
-TEST(silenceProbe, aConnectionThatIsTakenOrRefusedProvesReach) {
-  Listening there;
-  CHECK(there.takes(Listening::address()));
+TEST(silenceProbe, acceptedAndRefusedConnectionsCountAsReachable) {
+  TestListener there;
+  CHECK(there.takes(TestListener::address()));
   CHECK(there.takes({loopbackOfThisProcess(), closedPort}));
   there.fill();
-  CHECK(!there.takes(Listening::address()));
+  CHECK(!there.takes(TestListener::address()));
 }
 TEST(silenceProbe, aSlowWorkerIsProbedWithGrowingPauses) {
-  Listening there;
+  TestListener there;
   int reached = 0, unreached = 0;
   SilenceProbe probe(there.io, {loopbackOfThisProcess(), closedPort}, timing,
                      [&](bool reachable) { ++(reachable ? reached : unreached); });
@@ -61,18 +61,18 @@
   CHECK(reached >= 2 && reached <= 4);
   LONGS_EQUAL(0, unreached);
 }
-TEST(silenceProbe, aWorkerOutOfReachIsToldOnce) {
-  Listening there;
+TEST(silenceProbe, anUnreachableWorkerIsReportedOnce) {
+  TestListener there;
   there.fill();
   int reached = 0, unreached = 0;
-  SilenceProbe probe(there.io, Listening::address(), timing,
+  SilenceProbe probe(there.io, TestListener::address(), timing,
                      [&](bool reachable) { ++(reachable ? reached : unreached); });
   there.run(Ms(500));
   LONGS_EQUAL(0, reached);
   LONGS_EQUAL(1, unreached);
 }
-TEST(silenceProbe, nothingIsProbedWhileTheWorkerTells) {
-  Listening there;
+TEST(silenceProbe, noProbeWhileTheExchangeMakesProgress) {
+  TestListener there;
   int probes = 0;
   SilenceProbe probe(there.io, {loopbackOfThisProcess(), closedPort}, {Ms(200), Ms(60)}, [&](bool) { ++probes; });
   for (int i = 0; i < 20; ++i) {
@@ -81,8 +81,8 @@
   }
   LONGS_EQUAL(0, probes);
 }
-TEST(silenceProbe, itEndsWithItsOwner) {
-  Listening there;
+TEST(silenceProbe, destructionStopsProbing) {
+  TestListener there;
   int probes = 0;
   {
     SilenceProbe probe(there.io, {loopbackOfThisProcess(), closedPort}, timing, [&](bool) { ++probes; });
@@ -94,7 +94,7 @@
 TEST_GROUP(workersOutOfReach){};
 
 /// A request on a connection that was open before the cut would wait until its deadline.
-TEST(workersOutOfReach, aRequestThatMayRunAgainMovesOn) {
+TEST(workersOutOfReach, aRepeatableRequestIsRetriedElsewhere) {
   Script const answersWell{"", true, answerText(200, "$ID", "Server-Seal: s\r\n", "own $ID"), Script::End::keep, ""};
   EdgeRig rig(answersWell);
   CHECK(rig.prime());
--- a/tests/traffic/warm_up_fleet_test.cpp
+++ b/tests/traffic/warm_up_fleet_test.cpp
@@ -32,7 +32,7 @@
 /// However nodes and shards fail, no second of a worker that warms up holds more than the rule allows, from 320 nodes.
 TEST_GROUP(warmUpFleet){};
 
-TEST(warmUpFleet, noWindowIsOverItsBound) {
+TEST(warmUpFleet, noWindowExceedsItsBound) {
   double const worst = worstShareOfBound({});
   CHECK_TEXT(worst <= 1, std::to_string(worst).c_str());
   // The search does press against what is granted.
@@ -80,7 +80,7 @@
         CHECK(allowance.perSecond > 0 && allowance.burst > 0);
       }
 }
-TEST(warmUpAllowance, grantsNearlyWhatAWorkerBears) {
+TEST(warmUpAllowance, grantsNearlyTheConfiguredRate) {
   for (double const perSecond : {12.0, 20.0, 400.0})
     CHECK(warmUpAllowance(warmingService(perSecond), boundsOf(1.5, 5)).perSecond >= 0.9 * perSecond);
 }
@@ -89,7 +89,7 @@
   CHECK_FALSE(grantsAnything(warmUpAllowance(warmingService(0), boundsOf(1.5, 5))));
   CHECK(grantsAnything(warmUpAllowance(warmingService(12), boundsOf(1.5, 5))));
 }
-TEST(warmUpAllowance, theStepsOfANode) {
+TEST(warmUpAllowance, theStepDependsOnWhatANodeKnows) {
   CHECK(warmUpStep({false, true, false}) == WarmUpStep::send);
   CHECK(warmUpStep({true, false, true}) == WarmUpStep::send);
   CHECK(warmUpStep({true, true, true}) == WarmUpStep::takeCredit);
--- a/tests/traffic/worker_stand_in.hpp
+++ b/tests/traffic/worker_stand_in.hpp
@@ -206,7 +206,7 @@
     install(configuration(++version_, ClientLimits(), true));
   }
   /// A worker's heartbeat reaches the control plane, and this edge is told what it would publish.
-  void hearHeartbeat(int number, Ms warmupLeft, std::uint64_t evacuationRevision = 0) {
+  void publishHeartbeat(int number, Ms warmupLeft, std::uint64_t evacuationRevision = 0) {
     string const heartbeat = R"({"service":"app","address":")" + ip + ":" + std::to_string(17685 + number) +
                              R"(","zone":"z","version":"","capacity":8,"state":"ready","warmupLeftMs":)" +
                              std::to_string(warmupLeft.count()) + R"(,"callCount":)" + std::to_string(++heartbeats_) +
--- a/tests/traffic/zone_reachability_test.cpp
+++ b/tests/traffic/zone_reachability_test.cpp
@@ -42,7 +42,7 @@
   CHECK(!zones.isSilent("a"));
   CHECK(!zones.isAvoided("a", reachabilityStart));
 }
-TEST(zoneReachability, twoSilentWorkersAreAndOthersZonesAreNot) {
+TEST(zoneReachability, twoSilentWorkersMakeOnlyTheirOwnZoneSilent) {
   ZoneReachability zones(shortest, longest);
   zones.noteSilence("a", "w1", reachabilityStart);
   zones.noteSilence("a", "w2", reachabilityStart);
@@ -70,7 +70,7 @@
   CHECK(zones.isAvoided("a", now + longest - Ms(1)));
   CHECK(!zones.isAvoided("a", now + longest));
 }
-TEST(zoneReachability, anyAnswerOfTheZoneEndsIt) {
+TEST(zoneReachability, anyResponseOfTheZoneEndsIt) {
   ZoneReachability zones(shortest, longest);
   zones.noteSilence("a", "w1", reachabilityStart);
   zones.noteAnswer("a");
@@ -91,7 +91,7 @@
   CHECK(!rig.balancer->isZonePartitioned(rig.workers));
 }
 /// Where there is but one other zone, each might take itself for the one that is cut off, and nobody would be ready.
-TEST(zoneReachability, oneOtherZoneProvesNothing) {
+TEST(zoneReachability, oneOtherZoneIsNotEnough) {
   BalancerRig rig({"own", "a"});
   rig.silence("a");
   CHECK(!rig.balancer->isZonePartitioned(rig.workers));
--- a/tests/workers/outlier_detector_test.cpp
+++ b/tests/workers/outlier_detector_test.cpp
@@ -23,7 +23,7 @@
   }
   /// One tick of 200 ms in which each worker gets some requests, split over two control nodes.
   void tick(vector<Worker> & all, OutlierDetector & a, OutlierDetector & b, std::function<double(int)> fails,
-            vector<string> & rested, double perTick = 2) {
+            vector<string> & ejectedIds, double perTick = 2) {
     vector<WorkerTally> x, y;
     for (int i = 0; i < static_cast<int>(all.size()); ++i) {
       int const n = std::poisson_distribution<int>(perTick)(g);
@@ -41,79 +41,79 @@
         for (Worker& w : all)
           if (w.id == change.worker) {
             w.ejected = change.ejected;
-            if (change.ejected) rested.push_back(w.id);
+            if (change.ejected) ejectedIds.push_back(w.id);
           }
     now += Ms(200);
   }
 };
 
-TEST(health, greyWorkersRestWithinTwoSeconds) {
+TEST(health, failingWorkersAreEjectedWithinTwoSeconds) {
   vector<Worker> all = fleet(60);
   OutlierDetector a(Ms(1000), {}), b(Ms(1000), {});
-  vector<string> rested;
+  vector<string> ejectedIds;
   for (int k = 0; k < 25; ++k)
     tick(
-        all, a, b, [](int) { return 0.01; }, rested);
-  CHECK_TEXT(rested.empty(), "usual failures make nobody rest");
+        all, a, b, [](int) { return 0.01; }, ejectedIds);
+  CHECK_TEXT(ejectedIds.empty(), "usual failures make nobody rest");
   for (int k = 0; k < 10; ++k)
     tick(
-        all, a, b, [](int i) { return i < 8 ? 0.45 : 0.01; }, rested);
-  std::set<string> const out(rested.begin(), rested.end());
+        all, a, b, [](int i) { return i < 8 ? 0.45 : 0.01; }, ejectedIds);
+  std::set<string> const out(ejectedIds.begin(), ejectedIds.end());
   CHECK(out.size() >= 7);
   for (int i = 8; i < 60; ++i) CHECK(!out.count("i-" + std::to_string(i)));
 }
-TEST(health, whenAllFailNobodyIsBlamed) {
+TEST(health, noWorkerIsEjectedWhenAllFail) {
   vector<Worker> all = fleet(30);
   OutlierDetector a(Ms(1000), {}), b(Ms(1000), {});
-  vector<string> rested;
+  vector<string> ejectedIds;
   for (int k = 0; k < 30; ++k)
     tick(
-        all, a, b, [](int) { return 0.3; }, rested);
-  CHECK(rested.size() <= 1);
+        all, a, b, [](int) { return 0.3; }, ejectedIds);
+  CHECK(ejectedIds.size() <= 1);
 }
-TEST(health, neverMoreThanAThirdRests) {
+TEST(health, atMostAThirdOfTheWorkersIsEjected) {
   vector<Worker> all = fleet(12);
   OutlierDetector a(Ms(1000), {}), b(Ms(1000), {});
-  vector<string> rested;
+  vector<string> ejectedIds;
   std::size_t most = 0;
   for (int k = 0; k < 60; ++k) {
     tick(
-        all, a, b, [](int i) { return i < 6 ? 0.9 : 0.0; }, rested);
+        all, a, b, [](int i) { return i < 6 ? 0.9 : 0.0; }, ejectedIds);
     std::size_t n = 0;
     for (Worker const& w : all) n += w.ejected;
     most = std::max(most, n);
   }
   LONGS_EQUAL(4, most);
 }
-TEST(health, aWellWorkerComesBackAndAFlappingOneRestsLonger) {
+TEST(health, aRecoveredWorkerReturnsAndAFlappingOneIsEjectedLonger) {
   vector<Worker> all = fleet(20);
   OutlierDetector a(Ms(1000), {}), b(Ms(1000), {});
-  vector<string> rested;
+  vector<string> ejectedIds;
   int resting = 0, ticks = 0;
   for (int k = 0; k < 15; ++k)
     tick(
-        all, a, b, [](int i) { return i == 3 ? 0.6 : 0.0; }, rested);
+        all, a, b, [](int i) { return i == 3 ? 0.6 : 0.0; }, ejectedIds);
   CHECK(all[3].ejected);
   for (int k = 0; k < 30; ++k)
     tick(
-        all, a, b, [](int) { return 0.0; }, rested);
+        all, a, b, [](int) { return 0.0; }, ejectedIds);
   CHECK_FALSE(all[3].ejected);
   for (int k = 0; k < 150; ++k) {
     tick(
-        all, a, b, [](int i) { return i == 3 ? 0.8 : 0.0; }, rested);
+        all, a, b, [](int i) { return i == 3 ? 0.8 : 0.0; }, ejectedIds);
     resting += all[3].ejected;
     ++ticks;
   }
   CHECK_TEXT(resting > ticks * 3 / 4, "who fails again and again rests most of the time");
 }
-TEST(health, fewRequestsAndBadNumbersProveNothing) {
+TEST(health, fewRequestsAndInvalidCountsEjectNobody) {
   vector<Worker> all = fleet(4);
   OutlierDetector a(Ms(1000), {});
   a.record({{"i-0", 0, 3}, {"i-2", -1, 50}, {"i-2", 0, 1e9}, {"i-2", std::nan(""), 9}}, now);
   for (Worker& w : all) w.registrar = NodeId(1);
   CHECK(a.evaluate(all, NodeId(1), now).empty());
 }
-TEST(health, aRestIsTheRegistrarsWordAndOutlivesBeats) {
+TEST(health, ejectionsAreDecidedByTheRegistrarAndSurviveHeartbeats) {
   WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   Worker w = fleet(1)[0];
   w.heartbeatSequence = 1;
@@ -129,7 +129,7 @@
   for (Worker const& x : a.takeTransitions()) b.merge(x, now);
   CHECK_FALSE(b.find("i-0")->ejected);
 }
-TEST(health, theAgeOfIdleConnectionsIsLearnt) {
+TEST(health, safeIdleTimeAdaptsToResets) {
   SafeIdleTime t(Ms(16000), Ms(25));
   LONGS_EQUAL(16000, t.value().count());
   t.noteReset(Ms(1500));
--- a/tests/workers/registry_digest_test.cpp
+++ b/tests/workers/registry_digest_test.cpp
@@ -64,7 +64,7 @@
   CHECK_EQUAL(RegistryDigest::bucketCount, a.digest().differingFrom({}).size());
 }
 
-TEST(registryDigest, whatItsRegistrarNoLongerNamesIsLostInThoseBucketsOnly) {
+TEST(registryDigest, workersNoLongerListedAreLostInTheComparedBucketsOnly) {
   for (int number = 0; number < 100; ++number) b.merge(workerOf(number, 1, here), now);
   std::uint32_t const bucket = static_cast<std::uint32_t>(RegistryDigest::bucketOf("i-5"));
   b.mergeBuckets({}, {bucket}, here, now, now);
@@ -73,7 +73,7 @@
 }
 
 /// The answer to a comparison and news of a worker travel on two connections and may pass each other.
-TEST(registryDigest, aWorkerThatWasToldOfSinceTheQuestionIsNotLostByItsAnswer) {
+TEST(registryDigest, aWorkerReportedAfterTheQuestionIsNotLost) {
   b.merge(workerOf(1, 1, elsewhere), now);
   TimePoint const askedAt = now;
   std::set<std::uint32_t> const buckets = a.digest().differingFrom({});
@@ -87,7 +87,7 @@
   b.mergeBuckets(answer, buckets, here, askedAt + Ms(3), askedAt + Ms(4));
   LONGS_EQUAL(0, b.present().size());
 }
-TEST(registryDigest, anotherNodesWorkersAreNotLostByItsSilence) {
+TEST(registryDigest, workersOfAnotherRegistrarAreNotLost) {
   b.merge(workerOf(1, 1, NodeId(3)), now);
   compareBWithA();
   LONGS_EQUAL(1, b.present().size());
--- a/tests/workers/worker_registry_test.cpp
+++ b/tests/workers/worker_registry_test.cpp
@@ -18,7 +18,7 @@
   }
 };
 
-TEST(workerRegistry, lateBeatsAreDropped) {
+TEST(workerRegistry, lateHeartbeatsAreIgnored) {
   CHECK(t.merge(worker(5, true), now));
   CHECK_FALSE(t.merge(worker(4), now));
   CHECK(t.isLate(worker(4)));
@@ -26,7 +26,7 @@
   CHECK_FALSE(t.merge(worker(6), now));
   CHECK_TEXT(t.find("i-1")->draining, "a worker that drains never serves again");
 }
-TEST(workerRegistry, goneStaysGone) {
+TEST(workerRegistry, removedWorkersStayRemoved) {
   t.merge(worker(1), now);
   Worker w = worker(1);
   w.removed = true;
@@ -35,7 +35,7 @@
   LONGS_EQUAL(1, t.changedSince(0).size());
   CHECK(t.changedSince(0)[0].removed);
 }
-TEST(workerRegistry, lostOnesComeBackWithABeat) {
+TEST(workerRegistry, lostWorkersReturnWithAHeartbeat) {
   t.merge(worker(1), now);
   std::uint64_t const rev = t.revision();
   CHECK(t.expire(now + Ms(4000)));
@@ -46,7 +46,7 @@
 }
 
 /// Several registers that tell each other only transitions, as control nodes do.
-TEST(workerRegistry, onlyTheRegistrarTellsAndLoses) {
+TEST(workerRegistry, onlyTheRegistrarReportsAndLosesWorkers) {
   WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   Worker w = worker(1);
   w.registrar = NodeId(1);
@@ -85,7 +85,7 @@
   CHECK(a.merge(told[0], now));
   CHECK(a.present().empty() && b.present().empty());
 }
-TEST(workerRegistry, aWholeRegisterMendsAGap) {
+TEST(workerRegistry, mergingAWholeRegistryRepairsMissedTransitions) {
   WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   for (int i = 0; i < 5; ++i) {
     Worker w = worker(1);
