--- a/tests/traffic/exchange_test.cpp
+++ b/tests/traffic/exchange_test.cpp
@@ -18,7 +18,7 @@
   std::size_t sends;
 };
 /// One kind of trouble at every worker, on new connections or on used ones, and what shall come of it.
-struct Row {
+struct FaultCase {
   char const* name;
   char const* on;  ///< "new", "used" or "both"
   Script script;
@@ -30,14 +30,14 @@
 Script at(string answer, End end = End::keep) {
   return {"", true, std::move(answer), end, ""};
 }
-Script early(string answer, bool takes, End end = End::keep) {
-  return {std::move(answer), takes, own, end, ""};
+Script early(string answer, bool readsBody, End end = End::keep) {
+  return {std::move(answer), readsBody, own, end, ""};
 }
 Script late(string extra) {
   return {"", true, own, End::keep, std::move(extra)};
 }
 
-vector<Row> const rows = {
+vector<FaultCase> const faultCases = {
     {"a whole answer", "both", at(own), true, {200, 1}, {200, 1}},
     {"reset while the request is written", "both", early("", false, End::reset), true, {502, 1}, {502, 2}, large},
     {"reset after it was written", "both", at("", End::reset), true, {502, 1}, {502, 2}},
@@ -133,10 +133,10 @@
     {"a body without a length or an end", "both", at(unframed, End::silent), true, {504, 1}, {504, 1}},
 };
 
-void play(Row const& row, bool used, bool mayRepeat) {
-  string const what =
-      string(row.name) + (used ? ", used connection" : ", new connection") + (mayRepeat ? ", repeatable" : ", once");
-  EdgeRig rig(row.script);
+void runCase(FaultCase const& faultCase, bool used, bool mayRepeat) {
+  string const what = string(faultCase.name) + (used ? ", used connection" : ", new connection") +
+                      (mayRepeat ? ", repeatable" : ", once");
+  EdgeRig rig(faultCase.script);
   if (used) CHECK_TEXT(rig.prime(), what.c_str());
   if (!used) {
     // The connection that the start of the rig left behind is used up.
@@ -144,19 +144,19 @@
     for (StandIn& w : rig.workers) w.closeAll();
     rig.run(Ms(5));
   }
-  bool const silent = row.script.end == End::silent;
-  Got const got = rig.call(mayRepeat ? "/again/x" : "/once/x", "id1", row.bodyBytes, silent ? 300 : 4000);
-  Outcome const& want = mayRepeat ? row.again : row.once;
+  bool const silent = faultCase.script.end == End::silent;
+  Got const got = rig.call(mayRepeat ? "/again/x" : "/once/x", "id1", faultCase.bodyBytes, silent ? 300 : 4000);
+  Outcome const& want = mayRepeat ? faultCase.again : faultCase.once;
   LONGS_EQUAL_TEXT(want.status, got.status, what.c_str());
   LONGS_EQUAL_TEXT(want.sends, rig.sends(), what.c_str());
   bool const onUsed = rig.workers[0].onUsed || rig.workers[1].onUsed;
-  CHECK_TEXT(onUsed == (used && row.script.late.empty()), what.c_str());
-  // What holds for every row, whatever is expected of it.
+  CHECK_TEXT(onUsed == (used && faultCase.script.late.empty()), what.c_str());
+  // What holds for every faultCase, whatever is expected of it.
   CHECK_TEXT(got.raw.find("another's") == string::npos, what.c_str());
   CHECK_TEXT(got.status / 100 != 2 || got.body.substr(0, 3) == "own", what.c_str());
   bool const promise = got.status == 408 || got.status == 421 || got.status == 429 || got.status == 503;
-  CHECK_TEXT(!promise || !row.ran, what.c_str());
-  CHECK_TEXT(mayRepeat || !row.ran || rig.sends() == 1, what.c_str());
+  CHECK_TEXT(!promise || !faultCase.ran, what.c_str());
+  CHECK_TEXT(mayRepeat || !faultCase.ran || rig.sends() == 1, what.c_str());
   CHECK_TEXT(rig.failedRequests() == 0, what.c_str());
   for (int n = 0; n < 4; ++n) {
     string const id = "nx" + std::to_string(n);
@@ -189,14 +189,14 @@
   }
 }
 TEST(exchange, onNewConnections) {
-  for (Row const& row : rows)
+  for (FaultCase const& faultCase : faultCases)
     for (bool const mayRepeat : {false, true})
-      if (row.on[0] != 'u') play(row, false, mayRepeat);
+      if (faultCase.on[0] != 'u') runCase(faultCase, false, mayRepeat);
 }
 TEST(exchange, onUsedConnections) {
-  for (Row const& row : rows)
+  for (FaultCase const& faultCase : faultCases)
     for (bool const mayRepeat : {false, true})
-      if (row.on[0] != 'n') play(row, true, mayRepeat);
+      if (faultCase.on[0] != 'n') runCase(faultCase, true, mayRepeat);
 }
 
 /// A request taken shortly before the end of the grace would be cut off while a worker has it.
--- a/tests/traffic/silence_probe_test.cpp
+++ b/tests/traffic/silence_probe_test.cpp
@@ -34,7 +34,7 @@
     io.restart();
     io.run_for(duration);
   }
-  bool takes(Address const& to) {
+  bool responds(Address const& to) {
     std::optional<bool> taken;
     asio::co_spawn(io, respondsToConnect(io, to, Ms(60)), [&](std::exception_ptr, bool result) { taken = result; });
     run(Ms(120));
@@ -46,48 +46,48 @@
 TEST_GROUP(silenceProbe){};
 
 TEST(silenceProbe, acceptedAndRefusedConnectionsCountAsReachable) {
-  TestListener there;
-  CHECK(there.takes(TestListener::address()));
-  CHECK(there.takes({loopbackOfThisProcess(), closedPort}));
-  there.fill();
-  CHECK(!there.takes(TestListener::address()));
+  TestListener listener;
+  CHECK(listener.responds(TestListener::address()));
+  CHECK(listener.responds({loopbackOfThisProcess(), closedPort}));
+  listener.fill();
+  CHECK(!listener.responds(TestListener::address()));
 }
 TEST(silenceProbe, aSlowWorkerIsProbedWithGrowingPauses) {
-  TestListener there;
+  TestListener listener;
   int reached = 0, unreached = 0;
-  SilenceProbe probe(there.io, {loopbackOfThisProcess(), closedPort}, timing,
+  SilenceProbe probe(listener.io, {loopbackOfThisProcess(), closedPort}, timing,
                      [&](bool reachable) { ++(reachable ? reached : unreached); });
-  there.run(Ms(400));
+  listener.run(Ms(400));
   CHECK(reached >= 2 && reached <= 4);
   LONGS_EQUAL(0, unreached);
 }
 TEST(silenceProbe, anUnreachableWorkerIsReportedOnce) {
-  TestListener there;
-  there.fill();
+  TestListener listener;
+  listener.fill();
   int reached = 0, unreached = 0;
-  SilenceProbe probe(there.io, TestListener::address(), timing,
+  SilenceProbe probe(listener.io, TestListener::address(), timing,
                      [&](bool reachable) { ++(reachable ? reached : unreached); });
-  there.run(Ms(500));
+  listener.run(Ms(500));
   LONGS_EQUAL(0, reached);
   LONGS_EQUAL(1, unreached);
 }
 TEST(silenceProbe, noProbeWhileTheExchangeMakesProgress) {
-  TestListener there;
+  TestListener listener;
   int probes = 0;
-  SilenceProbe probe(there.io, {loopbackOfThisProcess(), closedPort}, {Ms(200), Ms(60)}, [&](bool) { ++probes; });
+  SilenceProbe probe(listener.io, {loopbackOfThisProcess(), closedPort}, {Ms(200), Ms(60)}, [&](bool) { ++probes; });
   for (int i = 0; i < 20; ++i) {
-    there.run(Ms(20));
+    listener.run(Ms(20));
     probe.noteProgress();
   }
   LONGS_EQUAL(0, probes);
 }
 TEST(silenceProbe, destructionStopsProbing) {
-  TestListener there;
+  TestListener listener;
   int probes = 0;
   {
-    SilenceProbe probe(there.io, {loopbackOfThisProcess(), closedPort}, timing, [&](bool) { ++probes; });
+    SilenceProbe probe(listener.io, {loopbackOfThisProcess(), closedPort}, timing, [&](bool) { ++probes; });
   }
-  there.run(Ms(200));
+  listener.run(Ms(200));
   LONGS_EQUAL(0, probes);
 }
 
--- a/tests/traffic/warm_up_fleet_sim.hpp
+++ b/tests/traffic/warm_up_fleet_sim.hpp
@@ -36,15 +36,15 @@
     cutShare_ = std::array{0.0, 0.3, 1.0}[pick(3)];
     coldAt_ = startsCold_ ? at(5000) : at(8000);
     addShards(3 + pick(6));
-    planNews();
+    planUpdates();
     for (std::size_t i = 0; i < nodeCount; ++i) nodes_.push_back(makeNode());
   }
 
   /// Runs to the end; the largest part of the bound that a window used, and 1 is the bound.
   double run() {
     for (now_ = at(0); now_ < at(length.count()); now_ += tick) {
-      for (Shard& shard : shards_) live(shard);
-      if (pick(crashLoops_ ? 4 : 100) == 0) trouble();
+      for (Shard& shard : shards_) advance(shard);
+      if (pick(crashLoops_ ? 4 : 100) == 0) injectFault();
       // All want this worker: it looks idle, and refused requests come again at other nodes.
       for (std::uint64_t tries = pick(5); tries > 0; --tries) request(nodes_[pick(nodeCount)]);
     }
@@ -54,7 +54,7 @@
 
  private:
   /// What the control plane publishes from a time on.
-  struct News {
+  struct Update {
     TimePoint at;
     Worker worker;
     std::optional<Evacuation> evacuation;
@@ -97,31 +97,31 @@
   }
 
   /// The evacuation, and what heartbeats say; the registrar learns of the zone a moment late.
-  void planNews() {
-    News news{at(-1000), Worker(), std::nullopt};
+  void planUpdates() {
+    Update update{at(-1000), Worker(), std::nullopt};
     if (!startsCold_) {
-      news_.push_back(news);
-      news.evacuation = Evacuation{"z", true, 1};
-      news.at = at(4000);
-      news_.push_back(news);
+      updates_.push_back(update);
+      update.evacuation = Evacuation{"z", true, 1};
+      update.at = at(4000);
+      updates_.push_back(update);
     }
-    TimePoint const takenBackAt = coldAt_ + Ms(20) + pickMs(100);
-    TimePoint const registrarKnowsAt = takenBackAt + pickMs(100);
-    bool isTakenBack = startsCold_;
-    TimePoint beat = startsCold_ ? coldAt_ + Ms(1) : at(4000) + pickMs(heartbeatPeriod.count());
-    while (beat < at(length.count())) {
-      if (!isTakenBack && takenBackAt < beat) {
-        isTakenBack = true;
-        news.at = takenBackAt;
-        news.evacuation = Evacuation{"z", false, 2};
-        news_.push_back(news);
+    TimePoint const restoredAt = coldAt_ + Ms(20) + pickMs(100);
+    TimePoint const registrarKnowsAt = restoredAt + pickMs(100);
+    bool isRestored = startsCold_;
+    TimePoint heartbeatAt = startsCold_ ? coldAt_ + Ms(1) : at(4000) + pickMs(heartbeatPeriod.count());
+    while (heartbeatAt < at(length.count())) {
+      if (!isRestored && restoredAt < heartbeatAt) {
+        isRestored = true;
+        update.at = restoredAt;
+        update.evacuation = Evacuation{"z", false, 2};
+        updates_.push_back(update);
         continue;
       }
-      news.at = beat;
-      news.worker.warmingUp = isCold(beat);
-      if (!startsCold_) news.worker.evacuationRevision = beat >= registrarKnowsAt ? 2 : 1;
-      news_.push_back(news);
-      beat += heartbeatPeriod;
+      update.at = heartbeatAt;
+      update.worker.warmingUp = isCold(heartbeatAt);
+      if (!startsCold_) update.worker.evacuationRevision = heartbeatAt >= registrarKnowsAt ? 2 : 1;
+      updates_.push_back(update);
+      heartbeatAt += heartbeatPeriod;
     }
   }
 
@@ -139,13 +139,13 @@
   }
 
   bool isCut(Node const& node, TimePoint time) const { return time >= node.cutFrom && time < node.cutUntil; }
-  /// The last news that a node has heard, or null.
-  News const* heard(Node const& node) const {
+  /// The last update that a node has heard, or null.
+  Update const* lastUpdateOf(Node const& node) const {
     if (now_ >= node.restartedAt && now_ < node.informedAt) return nullptr;
-    News const* last = nullptr;
-    for (News const& news : news_) {
-      bool const isMissed = isCut(node, news.at + node.delay) && now_ < node.cutUntil + node.delay;
-      if (news.at + node.delay <= now_ && !isMissed) last = &news;
+    Update const* last = nullptr;
+    for (Update const& update : updates_) {
+      bool const isMissed = isCut(node, update.at + node.delay) && now_ < node.cutUntil + node.delay;
+      if (update.at + node.delay <= now_ && !isMissed) last = &update;
     }
     return last;
   }
@@ -156,10 +156,10 @@
   }
 
   void request(Node const& node) {
-    News const* const news = heard(node);
-    if (!news || (news->evacuation && news->evacuation->isActive)) return;
-    bool const forgets = faults_.forgetsEvacuations || !news->evacuation;
-    bool const mayBeCold = mayBeWarmingUp(news->worker, forgets ? nullptr : &*news->evacuation);
+    Update const* const update = lastUpdateOf(node);
+    if (!update || (update->evacuation && update->evacuation->isActive)) return;
+    bool const forgets = faults_.forgetsEvacuations || !update->evacuation;
+    bool const mayBeCold = mayBeWarmingUp(update->worker, forgets ? nullptr : &*update->evacuation);
     WarmUpStep step = warmUpStep({true, mayBeCold, isRecent(node)});
     if (step == WarmUpStep::takeCredit && faults_.sendsUncounted) step = WarmUpStep::send;
     if (step == WarmUpStep::probe && faults_.trustsOldKnowledge) step = WarmUpStep::send;
@@ -182,7 +182,7 @@
     if (isCold(time)) arrivals_.push_back(time);
   }
 
-  void live(Shard& shard) {
+  void advance(Shard& shard) {
     if (!shard.up && now_ >= shard.upAgainAt) start(shard);
     if (shard.cut && now_ >= shard.healsAt) shard.cut = false;
     if (!shard.up || shard.cut) return;
@@ -194,7 +194,7 @@
     shard.counts->setLimits(limits, now_);
   }
 
-  void trouble() {
+  void injectFault() {
     Shard& shard = shards_[pick(shards_.size())];
     Ms const duration = Ms(20) + pickMs(crashLoops_ ? 40 : 2000);
     if (crashLoops_ || pick(2)) {
@@ -226,7 +226,7 @@
   TimePoint coldAt_, now_ = TimePoint(Ms(1000000));
   Membership membership_;
   std::deque<Shard> shards_;
-  vector<News> news_;
+  vector<Update> updates_;
   vector<Node> nodes_;
   vector<TimePoint> arrivals_;
 };
--- a/tests/traffic/worker_stand_in.hpp
+++ b/tests/traffic/worker_stand_in.hpp
@@ -10,9 +10,9 @@
 /// What a stand-in worker does with a request. "$ID" stands for the request's own attempt id, of three letters.
 struct Script {
   enum class End { keep, close, reset, silent };
-  string early;       ///< sent after the head, before the body is read
-  bool takes = true;  ///< false: it reads no body and ends at once
-  string answer;      ///< sent once the whole request was read
+  string early;           ///< sent after the head, before the body is read
+  bool readsBody = true;  ///< false: it reads no body and ends at once
+  string answer;          ///< sent once the whole request was read
   End end = End::keep;
   string late;  ///< sent a moment after each answer to a priming request
   Ms pause{0};  ///< before the answer to a request that was read whole
@@ -34,7 +34,7 @@
     acceptor_.set_option(asio::socket_base::receive_buffer_size(8192));
     acceptor_.bind({asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
     acceptor_.listen(16);
-    spawnTask(io_, "stand-in", take());
+    spawnTask(io_, "stand-in", acceptLoop());
   }
   std::size_t primed = 0, sends = 0, probes = 0;
   bool resetsProbes = false;  ///< a question for its health is answered by a reset
@@ -56,7 +56,7 @@
   }
 
  private:
-  Task<void> take() {
+  Task<void> acceptLoop() {
     for (;;) {
       while (hangs) co_await sleepFor(Ms(5));
       tcp::socket taken = co_await acceptor_.async_accept(asio::use_awaitable);
@@ -96,7 +96,7 @@
         lastEventIds.push_back(resume);
         if (!script.early.empty()) co_await write(s, script.early, id);
         if (!script.early.empty()) co_await sleepFor(Ms(20));
-        if (!script.takes) co_return end(s, script.end);
+        if (!script.readsBody) co_return end(s, script.end);
       }
       co_await http::async_read(s, buf, p, asio::redirect_error(asio::use_awaitable, e));
       if (e) co_return;
--- a/tests/workers/outlier_detector_test.cpp
+++ b/tests/workers/outlier_detector_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace tealshelf;
 
-TEST_GROUP(health) {
+TEST_GROUP(outlierDetector) {
   TimePoint now = TimePoint() + std::chrono::hours(1);
   std::mt19937_64 g{3};
   static vector<Worker> fleet(int n) {
@@ -47,7 +47,7 @@
   }
 };
 
-TEST(health, failingWorkersAreEjectedWithinTwoSeconds) {
+TEST(outlierDetector, failingWorkersAreEjectedWithinTwoSeconds) {
   vector<Worker> all = fleet(60);
   OutlierDetector a(Ms(1000), {}), b(Ms(1000), {});
   vector<string> ejectedIds;
@@ -62,7 +62,7 @@
   CHECK(out.size() >= 7);
   for (int i = 8; i < 60; ++i) CHECK(!out.count("i-" + std::to_string(i)));
 }
-TEST(health, noWorkerIsEjectedWhenAllFail) {
+TEST(outlierDetector, noWorkerIsEjectedWhenAllFail) {
   vector<Worker> all = fleet(30);
   OutlierDetector a(Ms(1000), {}), b(Ms(1000), {});
   vector<string> ejectedIds;
@@ -71,7 +71,7 @@
         all, a, b, [](int) { return 0.3; }, ejectedIds);
   CHECK(ejectedIds.size() <= 1);
 }
-TEST(health, atMostAThirdOfTheWorkersIsEjected) {
+TEST(outlierDetector, atMostAThirdOfTheWorkersIsEjected) {
   vector<Worker> all = fleet(12);
   OutlierDetector a(Ms(1000), {}), b(Ms(1000), {});
   vector<string> ejectedIds;
@@ -85,7 +85,7 @@
   }
   LONGS_EQUAL(4, most);
 }
-TEST(health, aRecoveredWorkerReturnsAndAFlappingOneIsEjectedLonger) {
+TEST(outlierDetector, aRecoveredWorkerReturnsAndAFlappingOneIsEjectedLonger) {
   vector<Worker> all = fleet(20);
   OutlierDetector a(Ms(1000), {}), b(Ms(1000), {});
   vector<string> ejectedIds;
@@ -106,14 +106,14 @@
   }
   CHECK_TEXT(resting > ticks * 3 / 4, "who fails again and again rests most of the time");
 }
-TEST(health, fewRequestsAndInvalidCountsEjectNobody) {
+TEST(outlierDetector, fewRequestsAndInvalidCountsEjectNobody) {
   vector<Worker> all = fleet(4);
   OutlierDetector a(Ms(1000), {});
   a.record({{"i-0", 0, 3}, {"i-2", -1, 50}, {"i-2", 0, 1e9}, {"i-2", std::nan(""), 9}}, now);
   for (Worker& w : all) w.registrar = NodeId(1);
   CHECK(a.evaluate(all, NodeId(1), now).empty());
 }
-TEST(health, ejectionsAreDecidedByTheRegistrarAndSurviveHeartbeats) {
+TEST(outlierDetector, ejectionsAreDecidedByTheRegistrarAndSurviveHeartbeats) {
   WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   Worker w = fleet(1)[0];
   w.heartbeatSequence = 1;
@@ -129,7 +129,7 @@
   for (Worker const& x : a.takeTransitions()) b.merge(x, now);
   CHECK_FALSE(b.find("i-0")->ejected);
 }
-TEST(health, safeIdleTimeAdaptsToResets) {
+TEST(outlierDetector, safeIdleTimeAdaptsToResets) {
   SafeIdleTime t(Ms(16000), Ms(25));
   LONGS_EQUAL(16000, t.value().count());
   t.noteReset(Ms(1500));
