--- a/tests/edge/client_watch_test.cpp
+++ b/tests/edge/client_watch_test.cpp
@@ -13,7 +13,7 @@
   return "POST " + path + " HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: id1\r\nContent-Length: 1\r\n\r\nb";
 }
 
-/// A client whose request waits at a worker that says nothing.
+/// A client whose request waits at a silent worker.
 struct WaitingClient {
   explicit WaitingClient(string const& path) : rig(silentWorker), socket(rig.io) {
     CHECK(rig.prime());
@@ -21,7 +21,7 @@
     asio::write(socket, asio::buffer(requestTo(path)));
     until([this] { return rig.sends() == 1; });
   }
-  /// Well before the time of the route is up, at which the worker's connection ends anyway.
+  /// Waits less than the route's time limit, at which the worker's connection ends in any case.
   void until(std::function<bool()> const& done) {
     TimePoint const end = Clock::now() + Ms(1000);
     while (!done() && Clock::now() < end) rig.run(Ms(2));
@@ -65,7 +65,7 @@
   CHECK_FALSE(watch.clientDisconnected());
   LONGS_EQUAL(4, served.available());
 }
-/// What repeats does no harm is ended at its worker, and goes to no other.
+/// A repeatable request is cancelled at its worker and not retried at another.
 TEST(clientWatch, aRepeatableRequestIsCancelledWithItsClient) {
   WaitingClient client("/again/x");
   std::size_t const connections = client.connectionsOfWorkers();
@@ -82,7 +82,7 @@
   client.rig.run(Ms(50));
   LONGS_EQUAL(1, client.rig.sends());
 }
-/// A request that must not run twice is left to its worker: the client may have ended its sending only.
+/// A non-repeatable request runs to its end: the client may have half-closed its connection only.
 TEST(clientWatch, aNonRepeatableRequestContinuesWithoutItsClient) {
   WaitingClient client("/once/x");
   std::size_t const connections = client.connectionsOfWorkers();
--- a/tests/edge/cold_worker_test.cpp
+++ b/tests/edge/cold_worker_test.cpp
@@ -13,7 +13,7 @@
 /// An edge with two workers that answer well.
 struct ColdRig : EdgeRig {
   explicit ColdRig(Script const& script = answersWell) : EdgeRig(script) { CHECK(prime()); }
-  /// Sends so many requests one after the other; how many were answered with a status.
+  /// Sends `requests` requests one after the other and returns how many were answered with `status`.
   int answered(int status, int requests) {
     int count = 0;
     for (int number = 0; number < requests; ++number) count += call("/once/x", "id1").status == status;
@@ -23,10 +23,10 @@
 };
 }  // namespace
 
-/// A worker that warms up bears few requests a second, from all nodes together.
+/// A worker that is warming up can handle few requests a second, from all nodes together.
 TEST_GROUP(coldWorkers){};
 
-/// Incident FAILBACK: a cold worker looks idle, so that each node takes it for the best of all.
+/// Incident FAILBACK: a cold worker looks idle, so every node preferred it.
 TEST(coldWorkers, getNoRequestsWithoutACredit) {
   EdgeRig rig(answersWell);
   CHECK(rig.prime());
@@ -60,7 +60,7 @@
   CHECK(rig.workers[1].sends > 5);
   LONGS_EQUAL(rig.creditsAsked, rig.workers[1].sends);
 }
-/// What other workers told counts for those that this node hasn't asked yet.
+/// Reported loads of other workers also count for those that this node hasn't used yet.
 TEST(coldWorkers, serveRequestsWithCreditsIfTheServiceIsBusy) {
   Settings settings;
   LoadBalancer balancer(settings);
@@ -73,7 +73,7 @@
   CHECK_FALSE(balancer.recentMeanLoad("app", Clock::now()).has_value());
   for (int report = 0; report < 40; ++report) balancer.reportLoad(warm, {7, 1, 8});
   DOUBLES_EQUAL(1.0, *balancer.recentMeanLoad("app", Clock::now()), 0.01);
-  // What a cold worker tells is no sign of how busy the warm ones are.
+  // Reports of a cold worker don't count: they don't show how busy the warm ones are.
   for (int report = 0; report < 40; ++report) balancer.reportLoad(cold, {0, 0, 8});
   DOUBLES_EQUAL(1.0, *balancer.recentMeanLoad("app", Clock::now()), 0.01);
   CHECK_FALSE(balancer.recentMeanLoad("app", Clock::now() + settings.bounds.inTouch).has_value());
@@ -89,7 +89,7 @@
     LONGS_EQUAL(0, rig.sends());
   }
 }
-/// The credit lapses while it is on its way.
+/// The credit expires before it arrives.
 TEST(coldWorkers, getNoRequestsWithExpiredCredits) {
   ColdRig rig;
   rig.publishHeartbeat(0, warmUpLeft);
@@ -99,7 +99,7 @@
   LONGS_EQUAL(0, rig.sends());
 }
 
-/// An evacuated zone's workers get nothing, and may be cold when it is taken back.
+/// Workers of an evacuated zone get no requests, and may be cold when the evacuation ends.
 TEST_GROUP(evacuatedZone){};
 
 TEST(evacuatedZone, getsNothing) {
@@ -114,7 +114,7 @@
   rig.setEvacuation(false, 2);
   rig.creditVerdict = CreditVerdict::exhausted;
   LONGS_EQUAL(3, rig.answered(503, 3));
-  // The registrar had not heard of the change yet.
+  // The registrar did not know of the change yet.
   rig.publishHeartbeat(0, Ms(0), 1);
   LONGS_EQUAL(3, rig.answered(503, 3));
   rig.publishHeartbeat(0, Ms(0), 2);
@@ -123,7 +123,7 @@
   LONGS_EQUAL(20, rig.workers[0].sends);
 }
 
-/// A node that hears nothing from control can't know who has gone cold since.
+/// A node without updates from the control plane can't know which workers have gone cold since.
 TEST_GROUP(coldUnheard){};
 
 TEST(coldUnheard, workersAreAskedBeforeEachRequest) {
@@ -146,7 +146,7 @@
   LONGS_EQUAL(2, rig.answered(503, 2));
   LONGS_EQUAL(0, rig.sends());
 }
-/// A zone that is cut off has workers on its other side, which no question reaches.
+/// Nodes of a partitioned zone can't reach the workers of other zones with health requests.
 TEST(coldUnheard, thoseThatDoNotAnswerAreNotAskedByEachRequest) {
   ColdRig rig;
   rig.loseMajority();
--- a/tests/edge/kept_client.hpp
+++ b/tests/edge/kept_client.hpp
@@ -3,8 +3,8 @@
 
 namespace tealshelf {
 
-/// A client that keeps its connection to the edge node of a rig. It writes at once, whether the node runs or not, so
-/// that a test can place a request just before something else happens.
+/// A client with a persistent connection to the edge node of a rig. It writes at once, whether the node runs or not, so
+/// that a test can send a request just before another event.
 class KeptClient {
  public:
   explicit KeptClient(EdgeRig& rig) : rig_(rig), socket_(rig.io) {
@@ -12,16 +12,16 @@
     socket_.non_blocking(true);
     rig_.run(Ms(5));
   }
-  /// Writes bytes; false once the connection takes no more.
+  /// Writes bytes; false if that fails.
   bool send(string_view bytes) {
     error_code error;
     asio::write(socket_, asio::buffer(bytes.data(), bytes.size()), error);
     return !error;
   }
-  /// The end of what this client sends; it reads on.
+  /// Half-closes the connection: ends sending, but continues to read.
   void endSending() { socket_.shutdown(tcp::socket::shutdown_send); }
-  /// Lets the rig run until one more answer is whole, or the connection has ended. `toHead`: the answer has no body,
-  /// whatever its head says.
+  /// Runs the rig until the next answer is complete or the connection has ended. `toHead`: the answer is to a HEAD
+  /// request and has no body.
   Got answer(bool toHead = false, Ms limit = Ms(3000)) {
     TimePoint const end = Clock::now() + limit;
     Got got;
@@ -34,12 +34,12 @@
     got.raw = received_;
     return got;
   }
-  /// Lets the rig run until the connection has ended; false if it doesn't end, or anything came before.
+  /// Runs the rig until the connection has ended; false if it doesn't end or bytes arrived before.
   bool endsWithout(Ms limit = Ms(3000)) {
     Got const got = answer(false, limit);
     return got.closed && got.raw.empty();
   }
-  /// Bytes that belong to no answer that was taken.
+  /// Bytes received after the last complete answer.
   string const& unread() const { return received_; }
 
  private:
@@ -71,7 +71,7 @@
   string received_;
 };
 
-/// A request of a client, with more header lines and a body.
+/// The text of a request, with additional header lines and a body.
 inline string requestText(string const& verb, string const& path, string const& id, string const& body = "",
                           string const& more = "") {
   string text = verb + " " + path + " HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: " + id + "\r\n" + more;
--- a/tests/edge/request_forms_test.cpp
+++ b/tests/edge/request_forms_test.cpp
@@ -1,5 +1,5 @@
-// Forms of requests at an edge's door: rare ones that HTTP permits are served, those that admit two readings are not,
-// and neither depends on how the bytes are cut.
+// Forms of requests that an edge node receives: rare ones that HTTP permits are served, ambiguous ones are refused,
+// independently of how the bytes are split into reads.
 #include "tests/edge/kept_client.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -9,7 +9,7 @@
 namespace {
 Script const answersForms{"", true, answerText(200, "$ID", "Server-Seal: s\r\n", "own $ID"), Script::End::keep, ""};
 string const formHead = "POST /once/x HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: id1\r\n";
-/// Pieces that a request is cut into differ by so many bytes from one try to the next.
+/// Step between the sizes of the pieces that a request is split into.
 constexpr std::size_t cutStep = 29;
 
 struct Form {
@@ -92,7 +92,7 @@
   };
 }
 
-/// A client's request, sent in pieces of a length; what came back.
+/// The result of a request that was sent in pieces.
 struct Sent {
   Got got;
   std::size_t runs = 0;  ///< at workers
@@ -110,15 +110,16 @@
   return sent;
 }
 
-/// Lengths of the pieces: all at once, and a few others.
+/// Piece sizes to test: the whole text, and a few smaller ones.
 vector<std::size_t> piecesOf(string const& text) {
   return {text.size(), cutStep, 2 * cutStep + 1};
 }
 
-/// An edge that is asked in forms.
+/// An edge node that is sent requests in different forms.
 struct FormRig {
   EdgeRig rig{answersForms};
-  /// Forms that aren't answered with a status, or run another number of times at workers; each is sent in several cuts.
+  /// Describes the forms whose answer has another status, or that ran another number of times; each is sent with
+  /// several piece sizes.
   string failures(vector<Form> const& forms, int status, std::size_t runs) {
     string all;
     for (Form const& form : forms)
--- a/tests/edge/tenant_requests_test.cpp
+++ b/tests/edge/tenant_requests_test.cpp
@@ -14,14 +14,14 @@
 /// A limited tenant, and one without a limit.
 string const twoTenants = "[{\"name\":\"lantern\",\"apiKeys\":[\"" + firstKey + "\",\"" + secondKey +
                           "\"],\"ratePerS\":50,\"burst\":5},{\"name\":\"ferry\",\"apiKeys\":[\"" + thirdKey + "\"]}]";
-/// The same once a key was taken away.
+/// The limited tenant after the removal of a key; the other one is removed.
 string const secondKeyOnly = "[{\"name\":\"lantern\",\"apiKeys\":[\"" + secondKey + "\"],\"ratePerS\":50,\"burst\":5}]";
 
 string bearer(string const& key) {
   return "Authorization: Bearer " + key + "\r\n";
 }
 
-/// An edge with two tenants and a client with a kept connection.
+/// An edge node with two tenants and a client with a persistent connection.
 struct TenantRig {
   explicit TenantRig(Script const& script = answersTenants) : rig(script) {
     CHECK(rig.prime());
@@ -33,7 +33,7 @@
     return client->answer();
   }
   int status(string const& headers, string const& path = "/once/x") { return send(headers, path).status; }
-  /// A header of the last request at any worker; those that are there twice, joined.
+  /// The values of a header in the last requests at all workers, joined.
   string atWorker(string const& name) const {
     string values;
     for (StandIn const& worker : rig.workers) {
@@ -48,7 +48,7 @@
 };
 }  // namespace
 
-/// Who a client is, is found by its key alone, on each request anew; and the key goes no further.
+/// A client is identified by its key alone, anew on each request; and the key is not forwarded.
 TEST_GROUP(tenantRequests){};
 
 TEST(tenantRequests, workersReceiveTheTenantAndNotTheKey) {
@@ -99,7 +99,7 @@
   STRCMP_EQUAL("Bearer anything;", rig.atWorker("Authorization").c_str());
 }
 
-/// Requests of limited tenants are counted before they reach a worker.
+/// Requests of tenants with a limit are counted before they reach a worker.
 TEST_GROUP(tenantLimits){};
 
 TEST(tenantLimits, eachRequestIsCounted) {
@@ -117,7 +117,7 @@
   LONGS_EQUAL(429, got.status);
   CHECK(got.raw.find("Retry-After") != string::npos);
   LONGS_EQUAL(0, rig.rig.sends());
-  // The shard said when there is something again; until then it isn't asked.
+  // The shard replied when credits will be available again; until then it isn't asked.
   LONGS_EQUAL(429, rig.status(bearer(firstKey)));
   LONGS_EQUAL(1, rig.rig.creditsAsked);
   rig.rig.creditVerdict = CreditVerdict::granted;
@@ -147,7 +147,7 @@
   LONGS_EQUAL(1, rig.rig.creditsAsked);
 }
 
-/// Keys are secrets.
+/// API keys are secrets.
 TEST_GROUP(tenantKeys){};
 
 TEST(tenantKeys, neverAppearInLogsMetricsOrErrors) {
--- a/tests/edge/unanswered_test.cpp
+++ b/tests/edge/unanswered_test.cpp
@@ -14,8 +14,8 @@
 }
 }  // namespace
 
-/// A request that the edge node has read whole ends with a whole answer, whatever happens beside it; or it wasn't read
-/// and no worker got it.
+/// A request that the edge node has read completely gets a complete answer, whatever else happens; any other request
+/// reaches no worker.
 TEST_GROUP(unanswered){};
 
 TEST(unanswered, aRequestSentBeforeTheStopIsAnswered) {
@@ -41,7 +41,7 @@
   rig.stopEdge();
   CHECK(client.endsWithout());
 }
-/// A client may send its next request before it has the answer to the last; a stop between them cuts neither.
+/// A client may pipeline requests; a stop between two of them aborts neither.
 TEST(unanswered, aPipelinedRequestIsAnsweredDuringAStop) {
   EdgeRig rig(answersSlowly);
   CHECK(rig.prime());
@@ -57,7 +57,7 @@
   CHECK(!says(first, "Connection: close"));
   CHECK(says(second, "Connection: close"));
 }
-/// An exception of a library ends in an answer, and the request no longer counts as under way.
+/// An exception thrown by a library results in an answer, and the request no longer counts as active.
 TEST(unanswered, anInternalFailureIsAnswered) {
   EdgeRig rig(answersOwn);
   CHECK(rig.prime());
@@ -71,7 +71,7 @@
   LONGS_EQUAL(1, rig.failedRequests());
   LONGS_EQUAL(0, rig.sends());
 }
-/// The limits are those in force when a request comes, not those of the time at which its connection fell idle.
+/// The limits in force when a request arrives apply, not those when its connection became idle.
 TEST(unanswered, changedLimitsApplyToIdleConnections) {
   EdgeRig rig(answersOwn);
   rig.changeLimits({16384, 8, Ms(3000), Ms(200)});
@@ -86,7 +86,7 @@
   rig.changeLimits({16384, 1u << 20, Ms(3000), Ms(200)});
   CHECK(client.endsWithout());
 }
-/// The answer comes though the edge reads no more of the body.
+/// The client gets the answer although the edge node stops reading the body.
 TEST(unanswered, aBodyOverTheLimitIsAnswered) {
   EdgeRig rig(answersOwn);
   rig.changeLimits({16384, 1u << 20, Ms(3000), Ms(15000)});
@@ -104,7 +104,7 @@
   CHECK(client.send("body"));
   LONGS_EQUAL(200, client.answer().status);
 }
-/// The answer to a HEAD has no body; bytes after it would be taken for the next answer.
+/// The client would take a body in the answer to a HEAD for the next answer.
 TEST(unanswered, answersToAHeadHaveNoBody) {
   EdgeRig rig(answersOwn);
   CHECK(rig.prime());
--- a/tests/traffic/exchange_test.cpp
+++ b/tests/traffic/exchange_test.cpp
@@ -12,21 +12,21 @@
 string const chunked = "HTTP/1.1 200 x\r\nAttempt-Id: $ID\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n";
 string const unframed = "HTTP/1.1 200 x\r\nAttempt-Id: $ID\r\nServer-Seal: s\r\n\r\nown $ID";
 
-/// What shall come of one kind of request: the client's status (0: a cut answer) and the sends it took.
+/// Expected outcome of one kind of request: the client's status (0: incomplete answer) and the number of sends.
 struct Outcome {
   int status;
   std::size_t sends;
 };
-/// One kind of trouble at every worker, on new connections or on used ones, and what shall come of it.
+/// A behaviour of all workers, on new or reused connections, and its expected outcome.
 struct FaultCase {
   char const* name;
   char const* on;  ///< "new", "used" or "both"
   Script script;
-  bool ran;             ///< the worker may have run it
-  Outcome once, again;  ///< for a request that must not be sent twice, and for one that may
+  bool ran;             ///< the worker may have run the request
+  Outcome once, again;  ///< for a non-repeatable and for a repeatable request
   std::size_t bodyBytes = 4;
 };
-constexpr std::size_t large = 12u << 20;  ///< more than the sockets hold
+constexpr std::size_t large = 12u << 20;  ///< more than the socket buffers hold
 Script at(string answer, End end = End::keep) {
   return {"", true, std::move(answer), end, ""};
 }
@@ -139,7 +139,7 @@
   EdgeRig rig(faultCase.script);
   if (used) CHECK_TEXT(rig.prime(), what.c_str());
   if (!used) {
-    // The connection that the start of the rig left behind is used up.
+    // The idle connection left by the start of the rig is closed.
     CHECK_TEXT(rig.workers[0].primed + rig.workers[1].primed == 1, what.c_str());
     for (StandIn& w : rig.workers) w.closeAll();
     rig.run(Ms(5));
@@ -151,7 +151,7 @@
   LONGS_EQUAL_TEXT(want.sends, rig.sends(), what.c_str());
   bool const onUsed = rig.workers[0].onUsed || rig.workers[1].onUsed;
   CHECK_TEXT(onUsed == (used && faultCase.script.late.empty()), what.c_str());
-  // What holds for every faultCase, whatever is expected of it.
+  // Invariants of all cases.
   CHECK_TEXT(got.raw.find("another's") == string::npos, what.c_str());
   CHECK_TEXT(got.status / 100 != 2 || got.body.substr(0, 3) == "own", what.c_str());
   bool const promise = got.status == 408 || got.status == 421 || got.status == 429 || got.status == 503;
@@ -199,7 +199,7 @@
       if (faultCase.on[0] != 'n') runCase(faultCase, true, mayRepeat);
 }
 
-/// A request taken shortly before the end of the grace would be cut off while a worker has it.
+/// A request accepted shortly before the end of the grace period would be aborted while a worker runs it.
 TEST(exchange, aStoppingEdgeRefusesWhatItCouldNotFinish) {
   Script const script = at(own);
   EdgeRig rig(script);
@@ -212,10 +212,10 @@
   LONGS_EQUAL(503, refused.status);
   CHECK(refused.raw.find("Retry-After") != string::npos);
   CHECK(refused.raw.find("Connection: close") != string::npos);
-  LONGS_EQUAL_TEXT(sends, rig.sends(), "a worker got a request that was refused");
+  LONGS_EQUAL_TEXT(sends, rig.sends(), "a worker received a request that was refused");
 }
 
-/// A stream that its worker breaks off midway, and what comes when it is asked to go on.
+/// A worker breaks a stream off midway; only a resumable one continues at another worker.
 TEST(exchange, aBrokenStreamIsResumedOrClosed) {
   string const head = chunked, one = "f\r\nid: 1\ndata: a\n\n\r\n", two = "f\r\nid: 2\ndata: b\n\n\r\n";
   struct Case {
@@ -237,23 +237,23 @@
     for (StandIn& w : rig.workers) w.onResume = c.onResume;
     Got const got = rig.call(c.path, "id1");
     LONGS_EQUAL(c.status, got.status);
-    CHECK_TEXT(c.status || got.closed, "a cut stream leaves its connection open");
+    CHECK_TEXT(c.status || got.closed, "the connection of an incomplete stream stays open");
     LONGS_EQUAL(c.sends, rig.sends());
-    CHECK_TEXT(got.raw.find("HTTP/1.1") == got.raw.rfind("HTTP/1.1"), "a second head stands inside the first answer");
+    CHECK_TEXT(got.raw.find("HTTP/1.1") == got.raw.rfind("HTTP/1.1"), "a second head was sent inside the first answer");
     STRCMP_EQUAL(c.body, got.body.c_str());
   }
 }
-/// A worker that crashes between two events ends its connection as one that is done does.
+/// The connection of a worker that crashes between two events closes just as that of a worker that is done.
 TEST(exchange, aStreamWithoutALengthNeverCountsAsComplete) {
   Script const script = at("HTTP/1.1 200 x\r\nAttempt-Id: $ID\r\nServer-Seal: s\r\n\r\nid: 1\ndata: a\n\n", End::close);
   EdgeRig rig(script);
   Got const got = rig.call("/streaming/x", "id1");
   LONGS_EQUAL(0, got.status);
-  CHECK_TEXT(got.closed, "the client isn't told that its stream is cut");
+  CHECK_TEXT(got.closed, "the client can't detect that its stream is incomplete");
   CHECK_TEXT(got.raw.find("\r\n0\r\n") == string::npos, "the stream looks complete");
   LONGS_EQUAL(1, rig.sends());
 }
-/// A second answer to a refused try may come late, under the very id of the next try.
+/// A late second answer to a refused try would have the same id as the retry.
 TEST(exchange, aRetryNeverReusesTheConnectionThatRefusedIt) {
   asio::io_context io{1};
   Settings settings;
--- a/tests/traffic/idle_limit_test.cpp
+++ b/tests/traffic/idle_limit_test.cpp
@@ -30,8 +30,8 @@
   for (int reset = 0; reset < 10; ++reset) limit.noteReset(0, someTime);
   LONGS_EQUAL(1, limit.value(someTime));
 }
-/// 320 nodes that each hold as many idle connections as they may, and a worker that resets what is over its bound:
-/// whatever each began with, together they soon hold no more than it takes.
+/// 320 nodes each hold as many idle connections as their limit allows, and the worker resets new ones above its
+/// maximum: resets become rarer, as the nodes together stay within that maximum.
 TEST(idleLimit, allNodesTogetherStayWithinTheBound) {
   constexpr std::size_t nodes = 320, maxConnections = 440;
   vector<IdleConnectionLimit> limits(nodes, IdleConnectionLimit(recoveryInterval));
--- a/tests/traffic/prefix_test.cpp
+++ b/tests/traffic/prefix_test.cpp
@@ -80,7 +80,7 @@
   report.record(placementOf(5000, PrefixChoice::cachedLocal, "z1"), Ms(1));
   CHECK_EQUAL(PrefixReport::maxPrefixes, report.size());
   CHECK(prefixTable(report.json()).find(hex(5000)) != string::npos);
-  CHECK_FALSE_TEXT(prefixChoicesTable(report.json(), hex(1)).empty(), "used lately");
+  CHECK_FALSE_TEXT(prefixChoicesTable(report.json(), hex(1)).empty(), "recently used");
   CHECK_THROWS(Error, prefixChoicesTable(report.json(), hex(2)));
 }
 
--- a/tests/traffic/silence_probe_test.cpp
+++ b/tests/traffic/silence_probe_test.cpp
@@ -10,7 +10,7 @@
 constexpr int listenPort = 17691, closedPort = 17692;
 constexpr SilenceProbe::Timing timing{Ms(40), Ms(60)};
 
-/// A listener that takes connections, until its queue is full.
+/// A listener whose kernel accepts connections until its backlog is full.
 struct TestListener {
   asio::io_context io{1};
   tcp::acceptor acceptor{io};
@@ -22,7 +22,7 @@
     acceptor.listen(0);
   }
   static Address address() { return {loopbackOfThisProcess(), listenPort}; }
-  /// From now on it is as silent as a machine behind a cut.
+  /// Fills the backlog: from now on connection attempts get no response, as from an unreachable machine.
   void fill() {
     for (int i = 0; i < 4; ++i) {
       fillers.push_back(std::make_unique<tcp::socket>(io));
@@ -93,7 +93,7 @@
 
 TEST_GROUP(workersOutOfReach){};
 
-/// A request on a connection that was open before the cut would wait until its deadline.
+/// Without probes, a request on a connection opened before the partition would wait until its deadline.
 TEST(workersOutOfReach, aRepeatableRequestIsRetriedElsewhere) {
   Script const answersWell{"", true, answerText(200, "$ID", "Server-Seal: s\r\n", "own $ID"), Script::End::keep, ""};
   EdgeRig rig(answersWell);
--- a/tests/traffic/warm_up_fleet_sim.hpp
+++ b/tests/traffic/warm_up_fleet_sim.hpp
@@ -7,20 +7,20 @@
 
 namespace tealshelf::sim {
 
-/// All nodes of a large fleet, their requests to one worker that goes cold, and the shards that count them, on a
-/// virtual clock.
+/// Simulates, on a virtual clock, all nodes of a large fleet, their requests to one worker that goes cold, and the
+/// shards that grant credits.
 ///
-/// Nodes learn late, are cut off, restart, and spend each credit and each health answer as late as they may. Shards are
-/// killed, restarted and cut off. The worker starts cold, or goes cold in an evacuated zone just before it is taken
-/// back.
+/// Nodes get updates late, are partitioned, restart, and use each credit and health answer as late as allowed. Shards
+/// crash, restart and are partitioned. The worker starts cold, or goes cold in an evacuated zone just before the
+/// evacuation ends.
 class WarmUpFleet {
  public:
   struct Faults {
-    bool sendsUncounted = false;       ///< mutation: a worker known as cold gets requests without a credit
-    bool trustsOldKnowledge = false;   ///< mutation: a node that is cut off goes on by what it knew
-    bool forgetsEvacuations = false;   ///< mutation: a worker counts as warm until it says otherwise
-    bool keepsCreditsForever = false;  ///< mutation: credits don't lapse
-    bool startsShardsFull = false;     ///< mutation: a shard that starts may grant its whole depth
+    bool sendsUncounted = false;       ///< mutation: a worker known to be cold gets requests without credits
+    bool trustsOldKnowledge = false;   ///< mutation: a partitioned node relies on outdated knowledge
+    bool forgetsEvacuations = false;   ///< mutation: a worker counts as warm until it reports otherwise
+    bool keepsCreditsForever = false;  ///< mutation: credits don't expire
+    bool startsShardsFull = false;     ///< mutation: a shard starts with all its credits available
   };
   static constexpr Ms tick{5}, length{16000}, heartbeatPeriod{1200}, coldFor{3000};
   static constexpr std::size_t nodeCount = 320;
@@ -40,12 +40,12 @@
     for (std::size_t i = 0; i < nodeCount; ++i) nodes_.push_back(makeNode());
   }
 
-  /// Runs to the end; the largest part of the bound that a window used, and 1 is the bound.
+  /// Runs to the end and returns the largest share of the bound that a window used; above 1 the bound is violated.
   double run() {
     for (now_ = at(0); now_ < at(length.count()); now_ += tick) {
       for (Shard& shard : shards_) advance(shard);
       if (pick(crashLoops_ ? 4 : 100) == 0) injectFault();
-      // All want this worker: it looks idle, and refused requests come again at other nodes.
+      // All nodes prefer this worker: it looks idle, and refused requests are retried at other nodes.
       for (std::uint64_t tries = pick(5); tries > 0; --tries) request(nodes_[pick(nodeCount)]);
     }
     return largestShare();
@@ -53,7 +53,7 @@
   std::size_t arrivals() const { return arrivals_.size(); }
 
  private:
-  /// What the control plane publishes from a time on.
+  /// A state that the control plane publishes, from a time on.
   struct Update {
     TimePoint at;
     Worker worker;
@@ -61,8 +61,8 @@
   };
   struct Node {
     TimePoint cutFrom = TimePoint::max(), cutUntil = TimePoint::max();
-    TimePoint restartedAt, informedAt;  ///< between them it knows nothing
-    Ms delay{0};                        ///< after which it hears
+    TimePoint restartedAt, informedAt;  ///< between these times it has no knowledge
+    Ms delay{0};                        ///< delay of updates
   };
   struct Shard {
     Member self;
@@ -85,7 +85,7 @@
     membership_.number = MembershipNumber(1);
     membership_.formerMembers = membership_.members;
     for (Shard& shard : shards_) start(shard);
-    // They have counted for long.
+    // They have been counting for a long time.
     for (Shard& shard : shards_) shard.counts->setLimits({}, at(-60000));
   }
 
@@ -96,7 +96,7 @@
     if (faults_.startsShardsFull) shard.counts->setLimits({}, now_ - 10 * warmUpWindow);
   }
 
-  /// The evacuation, and what heartbeats say; the registrar learns of the zone a moment late.
+  /// Plans the evacuation and the heartbeats; the registrar learns of changes of the zone with a delay.
   void planUpdates() {
     Update update{at(-1000), Worker(), std::nullopt};
     if (!startsCold_) {
@@ -139,7 +139,7 @@
   }
 
   bool isCut(Node const& node, TimePoint time) const { return time >= node.cutFrom && time < node.cutUntil; }
-  /// The last update that a node has heard, or null.
+  /// The last update that a node has received, or null.
   Update const* lastUpdateOf(Node const& node) const {
     if (now_ >= node.restartedAt && now_ < node.informedAt) return nullptr;
     Update const* last = nullptr;
@@ -150,7 +150,7 @@
     return last;
   }
   bool isRecent(Node const& node) const {
-    // As FleetView::isFresh.
+    // Corresponds to FleetView::isFresh().
     bool const isOld = now_ - node.cutFrom > bounds_.inTouch / 3 && now_ < node.cutUntil + node.delay;
     return !isOld;
   }
@@ -173,7 +173,7 @@
       if (!shard.up) continue;
       if (shard.counts->take("i-1", shard.lastContact, now_).verdict != CreditVerdict::granted) continue;
       Ms const kept = pickMs(warmUpCreditLife().count());
-      // What doesn't lapse is kept until the worker is nearly warm.
+      // A credit that doesn't expire is kept until the worker is nearly warm.
       arrive(faults_.keepsCreditsForever ? coldAt_ + coldFor - tick : now_ + kept);
       return;
     }
@@ -187,7 +187,7 @@
     if (shard.cut && now_ >= shard.healsAt) shard.cut = false;
     if (!shard.up || shard.cut) return;
     shard.lastContact = now_;
-    // The registry names it as cold, or as not heard yet since its zone was taken back.
+    // The registry lists the worker as cold, or as not heard from since its zone's evacuation ended.
     if (pick(4)) return;
     std::map<string, RateAllowance> limits;
     if (isCold(now_)) limits["i-1"] = warmUpAllowance(service_, bounds_);
@@ -221,7 +221,7 @@
   Bounds bounds_;
   ServiceSettings service_;
   bool startsCold_ = false;
-  bool crashLoops_ = false;  ///< shards end again and again, each time for a moment
+  bool crashLoops_ = false;  ///< shards crash again and again and restart soon
   double cutShare_ = 0;
   TimePoint coldAt_, now_ = TimePoint(Ms(1000000));
   Membership membership_;
--- a/tests/traffic/warm_up_fleet_test.cpp
+++ b/tests/traffic/warm_up_fleet_test.cpp
@@ -7,7 +7,7 @@
 using sim::WarmUpFleet;
 
 namespace {
-/// The largest part of the bound that any window of any seed used.
+/// The largest share of the bound that any window of any seed used.
 double worstShareOfBound(WarmUpFleet::Faults faults) {
   double worst = 0;
   for (std::uint64_t seed = 1; seed <= seedCount(300); ++seed) worst = std::max(worst, WarmUpFleet(seed, faults).run());
@@ -29,16 +29,17 @@
 }
 }  // namespace
 
-/// However nodes and shards fail, no second of a worker that warms up holds more than the rule allows, from 320 nodes.
+/// Whatever nodes and shards fail, a worker that is warming up gets no more requests in a window than allowed, from 320
+/// nodes.
 TEST_GROUP(warmUpFleet){};
 
 TEST(warmUpFleet, noWindowExceedsItsBound) {
   double const worst = worstShareOfBound({});
   CHECK_TEXT(worst <= 1, std::to_string(worst).c_str());
-  // The search does press against what is granted.
+  // The simulation comes close enough to the bound to be meaningful.
   CHECK(worst > 0.5);
 }
-/// The search finds what it is there to find.
+/// The simulation detects each mutation.
 TEST(warmUpFleet, uncountedRequestsAreFound) {
   WarmUpFleet::Faults faults;
   faults.sendsUncounted = true;
--- a/tests/traffic/worker_stand_in.hpp
+++ b/tests/traffic/worker_stand_in.hpp
@@ -7,25 +7,25 @@
 
 namespace tealshelf {
 
-/// What a stand-in worker does with a request. "$ID" stands for the request's own attempt id, of three letters.
+/// How a stand-in worker handles a request. "$ID" is replaced by the request's attempt id, of three characters.
 struct Script {
   enum class End { keep, close, reset, silent };
   string early;           ///< sent after the head, before the body is read
-  bool readsBody = true;  ///< false: it reads no body and ends at once
-  string answer;          ///< sent once the whole request was read
+  bool readsBody = true;  ///< false: reads no body and ends the connection at once
+  string answer;          ///< sent after the whole request was read
   End end = End::keep;
   string late;  ///< sent a moment after each answer to a priming request
-  Ms pause{0};  ///< before the answer to a request that was read whole
+  Ms pause{0};  ///< delay before the answer
 };
 
-/// One answer in the protocol; an empty id leaves the id out.
+/// The text of an HTTP answer; with an empty id it has no Attempt-Id header.
 inline string answerText(int status, string const& id, string const& more, string const& body) {
   string s = "HTTP/1.1 " + std::to_string(status) + " x\r\n";
   if (!id.empty()) s += "Attempt-Id: " + id + "\r\n";
   return s + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// A worker on loopback that does what its script says, except for priming requests, which it answers well.
+/// A worker on loopback that follows its script, except for priming requests, which it answers with 200.
 class StandIn {
  public:
   StandIn(asio::io_context& io, Address at, Script const& script) : io_(io), script_(script), acceptor_(io) {
@@ -37,17 +37,17 @@
     spawnTask(io_, "stand-in", acceptLoop());
   }
   std::size_t primed = 0, sends = 0, probes = 0;
-  bool resetsProbes = false;  ///< a question for its health is answered by a reset
-  string id;                  ///< that its health answers name
-  std::int64_t warmUpMs = 0;  ///< that its health answers tell
-  bool hangs = false;         ///< it takes no connection and answers nothing, as if its machine were out of reach
-  bool onUsed = false;        ///< the last send came on a connection that had answered before
+  bool resetsProbes = false;  ///< answers health requests with a reset
+  string id;                  ///< worker id in its health answers
+  std::int64_t warmUpMs = 0;  ///< remaining warm-up time in its health answers
+  bool hangs = false;         ///< accepts no connection and answers nothing, like an unreachable machine
+  bool onUsed = false;        ///< the last send arrived on a reused connection
   vector<string> lastEventIds;
-  http::fields lastHead;  ///< of the last request, priming ones too
-  Script onResume;        ///< for requests that bear Last-Event-Id
-  /// Connections that are open here.
+  http::fields lastHead;  ///< head of the last request, also of priming ones
+  Script onResume;        ///< for requests with Last-Event-Id
+  /// Number of open connections.
   std::size_t connections() const { return open_.size(); }
-  /// Ends all idle connections.
+  /// Shuts all connections down.
   void closeAll() {
     for (std::shared_ptr<tcp::socket> const& s : open_) {
       error_code e;
@@ -140,14 +140,14 @@
   std::set<std::shared_ptr<tcp::socket>> open_;
 };
 
-/// What a client got: status 0 if no whole answer came.
+/// What a client received; status 0 if no complete answer arrived.
 struct Got {
   int status = 0;
   string body, raw;
   bool closed = false;
 };
 
-/// An edge node on loopback between a client and two stand-in workers that keep to one script.
+/// An edge node on loopback between a client and two stand-in workers with the same script.
 class EdgeRig {
  public:
   explicit EdgeRig(Script const& script)
@@ -187,25 +187,25 @@
     io.restart();
     io.run_for(d);
   }
-  /// Both workers have answered at least once, so that an idle connection leads to each.
+  /// Sends requests until both workers have answered, so that the node has an idle connection to each.
   bool prime() {
     for (int n = 0; n < 200 && !(workers[0].primed && workers[1].primed); ++n) call("/again/prime", "two");
     run(Ms(5));
     return workers[0].primed && workers[1].primed;
   }
   void stopEdge() { edge_.stop(); }
-  /// Requests that the edge itself failed at: none, unless a test makes it fail.
+  /// Requests that failed by a fault of the edge node itself.
   std::uint64_t failedRequests() const { return edge_.failedRequests(); }
   std::size_t activeRequests() const { return edge_.activeRequests(); }
   tcp::endpoint outside() const { return {asio::ip::make_address(ip), 17680}; }
-  /// Puts a configuration with other limits in force.
+  /// Installs a configuration with other limits.
   void changeLimits(ClientLimits const& limits) { install(configuration(++version_, limits, true)); }
-  /// Puts a configuration with tenants, or without any for "", in force.
+  /// Installs a configuration with tenants; "": without any.
   void changeTenants(string const& customers) {
     customers_ = customers;
     install(configuration(++version_, ClientLimits(), true));
   }
-  /// A worker's heartbeat reaches the control plane, and this edge is told what it would publish.
+  /// Publishes to the edge node what the control plane would after a worker's heartbeat.
   void publishHeartbeat(int number, Ms warmupLeft, std::uint64_t evacuationRevision = 0) {
     string const heartbeat = R"({"service":"app","address":")" + ip + ":" + std::to_string(17685 + number) +
                              R"(","zone":"z","version":"","capacity":8,"state":"ready","warmupLeftMs":)" +
@@ -217,27 +217,27 @@
     publisher_.common.put("w/" + id, serialize(publishedForm(worker)));
     awaitUpdate();
   }
-  /// The zone of all workers is evacuated, or taken back.
+  /// Starts or ends the evacuation of the zone of all workers.
   void setEvacuation(bool isActive, std::uint64_t revision) {
     publisher_.common.put("z/z", serialize(Evacuation{"z", isActive, revision}));
     awaitUpdate();
   }
-  /// Control loses its majority, for long enough that the edge's knowledge is no longer recent.
+  /// The control plane loses its majority, long enough that the edge node's knowledge is no longer recent.
   void loseMajority() {
     hasMajority = false;
     run(settings_.bounds.inTouch / 3 + Ms(100));
   }
   bool hasMajority = true;
-  /// What the only shard answers.
+  /// The answer of the only credit shard.
   CreditVerdict creditVerdict = CreditVerdict::granted;
   Ms creditDelay{0};
   std::size_t creditsAsked = 0;
-  /// Puts a configuration without routes in force.
+  /// Installs a configuration without routes.
   void removeRoutes() { install(configuration(++version_, ClientLimits(), false)); }
-  /// After this part of the grace a stopping edge takes no requests any more.
+  /// The part of the grace period after which a stopping edge node refuses requests.
   Ms untilRefusal() const { return settings_.bounds.grace / 3; }
   std::size_t sends() const { return workers[0].sends + workers[1].sends; }
-  /// Sends one request of a client on a new connection and takes what comes back.
+  /// Sends one request on a new client connection and returns what was received.
   Got call(string path, string const& id, std::size_t bodyBytes = 4, int leftMs = 2000) {
     std::shared_ptr<Got> const got = std::make_shared<Got>();
     bool done = false;
--- a/tests/traffic/zone_reachability_test.cpp
+++ b/tests/traffic/zone_reachability_test.cpp
@@ -57,7 +57,7 @@
   CHECK(zones.isAvoided("a", reachabilityStart + shortest - Ms(1)));
   CHECK(!zones.isAvoided("a", reachabilityStart + shortest));
   CHECK(zones.isSilent("a"));
-  // Several that were under way at once count as one.
+  // Concurrent attempts count as one.
   zones.noteSilence("a", "w3", reachabilityStart + shortest);
   zones.noteSilence("a", "w4", reachabilityStart + shortest);
   CHECK(zones.isAvoided("a", reachabilityStart + shortest + 2 * shortest - Ms(1)));
@@ -90,7 +90,7 @@
   rig.balancer->noteReached(rig.workers["a1"]);
   CHECK(!rig.balancer->isZonePartitioned(rig.workers));
 }
-/// Where there is but one other zone, each might take itself for the one that is cut off, and nobody would be ready.
+/// With one other zone only, the nodes of both could consider themselves partitioned, and none would be ready.
 TEST(zoneReachability, oneOtherZoneIsNotEnough) {
   BalancerRig rig({"own", "a"});
   rig.silence("a");
--- a/tests/workers/outlier_detector_test.cpp
+++ b/tests/workers/outlier_detector_test.cpp
@@ -9,31 +9,32 @@
 
 TEST_GROUP(outlierDetector) {
   TimePoint now = TimePoint() + std::chrono::hours(1);
-  std::mt19937_64 g{3};
+  std::mt19937_64 random{3};
   static vector<Worker> fleet(int n) {
-    vector<Worker> v;
+    vector<Worker> workers;
     for (int i = 0; i < n; ++i) {
       Worker w;
       w.id = "i-" + std::to_string(i);
       w.service = "s";
       w.registrar = NodeId(static_cast<std::uint64_t>(i % 2 + 1));
-      v.push_back(w);
+      workers.push_back(w);
     }
-    return v;
+    return workers;
   }
-  /// One tick of 200 ms in which each worker gets some requests, split over two control nodes.
+  /// A step of 200 ms in which each worker gets some requests, split over the nodes of two control nodes.
   void tick(vector<Worker> & all, OutlierDetector & a, OutlierDetector & b, std::function<double(int)> fails,
             vector<string> & ejectedIds, double perTick = 2) {
-    vector<WorkerTally> x, y;
+    vector<WorkerTally> reportedToA, reportedToB;
     for (int i = 0; i < static_cast<int>(all.size()); ++i) {
-      int const n = std::poisson_distribution<int>(perTick)(g);
+      int const n = std::poisson_distribution<int>(perTick)(random);
       for (int k = 0; k < n; ++k) {
-        bool const bad = std::uniform_real_distribution<>(0, 1)(g) < fails(i);
-        (k % 2 ? x : y).push_back({all[static_cast<std::size_t>(i)].id, bad ? 0.0 : 1.0, bad ? 1.0 : 0.0});
+        bool const bad = std::uniform_real_distribution<>(0, 1)(random) < fails(i);
+        (k % 2 ? reportedToA : reportedToB)
+            .push_back({all[static_cast<std::size_t>(i)].id, bad ? 0.0 : 1.0, bad ? 1.0 : 0.0});
       }
     }
-    a.record(x, now);
-    b.record(y, now);
+    a.record(reportedToA, now);
+    b.record(reportedToB, now);
     a.receiveReport(NodeId(2), b.report(now), now);
     b.receiveReport(NodeId(1), a.report(now), now);
     for (std::uint64_t n : {1, 2})
@@ -54,7 +55,7 @@
   for (int k = 0; k < 25; ++k)
     tick(
         all, a, b, [](int) { return 0.01; }, ejectedIds);
-  CHECK_TEXT(ejectedIds.empty(), "usual failures make nobody rest");
+  CHECK_TEXT(ejectedIds.empty(), "the usual failure rate ejects nobody");
   for (int k = 0; k < 10; ++k)
     tick(
         all, a, b, [](int i) { return i < 8 ? 0.45 : 0.01; }, ejectedIds);
@@ -89,7 +90,7 @@
   vector<Worker> all = fleet(20);
   OutlierDetector a(Ms(1000), {}), b(Ms(1000), {});
   vector<string> ejectedIds;
-  int resting = 0, ticks = 0;
+  int ejectedTicks = 0, ticks = 0;
   for (int k = 0; k < 15; ++k)
     tick(
         all, a, b, [](int i) { return i == 3 ? 0.6 : 0.0; }, ejectedIds);
@@ -101,10 +102,10 @@
   for (int k = 0; k < 150; ++k) {
     tick(
         all, a, b, [](int i) { return i == 3 ? 0.8 : 0.0; }, ejectedIds);
-    resting += all[3].ejected;
+    ejectedTicks += all[3].ejected;
     ++ticks;
   }
-  CHECK_TEXT(resting > ticks * 3 / 4, "who fails again and again rests most of the time");
+  CHECK_TEXT(ejectedTicks > ticks * 3 / 4, "a worker that fails again and again is ejected most of the time");
 }
 TEST(outlierDetector, fewRequestsAndInvalidCountsEjectNobody) {
   vector<Worker> all = fleet(4);
@@ -130,14 +131,14 @@
   CHECK_FALSE(b.find("i-0")->ejected);
 }
 TEST(outlierDetector, safeIdleTimeAdaptsToResets) {
-  SafeIdleTime t(Ms(16000), Ms(25));
-  LONGS_EQUAL(16000, t.value().count());
-  t.noteReset(Ms(1500));
-  LONGS_EQUAL(750, t.value().count());
-  t.noteReset(Ms(4000));
-  LONGS_EQUAL_TEXT(750, t.value().count(), "an older one that was reset tells nothing new");
-  t.noteReset(Ms(10));
-  LONGS_EQUAL(25, t.value().count());
-  for (int k = 0; k < 200; ++k) t.noteReused(Ms(3000));
-  CHECK(t.value() > Ms(2900));
+  SafeIdleTime safeIdleTime(Ms(16000), Ms(25));
+  LONGS_EQUAL(16000, safeIdleTime.value().count());
+  safeIdleTime.noteReset(Ms(1500));
+  LONGS_EQUAL(750, safeIdleTime.value().count());
+  safeIdleTime.noteReset(Ms(4000));
+  LONGS_EQUAL_TEXT(750, safeIdleTime.value().count(), "a reset after a longer idle time doesn't change the limit");
+  safeIdleTime.noteReset(Ms(10));
+  LONGS_EQUAL(25, safeIdleTime.value().count());
+  for (int k = 0; k < 200; ++k) safeIdleTime.noteReused(Ms(3000));
+  CHECK(safeIdleTime.value() > Ms(2900));
 }
--- a/tests/workers/registry_digest_test.cpp
+++ b/tests/workers/registry_digest_test.cpp
@@ -18,7 +18,7 @@
   return worker;
 }
 
-/// The digest as it must be, worked out from what the registry shows.
+/// The expected digest, computed anew from the registry's workers.
 std::uint64_t expectedTotal(WorkerRegistry const& registry) {
   RegistryDigest digest;
   for (Worker const& worker : registry.present())
@@ -31,7 +31,7 @@
   TimePoint now = TimePoint() + std::chrono::hours(1);
   WorkerRegistry a{Ms(3600), here}, b{Ms(3600), elsewhere};
 
-  /// What b gets when it compares itself with a.
+  /// Compares b with a and merges what differs into b.
   void compareBWithA() {
     std::set<std::uint32_t> const buckets = a.digest().differingFrom(b.digest().buckets());
     b.mergeBuckets(a.presentIn(buckets), buckets, here, now, now);
@@ -72,18 +72,18 @@
   CHECK(b.present().size() > 90);
 }
 
-/// The answer to a comparison and news of a worker travel on two connections and may pass each other.
+/// The answer to a comparison and a report of a worker use two connections and may overtake each other.
 TEST(registryDigest, aWorkerReportedAfterTheQuestionIsNotLost) {
   b.merge(workerOf(1, 1, elsewhere), now);
   TimePoint const askedAt = now;
   std::set<std::uint32_t> const buckets = a.digest().differingFrom({});
   vector<Worker> const answer = a.presentIn(buckets);
-  // One registers for the first time, and one has moved here from another control node.
+  // One worker is new, and one has moved from another control node.
   b.merge(workerOf(2, 1, here), askedAt + Ms(1));
   b.merge(workerOf(1, 2, here), askedAt + Ms(1));
   b.mergeBuckets(answer, buckets, here, askedAt, askedAt + Ms(2));
   LONGS_EQUAL(2, b.present().size());
-  // Who asks again and doesn't hear of them loses them.
+  // A later comparison that doesn't list them marks them as lost.
   b.mergeBuckets(answer, buckets, here, askedAt + Ms(3), askedAt + Ms(4));
   LONGS_EQUAL(0, b.present().size());
 }
--- a/tests/workers/worker_registry_test.cpp
+++ b/tests/workers/worker_registry_test.cpp
@@ -24,7 +24,7 @@
   CHECK(t.isLate(worker(4)));
   CHECK(t.find("i-1")->draining);
   CHECK_FALSE(t.merge(worker(6), now));
-  CHECK_TEXT(t.find("i-1")->draining, "a worker that drains never serves again");
+  CHECK_TEXT(t.find("i-1")->draining, "draining is final");
 }
 TEST(workerRegistry, removedWorkersStayRemoved) {
   t.merge(worker(1), now);
@@ -40,12 +40,12 @@
   std::uint64_t const rev = t.revision();
   CHECK(t.expire(now + Ms(4000)));
   CHECK(t.changedSince(rev)[0].removed);
-  CHECK_TEXT(t.present().empty(), "what is merely lost must not be noted as gone");
+  CHECK_TEXT(t.present().empty(), "a lost worker must not be published as removed");
   CHECK(t.merge(worker(2), now + Ms(4100)));
   CHECK_FALSE(t.changedSince(rev)[0].removed);
 }
 
-/// Several registers that tell each other only transitions, as control nodes do.
+/// Two registries that exchange transitions only, as control nodes do.
 TEST(workerRegistry, onlyTheRegistrarReportsAndLosesWorkers) {
   WorkerRegistry a{Ms(3600), NodeId(1)}, b{Ms(3600), NodeId(2)};
   Worker w = worker(1);
@@ -54,16 +54,16 @@
   vector<Worker> told = a.takeTransitions();
   LONGS_EQUAL(1, told.size());
   CHECK(b.merge(told[0], now));
-  CHECK_TEXT(b.takeTransitions().empty(), "another's word is not told on");
+  CHECK_TEXT(b.takeTransitions().empty(), "reports of other nodes are not passed on");
   for (std::uint64_t n = 2; n < 9; ++n) {
     now += Ms(1200);
     w.heartbeatSequence = n;
     a.merge(w, now);
-    CHECK_TEXT(a.takeTransitions().empty(), "a beat like the last one is not told");
+    CHECK_TEXT(a.takeTransitions().empty(), "a heartbeat without a change is no transition");
     b.noteRegistrarAlive(NodeId(1), now);
     CHECK_FALSE(b.expire(now));
   }
-  // The worker goes to the other: that is told, and the old registrar doesn't lose it.
+  // The worker moves to the other control node: a transition, and its former registrar doesn't lose it.
   w.registrar = NodeId(2);
   w.heartbeatSequence = 9;
   CHECK_FALSE(b.merge(w, now));
@@ -73,7 +73,7 @@
   now += Ms(4000);
   a.noteRegistrarAlive(NodeId(2), now);
   CHECK_FALSE(a.expire(now));
-  // Its registrar loses it and says so; the word of another would not count.
+  // Only a report of its registrar marks it as lost.
   Worker untrue = w;
   untrue.lost = true;
   untrue.registrar = NodeId(3);
