--- a/edge/edge_node.cpp
+++ b/edge/edge_node.cpp
@@ -91,8 +91,7 @@
   wasIsolated_ = isolated;
   if (isolated)
     logWarning("edge",
-               "this node can reach neither the control plane nor any other zone; it reports not ready until updates "
-               "arrive again");
+               "this node can reach neither the control plane nor any other zone; not ready until updates arrive");
   else
     logInfo("edge", "this node can reach the control plane or another zone again");
 }
--- a/fleet/nodes.hpp
+++ b/fleet/nodes.hpp
@@ -16,7 +16,7 @@
   bool lost = false;                   ///< its registrar no longer receives its heartbeats
   NodeId registrar;                    ///< the control node that receives its heartbeats
   bool ejected = false;                ///< fails more requests than its peers; used only as a last resort
-  std::uint64_t ejectionRevision = 0;  ///< rises with each change of `ejected`
+  std::uint64_t ejectionRevision = 0;  ///< incremented with each change of `ejected`
   bool warmingUp = false;              ///< according to its last heartbeat
   /// Revision of its zone's evacuation that its registrar knew when it received the last heartbeat.
   std::uint64_t evacuationRevision = 0;
--- a/traffic/exchange.hpp
+++ b/traffic/exchange.hpp
@@ -36,7 +36,7 @@
   Exchange(ConnectionPool& pool, Worker const& worker, bool mayRepeat)
       : pool_(pool), worker_(worker), mayRepeat_(mayRepeat) {}
   ~Exchange();
-  /// If the request can't be written by this time, send() returns notSent.
+  /// If the request can't begin to be written before this time, send() returns notSent.
   void setSendDeadline(TimePoint sendDeadline) { sendDeadline_ = sendDeadline; }
   /// Sends the request and reads the head of the answer with its id. If it is unclear whether the request ran, closes
   /// the connection and returns maybeRun.
--- a/traffic/load_balancer.hpp
+++ b/traffic/load_balancer.hpp
@@ -71,7 +71,7 @@
   std::optional<double> recentMeanLoad(string const& service, TimePoint now) const;
   /// Number of this node's requests in progress at a worker.
   std::int64_t runningAt(string const& worker) const;
-  /// Forgets workers that are gone.
+  /// Drops the state of workers that are gone.
   void sweep(FleetView const& view);
 
  private:
@@ -137,7 +137,7 @@
   ZoneReachability zones_;
   std::map<string, WorkerState> workers_;
   std::map<string, MeanLoad> serviceLoads_;
-  std::map<std::pair<string, Group>, CandidateList> candidateLists_;  ///< by service
+  std::map<std::pair<string, Group>, CandidateList> candidateLists_;
   std::uint64_t randomState_ = randomId();
 };
 
--- a/traffic/warm_up_gate.hpp
+++ b/traffic/warm_up_gate.hpp
@@ -15,7 +15,7 @@
   /// Permission to send one request.
   struct Admission {
     bool isGranted = true;
-    TimePoint sendDeadline = TimePoint::max();  ///< the request must be written by then
+    TimePoint sendDeadline = TimePoint::max();  ///< sending must begin before this time
     bool isUnanswered = false;                  ///< the worker didn't answer a health request
   };
   WarmUpGate(Settings const& settings, RpcClient& rpc, FleetView& view, ConnectionPool& pool);
