--- a/tests/lots/lot_fleet_sim.cpp
+++ b/tests/lots/lot_fleet_sim.cpp
@@ -31,7 +31,7 @@
       trouble();
     }
     if (powerOff_) powerOffAll(*std::exchange(powerOff_, std::nullopt));
-    if (elapsed_ > Ms(1500) && lotCount_ < mostLots && pick(120) == 0) submit();
+    if (elapsed_ > Ms(1500) && lotCount_ < maxLots && pick(120) == 0) submit();
     if (pick(4) == 0) startRead();
     advance();
   }
--- a/tests/lots/lot_fleet_sim.hpp
+++ b/tests/lots/lot_fleet_sim.hpp
@@ -28,7 +28,7 @@
     failedIsNotRetried       ///< a recovery that failed once isn't tried again
   };
   static constexpr Ms step{10}, inTouch{4000}, catchUp{6000};
-  static constexpr std::size_t edges = 4, survive = 2, neededCopies = survive + 1, items = 24, mostLots = 16;
+  static constexpr std::size_t edges = 4, survive = 2, neededCopies = survive + 1, items = 24, maxLots = 16;
 
   LotFleet(std::uint64_t seed, Mutation mutation, Ms length = Ms(40000));
   string run();
