--- a/control/control_metrics.cpp
+++ b/control/control_metrics.cpp
@@ -44,7 +44,7 @@
   members_.setCount(consensus.membership().members.size());
   hasMajority_.setCount(driver.inContactWithMajority());
   keyspacesOwned_.setCount(owned);
-  recoveries_.setCount(lots.recoveriesUnderWay());
+  recoveries_.setCount(lots.activeRecoveries());
   show(counts);
 }
 
--- a/control/control_node.hpp
+++ b/control/control_node.hpp
@@ -28,7 +28,7 @@
   string rolloutReport() const { return rollouts_.report(); }
   string tenantReport() const;
   /// Lots whose recovery is waiting, as a JSON text.
-  string waitingLotsReport() const { return lots_.waitingReport(); }
+  string waitingLotsReport() const { return lots_.waitingLotsJson(); }
   /// The duties at the platform and the orders of workers, as a JSON text.
   string dutyReport() const { return tealshelf::dutyReport(settings_, duties_, usage_, capacity_); }
   /// The tallies, as a JSON text.
--- a/lots/coordination/holder_reports.hpp
+++ b/lots/coordination/holder_reports.hpp
@@ -15,13 +15,13 @@
     if (begin(stamp)) failed_.insert(holder);
   }
   /// A holder said that its own replica must be settled under a fresh stamp.
-  void noteUnsettled(GenerationStamp stamp) {
+  void addUnsettled(GenerationStamp stamp) {
     if (begin(stamp)) unsettled_ = true;
   }
   /// The holders that failed under the stamp of the present record.
   std::set<NodeId> failedUnder(GenerationStamp stamp) const { return stamp == stamp_ ? failed_ : std::set<NodeId>(); }
   /// True if a holder must be replaced or settled under the present record.
-  bool tellOfTrouble(GenerationStamp stamp) const { return stamp == stamp_ && (unsettled_ || !failed_.empty()); }
+  bool requireRecovery(GenerationStamp stamp) const { return stamp == stamp_ && (unsettled_ || !failed_.empty()); }
   void clear() {
     failed_.clear();
     unsettled_ = false;
--- a/lots/coordination/lot_coordinator.cpp
+++ b/lots/coordination/lot_coordinator.cpp
@@ -29,7 +29,7 @@
   server.on<CountRelyingLots>([this](CountRelyingLots request) -> Task<CountRelyingLotsReply> {
     std::optional<CountRelyingLotsReply> const forwarded = co_await forward(request.host, request);
     if (forwarded) co_return *forwarded;
-    std::uint64_t const lots = co_await countRelying(request.host, request.store);
+    std::uint64_t const lots = co_await countRelyingInKeyspace(request.host, request.store);
     co_return CountRelyingLotsReply{lots};
   });
   spawnTask(io_, "lot upkeep", upkeepLoop());
@@ -67,7 +67,7 @@
 }
 
 /// What must hold between two records of a lot that follow each other.
-void LotCoordinator::checkChange(LotRecord const& next) const {
+void LotCoordinator::checkRecordChange(LotRecord const& next) const {
   std::set<NodeId> holders;
   for (StoreRef const& holder : next.holders) holders.insert(holder.id);
   bool const eachOnce = !holders.empty() && holders.size() == next.holders.size();
@@ -82,7 +82,7 @@
 }
 
 Task<bool> LotCoordinator::save(LotRecord lot, Epoch under) {
-  checkChange(lot);
+  checkRecordChange(lot);
   vector<KeyChange> changes(1, KeyChange{lot.id, serialize(lot), false});
   // An unknown end is reported like none: the callers answer with a status that promises nothing.
   OperationResult const result = co_await driver_.propose(keyspaceOf(lot.host), std::move(changes), under);
@@ -178,7 +178,7 @@
   vector<StoreRef> holders = chooseWithSpare({lot.id, CopyPurpose::admission, bytes, {}}, excluded, {}, now);
   if (holders.size() < neededCopies()) throw Error(ErrorCode::noStores);
   // Until their next heartbeats tell, the holders count as having the lot.
-  for (StoreRef const& holder : holders) stores_.at(holder.id).load.growth += static_cast<std::uint64_t>(bytes);
+  for (StoreRef const& holder : holders) stores_.at(holder.id).load.expectedGrowth += static_cast<std::uint64_t>(bytes);
   return holders;
 }
 
--- a/lots/coordination/lot_coordinator.hpp
+++ b/lots/coordination/lot_coordinator.hpp
@@ -33,9 +33,9 @@
   Task<std::uint64_t> countLotsRelyingOn(string store);
   static string keyspaceOf(string const& host);
   static bool isLotKeyspace(string const& keyspace) { return keyspace.starts_with(keyspaceOf("")); }
-  std::size_t recoveriesUnderWay() const { return recoveries_; }
+  std::size_t activeRecoveries() const { return recoveries_; }
   /// The lots of owned keyspaces whose recovery was tried in vain, with the reason and since when, as a JSON text.
-  string waitingReport() const;
+  string waitingLotsJson() const;
 
  private:
   /// A store as it was heard last.
@@ -61,7 +61,7 @@
     std::size_t failedRecoveries = 0;  ///< in a row
     TimePoint failingSince;            ///< when the first of them ended
     TimePoint toldAt;                  ///< when the log last said that it waits
-    string lastFinding;                ///< what the last recovery saw
+    string lastRecoverySummary;        ///< what the last recovery saw
     std::optional<AsyncMutex> mutex;   ///< for changes of the record
   };
   /// A lot whose first record is being written.
@@ -92,7 +92,7 @@
   /// Throws ErrorCode::noQuorum unless a majority says that this node owns the keyspace of a host.
   Task<void> confirmOwnership(string host);
   std::optional<LotRecord> load(LotKey const& key) const;
-  void checkChange(LotRecord const& next) const;
+  void checkRecordChange(LotRecord const& next) const;
   /// Writes a record under the epoch under which the one before was read, so that nothing that came between is
   /// overwritten. False if the record isn't known to be committed.
   Task<bool> save(LotRecord lot, Epoch under);
@@ -122,7 +122,7 @@
     double bytes = 0;
     vector<StoreRef> present;  ///< stores that have a replica already
   };
-  bool mayTake(Placement const& placement, StoreRef const& store) const;
+  bool canPlaceOn(Placement const& placement, StoreRef const& store) const;
   /// Adds stores with room to those that a lot has, in other zones first, in rendezvous order.
   vector<StoreRef> choose(Placement const& placement, std::set<NodeId> const& excluded, vector<StoreRef> holders,
                           std::size_t count, TimePoint now) const;
@@ -130,10 +130,10 @@
   vector<StoreRef> chooseWithSpare(Placement placement, std::set<NodeId> const& excluded,
                                    vector<StoreRef> const& holders, TimePoint now) const;
   /// Notes whether the stores have room for copies beyond the needed ones.
-  void noteRoomForSpares(TimePoint now);
+  void updateRoomForSpares(TimePoint now);
   FleetLoad fleetLoad(TimePoint now) const;
   /// True if the disk of a holder is known to be gone: its machine was heard with another one since.
-  bool isDiskGone(StoreRef const& holder) const;
+  bool isDiskReplaced(StoreRef const& holder) const;
   /// True if a holder can't be counted on any more: it is dead, or its disk is gone or fails.
   bool isLost(StoreRef const& holder, TimePoint now) const;
   /// Copies that a lot must have to survive what the deployment may lose.
@@ -149,9 +149,9 @@
   Task<void> maintain(string keyspace, CopyCount& copies);
   /// Forgets what is known of lots whose records are deleted.
   void forget(string const& host, vector<KeyChange> const& deletions);
-  bool isForgettable(LotRecord const& lot, LotStatus const& status, TimePoint now) const;
-  RecoveryNeed needOf(LotRecord const& lot, LotStatus const& status, TimePoint now) const;
-  RecoveryNeed needOfSealed(LotRecord const& lot, LotStatus const& status, TimePoint now) const;
+  bool isDeletable(LotRecord const& lot, LotStatus const& status, TimePoint now) const;
+  RecoveryNeed recoveryNeedOf(LotRecord const& lot, LotStatus const& status, TimePoint now) const;
+  RecoveryNeed recoveryNeedOfSealed(LotRecord const& lot, LotStatus const& status, TimePoint now) const;
   /// The pause before a recovery is tried again; it grows with failures.
   Ms retryPause(LotStatus const& status, RecoveryNeed need) const;
   struct PendingRecovery {
@@ -162,20 +162,20 @@
   Task<void> recover(LotKey key, RecoveryNeed need);
   Task<RecoveryOutcome> recoverAs(RecoveryNeed need, LotRecord lot, Epoch epoch);
   /// Notes how a recovery ended and tells of lots that wait for theirs, again and again at a bounded rate.
-  void noteOutcome(LotKey const& key, RecoveryNeed need, RecoveryOutcome outcome);
+  void recordOutcome(LotKey const& key, RecoveryNeed need, RecoveryOutcome outcome);
 
   // Recovery of lots that go on: recovery_driver.cpp, for LotRecovery.
-  Task<RecoveryOutcome> recoverOpen(LotRecord lot, Epoch epoch);
+  Task<RecoveryOutcome> recoverUnsealed(LotRecord lot, Epoch epoch);
   RecoveryStart recoveryStart(LotRecord const& lot, LotStatus const& status, TimePoint now) const;
-  std::optional<GenerationStamp> stampUnder(string const& host, Epoch epoch);
+  std::optional<GenerationStamp> stampIfOwner(string const& host, Epoch epoch);
   /// Fences a store at a majority of the control nodes; false if its lease may still count.
-  Task<bool> fenceEverywhere(NodeId store);
+  Task<bool> fenceAtMajority(NodeId store);
   Task<vector<std::optional<InspectReplicaReply>>> inspectHolders(LotKey key, vector<StoreRef> holders);
   Task<vector<StoreRef>> settleHolders(recovery_step::SettleHolders step);
   /// Has a lot copied to other stores until it has enough holders or no store is left that may take it.
   Task<RecoveryCopies> makeCopies(CopyReplica request, vector<StoreRef> sources, vector<StoreRef> holders,
                                   std::set<NodeId> excluded);
-  void noteRecovered(LotRecovery const& recovery);
+  void logRecovered(LotRecovery const& recovery);
 
   // Sealed lots: sealed_lots.cpp.
   /// Records that nothing is listed beyond what all holders have.
@@ -183,16 +183,16 @@
   /// Brings the holders of a sealed lot to what they should be. Its replicas never change, so that each intact one
   /// serves reads all the while.
   Task<RecoveryOutcome> replicateSealed(LotRecord lot, Epoch epoch);
-  struct HolderAnswers {
+  struct HolderConfirmations {
     vector<StoreRef> confirmed;  ///< hold it intact and synced
     vector<StoreRef> silent;     ///< may hold it
   };
-  Task<HolderAnswers> askHolders(LotRecord lot);
+  Task<HolderConfirmations> confirmSealedHolders(LotRecord lot);
   /// Leaves the fullest stores out, as far as the zones allow.
   vector<StoreRef> trim(vector<StoreRef> holders, std::size_t count) const;
 
   // Retirement of stores: relying_lots.cpp.
-  Task<std::uint64_t> countRelying(string host, string store);
+  Task<std::uint64_t> countRelyingInKeyspace(string host, string store);
   Task<ConfirmedReplicas> confirmHeldReplicas(string host);
 
   asio::io_context& io_;
@@ -213,11 +213,11 @@
   RecoveryMetrics recoveryMetrics_;
   Counter refusedForRoom_ =
       metrics().counter("tealshelf_lots_refused_for_room_total", "Lots refused as the stores are full.");
-  TimePoint toldAgainAt_;  ///< when the log last repeated why a lot waits
+  TimePoint lastRepeatedWarningAt_;  ///< when the log last repeated why a lot waits
   bool roomForSpares_ = true, mustTrimSpares_ = false;
   double neededCopyShare_ = 1;  ///< part of the copies that the records name that can't be given up
   LotAges ages_;
-  std::map<string, TimePoint> closedStores_;  ///< stores asked about before they go, since when they get nothing new
+  std::map<string, TimePoint> excludedStores_;  ///< stores asked about before they go, since when they get nothing new
 };
 
 }  // namespace tealshelf
--- a/lots/coordination/lot_recovery.cpp
+++ b/lots/coordination/lot_recovery.cpp
@@ -13,7 +13,7 @@
     step_ = recovery_step::InspectHolders{start_.live};
 }
 
-void LotRecovery::noteReply(StoreRef const& holder, std::optional<InspectReplicaReply> const& reply) {
+void LotRecovery::addReply(StoreRef const& holder, std::optional<InspectReplicaReply> const& reply) {
   // Another disk may have come to the holder's address; it says nothing of the holder's own.
   if (!reply || reply->self != holder.id) return;
   if (reply->known && reply->stamp >= start_.lot.stamp) {
@@ -21,30 +21,30 @@
     shortest_ = std::min(shortest_, reply->results);
     return;
   }
-  ++withoutReplica_;
+  ++withoutReplicaCount_;
   // A primary that says itself that it has no intact replica answers no reads of it, whatever its lease.
-  if (holder.id == primary() && !reply->known) primaryIsBarred_ = true;
+  if (holder.id == primary() && !reply->known) primaryCannotServe_ = true;
 }
 
 void LotRecovery::inspected(vector<std::optional<InspectReplicaReply>> const& replies) {
-  for (std::size_t i = 0; i < start_.live.size() && i < replies.size(); ++i) noteReply(start_.live[i], replies[i]);
+  for (std::size_t i = 0; i < start_.live.size() && i < replies.size(); ++i) addReply(start_.live[i], replies[i]);
   if (survivors_.empty()) return end(RecoveryOutcome::noIntactReplica);
   // A primary that takes no part may go on answering reads under its lease.
-  bool const mayServe = !primaryIsBarred_ && !containsStore(survivors_, primary());
+  bool const mayServe = !primaryCannotServe_ && !containsStore(survivors_, primary());
   if (mayServe)
     step_ = recovery_step::FenceStore{primary()};
   else
-    step_ = recovery_step::TakeStamp{};
+    step_ = recovery_step::AllocateStamp{};
 }
 
 void LotRecovery::fenced(bool done) {
   if (!done) return end(RecoveryOutcome::primaryNotFenced);
-  primaryIsBarred_ = true;
+  primaryCannotServe_ = true;
   bool const hasStamp = recovered_.stamp != start_.lot.stamp;
   if (hasStamp)
     step_ = recovery_step::SaveRecord{recovered_};
   else
-    step_ = recovery_step::TakeStamp{};
+    step_ = recovery_step::AllocateStamp{};
 }
 
 void LotRecovery::stamped(std::optional<GenerationStamp> stamp) {
@@ -54,7 +54,7 @@
   auto const leaving = std::stable_partition(survivors_.begin(), survivors_.end(), [this](StoreRef const& store) {
     return !start_.retiring.contains(store.name);
   });
-  staying_ = static_cast<std::size_t>(leaving - survivors_.begin());
+  stayingCount_ = static_cast<std::size_t>(leaving - survivors_.begin());
   // Stores that failed the primary are excluded, unless too few others are there.
   makeCopies(vector<StoreRef>(survivors_.begin(), leaving), start_.failed);
 }
@@ -67,15 +67,15 @@
 void LotRecovery::copied(RecoveryCopies copies) {
   copies_ = std::move(copies);
   bool const triesOthers = copies_.holders.size() < minHolders() && !start_.failed.empty();
-  if (triesOthers && !std::exchange(triesFailedStores_, true)) return makeCopies(copies_.holders, {});
-  settleIfEnough();
+  if (triesOthers && !std::exchange(allowsFailedStores_, true)) return makeCopies(copies_.holders, {});
+  settleIfEnoughCopies();
 }
 
-void LotRecovery::settleIfEnough() {
+void LotRecovery::settleIfEnoughCopies() {
   std::size_t const reachable = holdersAfterRecovery(survivors_, copies_.holders, start_.neededCopies).size();
   // With fewer the stores that are away may come back with the others, unless no other copy is left anywhere: nothing
   // could be listed with one copy anyway.
-  bool const enough = reachable >= minHolders() || hasNoOtherCopy();
+  bool const enough = reachable >= minHolders() || allHoldersAccountedFor();
   if (!enough) return end(copies_.refused ? RecoveryOutcome::copiesRefused : RecoveryOutcome::tooFewStores);
   checkInvariant(Invariant::freshStampAfterCopies, enough, [this] { return start_.lot.id; });
   LotRecord const& lot = start_.lot;
@@ -84,15 +84,15 @@
 
 void LotRecovery::settled(vector<StoreRef> const& stores) {
   vector<StoreRef> remaining;
-  for (std::size_t i = 0; i < staying_; ++i)
+  for (std::size_t i = 0; i < stayingCount_; ++i)
     if (containsStore(stores, survivors_[i].id)) remaining.push_back(survivors_[i]);
-  remaining.insert(remaining.end(), copies_.holders.begin() + static_cast<std::ptrdiff_t>(staying_),
+  remaining.insert(remaining.end(), copies_.holders.begin() + static_cast<std::ptrdiff_t>(stayingCount_),
                    copies_.holders.end());
   recovered_.holders = holdersAfterRecovery(stores, remaining, start_.neededCopies);
-  bool const allOfThoseLeft = hasNoOtherCopy() && stores.size() == survivors_.size();
+  bool const allOfThoseLeft = allHoldersAccountedFor() && stores.size() == survivors_.size();
   bool const enough = recovered_.holders.size() >= minHolders() || allOfThoseLeft;
   if (stores.empty() || !enough) return end(RecoveryOutcome::notSettled);
-  bool const mayServe = !primaryIsBarred_ && !containsStore(stores, primary());
+  bool const mayServe = !primaryCannotServe_ && !containsStore(stores, primary());
   if (mayServe)
     step_ = recovery_step::FenceStore{primary()};
   else
@@ -119,7 +119,7 @@
     else if (containsStore(survivors_, holder.id))
       text += " (intact)";
   }
-  text += "; " + std::to_string(withoutReplica_) + " without a replica";
+  text += "; " + std::to_string(withoutReplicaCount_) + " without a replica";
   return text + ", copies made " + std::to_string(copies_.made) + ", refused " + std::to_string(copies_.refused);
 }
 
--- a/lots/coordination/lot_recovery.hpp
+++ b/lots/coordination/lot_recovery.hpp
@@ -33,7 +33,7 @@
   NodeId store;
 };
 /// Give a fresh stamp, if this node still owns the keyspace under the epoch with which the recovery began.
-struct TakeStamp {};
+struct AllocateStamp {};
 /// Have copies made until the lot has enough holders or no store is left that takes one.
 struct MakeCopies {
   CopyReplica request;  ///< without a source
@@ -53,9 +53,9 @@
   RecoveryOutcome outcome;
 };
 }  // namespace recovery_step
-using RecoveryStep = std::variant<recovery_step::InspectHolders, recovery_step::FenceStore, recovery_step::TakeStamp,
-                                  recovery_step::MakeCopies, recovery_step::SettleHolders, recovery_step::SaveRecord,
-                                  recovery_step::End>;
+using RecoveryStep = std::variant<recovery_step::InspectHolders, recovery_step::FenceStore,
+                                  recovery_step::AllocateStamp, recovery_step::MakeCopies, recovery_step::SettleHolders,
+                                  recovery_step::SaveRecord, recovery_step::End>;
 
 /// The paper's recovery of one lot that goes on, as a state machine without input or output of its own.
 ///
@@ -90,25 +90,25 @@
 
  private:
   void end(RecoveryOutcome outcome) { step_ = recovery_step::End{outcome}; }
-  void noteReply(StoreRef const& holder, std::optional<InspectReplicaReply> const& reply);
+  void addReply(StoreRef const& holder, std::optional<InspectReplicaReply> const& reply);
   NodeId primary() const { return start_.lot.holders[0].id; }
   /// The record never names fewer than survive a loss, unless it did.
   std::size_t minHolders() const { return std::min(start_.neededCopies, start_.lot.holders.size()); }
   /// True if no holder is left that may come back with a copy.
-  bool hasNoOtherCopy() const {
-    return survivors_.size() + withoutReplica_ + start_.lostDisks >= start_.lot.holders.size();
+  bool allHoldersAccountedFor() const {
+    return survivors_.size() + withoutReplicaCount_ + start_.lostDisks >= start_.lot.holders.size();
   }
   void makeCopies(vector<StoreRef> holders, std::set<NodeId> excluded);
-  void settleIfEnough();
+  void settleIfEnoughCopies();
 
   RecoveryStart start_;
   RecoveryStep step_;
-  vector<StoreRef> survivors_;      ///< that have an intact replica, those that stay first
-  std::size_t staying_ = 0;         ///< survivors that aren't to be emptied
-  std::size_t withoutReplica_ = 0;  ///< holders that have no intact replica for certain
-  std::uint64_t shortest_ = ~0ull;  ///< results that all survivors have
-  bool primaryIsBarred_ = false;    ///< the former primary serves nothing any more
-  bool triesFailedStores_ = false;
+  vector<StoreRef> survivors_;           ///< that have an intact replica, those that stay first
+  std::size_t stayingCount_ = 0;         ///< survivors that aren't to be emptied
+  std::size_t withoutReplicaCount_ = 0;  ///< holders that have no intact replica for certain
+  std::uint64_t shortest_ = ~0ull;       ///< results that all survivors have
+  bool primaryCannotServe_ = false;      ///< the former primary serves nothing any more
+  bool allowsFailedStores_ = false;
   RecoveryCopies copies_;
   LotRecord recovered_;
   bool written_ = false;
--- a/lots/coordination/lot_upkeep.cpp
+++ b/lots/coordination/lot_upkeep.cpp
@@ -16,7 +16,7 @@
 Task<void> LotCoordinator::upkeepLoop() {
   for (;;) {
     co_await sleepFor(settings_.bounds.inTouch / 30);
-    noteRoomForSpares(Clock::now());
+    updateRoomForSpares(Clock::now());
     recoveryMetrics_.beginCount();
     CopyCount copies;
     vector<string> const keyspaces = ownedKeyspaces();
@@ -41,14 +41,14 @@
     copies.named += lot.holders.size();
     // The spare copy of a lot that goes on isn't given up for room.
     copies.needed += lot.isSealed() ? std::min(lot.holders.size(), neededCopies()) : lot.holders.size();
-    if (isForgettable(lot, status, now)) {
+    if (isDeletable(lot, status, now)) {
       bool const unfinished =
           lot.state == LotState::accepted && !lot.isSealed() && status.listedResults < lot.itemCount;
       checkInvariant(Invariant::acceptedRecordIsKept, !unfinished, [&] { return lot.id; });
       deletions.push_back(KeyChange{id, "", true});
       continue;
     }
-    RecoveryNeed const need = needOf(lot, status, now);
+    RecoveryNeed const need = recoveryNeedOf(lot, status, now);
     if (need != std::exchange(status.need, need)) status.needSince = now;
     recoveryMetrics_.count(need, std::chrono::duration_cast<Ms>(now - status.needSince));
     bool const mayTry = !status.recovering && now - status.lastRecoveryAt >= retryPause(status, need);
@@ -77,7 +77,7 @@
   return static_cast<std::size_t>(std::count_if(keyspaces.begin(), keyspaces.end(), isLotKeyspace));
 }
 
-bool LotCoordinator::isForgettable(LotRecord const& lot, LotStatus const& status, TimePoint now) const {
+bool LotCoordinator::isDeletable(LotRecord const& lot, LotStatus const& status, TimePoint now) const {
   bool const changing = status.recovering || (status.mutex && status.mutex->locked());
   if (changing) return false;
   Ms const age = ages_.atLeast(lot.key(), now);
@@ -96,16 +96,16 @@
 }
 
 bool LotCoordinator::isLost(StoreRef const& holder, TimePoint now) const {
-  return isDiskGone(holder) || isDead(holder.id, now) || isDiskFailing(holder.id);
+  return isDiskReplaced(holder) || isDead(holder.id, now) || isDiskFailing(holder.id);
 }
 
-RecoveryNeed LotCoordinator::needOf(LotRecord const& lot, LotStatus const& status, TimePoint now) const {
+RecoveryNeed LotCoordinator::recoveryNeedOf(LotRecord const& lot, LotStatus const& status, TimePoint now) const {
   if (lot.state == LotState::opening) return RecoveryNeed::none;
-  if (lot.isSealed()) return needOfSealed(lot, status, now);
+  if (lot.isSealed()) return recoveryNeedOfSealed(lot, status, now);
   bool const isFinal = status.finalStamp == lot.stamp && lot.holders.size() >= neededCopies();
   if (isFinal) return RecoveryNeed::seal;
   std::set<string> const retiring = retiringStores ? retiringStores() : std::set<string>();
-  bool failing = status.reports.tellOfTrouble(lot.stamp);
+  bool failing = status.reports.requireRecovery(lot.stamp);
   for (StoreRef const& holder : lot.holders) failing = failing || isLost(holder, now) || retiring.contains(holder.name);
   if (failing) return RecoveryNeed::serve;
   if (lot.holders.size() < neededCopies()) return RecoveryNeed::replicate;
@@ -114,7 +114,7 @@
   return wished.size() > lot.holders.size() ? RecoveryNeed::spare : RecoveryNeed::none;
 }
 
-RecoveryNeed LotCoordinator::needOfSealed(LotRecord const& lot, LotStatus const& status, TimePoint now) const {
+RecoveryNeed LotCoordinator::recoveryNeedOfSealed(LotRecord const& lot, LotStatus const& status, TimePoint now) const {
   std::set<string> const retiring = retiringStores ? retiringStores() : std::set<string>();
   std::set<NodeId> const failed = status.reports.failedUnder(lot.stamp);
   std::size_t lasting = 0;
@@ -164,16 +164,16 @@
     logDebug("lots", "recovery of " + key.id + ": " + error.what());
     outcome = RecoveryOutcome::busy;
   }
-  noteOutcome(key, need, outcome);
+  recordOutcome(key, need, outcome);
   --recoveries_;
 }
 
 Task<RecoveryOutcome> LotCoordinator::recoverAs(RecoveryNeed need, LotRecord lot, Epoch epoch) {
   if (lot.isSealed()) return replicateSealed(std::move(lot), epoch);
-  return need == RecoveryNeed::seal ? seal(std::move(lot), epoch) : recoverOpen(std::move(lot), epoch);
+  return need == RecoveryNeed::seal ? seal(std::move(lot), epoch) : recoverUnsealed(std::move(lot), epoch);
 }
 
-void LotCoordinator::noteOutcome(LotKey const& key, RecoveryNeed need, RecoveryOutcome outcome) {
+void LotCoordinator::recordOutcome(LotKey const& key, RecoveryNeed need, RecoveryOutcome outcome) {
   TimePoint const now = Clock::now();
   LotStatus& status = lots_[key];
   status.recovering = false;
@@ -187,24 +187,24 @@
   if (++status.failedRecoveries == 1) status.failingSince = now;
   // The same reason is told again, so that a lot that waits for long is never forgotten; but only so many lines come.
   bool const repeats =
-      now - status.toldAt >= settings_.bounds.inTouch && now - toldAgainAt_ >= settings_.bounds.inTouch / 8;
+      now - status.toldAt >= settings_.bounds.inTouch && now - lastRepeatedWarningAt_ >= settings_.bounds.inTouch / 8;
   if (!changed && !repeats) return;
-  if (!changed) toldAgainAt_ = now;
+  if (!changed) lastRepeatedWarningAt_ = now;
   status.toldAt = now;
   std::int64_t const waitsMs = std::chrono::duration_cast<Ms>(now - status.failingSince).count();
   logWarning("lots", key.id + " waits (" + string(nameOf(need)) + "): " + string(nameOf(outcome)) + "; tries " +
                          std::to_string(status.failedRecoveries) + ", for " + std::to_string(waitsMs) + " ms; " +
-                         status.lastFinding);
+                         status.lastRecoverySummary);
 }
 
-string LotCoordinator::waitingReport() const {
+string LotCoordinator::waitingLotsJson() const {
   TimePoint const now = Clock::now();
   vector<WaitingLot> waiting;
   for (auto const& [key, status] : lots_) {
     bool const waits = status.need != RecoveryNeed::none && status.failedRecoveries != 0;
     if (!waits || !driver_.consensus().owns(keyspaceOf(key.host))) continue;
     waiting.push_back({key.id, key.host, status.need, status.lastOutcome, status.failedRecoveries,
-                       std::chrono::duration_cast<Ms>(now - status.failingSince), status.lastFinding});
+                       std::chrono::duration_cast<Ms>(now - status.failingSince), status.lastRecoverySummary});
   }
   return waitingLotsReport(settings_.nodeName, std::move(waiting), maxReportedLots);
 }
--- a/lots/coordination/recovery_driver.cpp
+++ b/lots/coordination/recovery_driver.cpp
@@ -13,7 +13,7 @@
 }
 }  // namespace
 
-Task<bool> LotCoordinator::fenceEverywhere(NodeId store) {
+Task<bool> LotCoordinator::fenceAtMajority(NodeId store) {
   // A fence that can't reach a majority would only bar the store's lease at the members that it does reach.
   if (!driver_.inContactWithMajority()) co_return false;
   FenceStore const request{store};
@@ -88,7 +88,7 @@
   RecoveryStart start{lot, {}, 0, status.reports.failedUnder(lot.stamp), {}, neededCopies()};
   if (retiringStores) start.retiring = retiringStores();
   for (StoreRef const& holder : lot.holders) {
-    if (isDiskGone(holder))
+    if (isDiskReplaced(holder))
       ++start.lostDisks;
     else if (!isLost(holder, now) && !start.failed.contains(holder.id))
       start.live.push_back(holder);
@@ -97,13 +97,13 @@
 }
 
 /// A fresh stamp, if this node still owns the keyspace under the epoch with which the recovery began.
-std::optional<GenerationStamp> LotCoordinator::stampUnder(string const& host, Epoch epoch) {
+std::optional<GenerationStamp> LotCoordinator::stampIfOwner(string const& host, Epoch epoch) {
   string const keyspace = keyspaceOf(host);
   bool const isOwner = driver_.consensus().owns(keyspace) && driver_.consensus().epochOf(keyspace) == epoch;
   return isOwner ? std::optional<GenerationStamp>(freshStamp(host)) : std::nullopt;
 }
 
-Task<RecoveryOutcome> LotCoordinator::recoverOpen(LotRecord lot, Epoch epoch) {
+Task<RecoveryOutcome> LotCoordinator::recoverUnsealed(LotRecord lot, Epoch epoch) {
   namespace step = recovery_step;
   LotStatus& status = lots_[lot.key()];
   LotRecovery recovery(recoveryStart(lot, status, Clock::now()));
@@ -113,10 +113,10 @@
       vector<std::optional<InspectReplicaReply>> const replies = co_await inspectHolders(lot.key(), inspect->holders);
       recovery.inspected(replies);
     } else if (step::FenceStore const* const fence = std::get_if<step::FenceStore>(&next)) {
-      bool const fenced = co_await fenceEverywhere(fence->store);
+      bool const fenced = co_await fenceAtMajority(fence->store);
       recovery.fenced(fenced);
-    } else if (std::holds_alternative<step::TakeStamp>(next)) {
-      recovery.stamped(stampUnder(lot.host, epoch));
+    } else if (std::holds_alternative<step::AllocateStamp>(next)) {
+      recovery.stamped(stampIfOwner(lot.host, epoch));
     } else if (step::MakeCopies const* const make = std::get_if<step::MakeCopies>(&next)) {
       RecoveryCopies copies = co_await makeCopies(make->request, make->sources, make->holders, make->excluded);
       recovery.copied(std::move(copies));
@@ -129,14 +129,14 @@
     }
   }
   RecoveryOutcome const outcome = std::get<step::End>(recovery.step()).outcome;
-  status.lastFinding = recovery.describe();
+  status.lastRecoverySummary = recovery.describe();
   // All holders failed: which of them can be used shows only when they are asked.
   if (outcome == RecoveryOutcome::noLiveHolder) status.reports.clear();
-  if (recovery.isWritten()) noteRecovered(recovery);
+  if (recovery.isWritten()) logRecovered(recovery);
   co_return outcome;
 }
 
-void LotCoordinator::noteRecovered(LotRecovery const& recovery) {
+void LotCoordinator::logRecovered(LotRecovery const& recovery) {
   LotRecord const& lot = recovery.recovered();
   string names;
   for (StoreRef const& holder : lot.holders) names += " " + holder.name;
--- a/lots/coordination/recovery_metrics.cpp
+++ b/lots/coordination/recovery_metrics.cpp
@@ -12,12 +12,12 @@
 }
 
 void RecoveryMetrics::beginCount() {
-  waiting_.fill(Waiting{});
+  waiting_.fill(WaitingLots{});
 }
 
 void RecoveryMetrics::count(RecoveryNeed need, Ms waited) {
   if (need == RecoveryNeed::none) return;
-  Waiting& waiting = waiting_.at(static_cast<std::size_t>(need));
+  WaitingLots& waiting = waiting_.at(static_cast<std::size_t>(need));
   ++waiting.lots;
   waiting.longest = std::max(waiting.longest, waited);
 }
--- a/lots/coordination/recovery_metrics.hpp
+++ b/lots/coordination/recovery_metrics.hpp
@@ -15,12 +15,12 @@
   void ended(RecoveryNeed need, RecoveryOutcome outcome);
 
  private:
-  struct Waiting {
+  struct WaitingLots {
     std::size_t lots = 0;
     Ms longest{0};
   };
   static constexpr std::size_t kinds = static_cast<std::size_t>(RecoveryNeed::none);
-  std::array<Waiting, kinds> waiting_;
+  std::array<WaitingLots, kinds> waiting_;
   vector<Gauge> lots_, longest_;
 };
 
--- a/lots/coordination/relying_lots.cpp
+++ b/lots/coordination/relying_lots.cpp
@@ -27,17 +27,17 @@
 }
 
 /// How many lots of a keyspace that this node owns still need a store. From the question on nothing new is put there.
-Task<std::uint64_t> LotCoordinator::countRelying(string host, string store) {
+Task<std::uint64_t> LotCoordinator::countRelyingInKeyspace(string host, string store) {
   string const keyspace = keyspaceOf(host);
-  TimePoint const closedAt = closedStores_.try_emplace(store, Clock::now()).first->second;
+  TimePoint const excludedSince = excludedStores_.try_emplace(store, Clock::now()).first->second;
   co_await confirmOwnership(host);
   std::uint64_t count = 0;
   for (auto const& [key, opening] : opening_)
-    if (key.host == host && opening.startedAt <= closedAt) ++count;
+    if (key.host == host && opening.startedAt <= excludedSince) ++count;
   for (auto const& [id, record] : driver_.consensus().committedValues(keyspace)) {
     LotStatus const& status = lots_[{host, id}];
     // A recovery that began before may still name the store.
-    bool const mayName = status.recovering && status.recoveryStartedAt <= closedAt;
+    bool const mayName = status.recovering && status.recoveryStartedAt <= excludedSince;
     if (mayName || namesStore(deserialize<LotRecord>(record), store)) ++count;
   }
   if (count) co_return count;
@@ -45,7 +45,7 @@
   // Records may have changed while the stores were asked.
   co_await confirmOwnership(host);
   for (auto const& [id, record] : driver_.consensus().committedValues(keyspace))
-    if (!isFreeOf(deserialize<LotRecord>(record), store, confirmed, neededCopies())) ++count;
+    if (!canRemoveStore(deserialize<LotRecord>(record), store, confirmed, neededCopies())) ++count;
   co_return count;
 }
 
@@ -56,7 +56,7 @@
     if (!keyspace.starts_with(keyspaceOf(""))) continue;
     string const host = keyspace.substr(keyspaceOf("").size());
     if (driver_.consensus().owns(keyspace)) {
-      count += co_await countRelying(host, store);
+      count += co_await countRelyingInKeyspace(host, store);
       continue;
     }
     std::optional<Address> const owner = driver_.ownerAddress(keyspace);
--- a/lots/coordination/replica_rules.hpp
+++ b/lots/coordination/replica_rules.hpp
@@ -34,8 +34,8 @@
 /// True if a store may be taken away, with its disk, as far as one lot goes: the record doesn't name it, and enough
 /// others said themselves that they hold the lot. A record alone proves nothing: a holder may have lost its disk since
 /// it was written.
-inline bool isFreeOf(LotRecord const& lot, string const& store, ConfirmedReplicas const& confirmed,
-                     std::size_t needed) {
+inline bool canRemoveStore(LotRecord const& lot, string const& store, ConfirmedReplicas const& confirmed,
+                           std::size_t needed) {
   if (namesStore(lot, store)) return false;
   if (lot.state == LotState::opening) return true;
   std::size_t copies = 0;
--- a/lots/coordination/sealed_lots.cpp
+++ b/lots/coordination/sealed_lots.cpp
@@ -15,11 +15,11 @@
   co_return saved ? RecoveryOutcome::done : RecoveryOutcome::recordNotWritten;
 }
 
-Task<LotCoordinator::HolderAnswers> LotCoordinator::askHolders(LotRecord lot) {
-  HolderAnswers answers;
+Task<LotCoordinator::HolderConfirmations> LotCoordinator::confirmSealedHolders(LotRecord lot) {
+  HolderConfirmations answers;
   ConfirmReplicas const question{{{lot.host, lot.id, lot.sealedStamp}}};
   for (StoreRef const& holder : lot.holders) {
-    if (isDiskGone(holder)) continue;
+    if (isDiskReplaced(holder)) continue;
     if (isDead(holder.id, Clock::now())) {
       answers.silent.push_back(holder);
       continue;
@@ -57,7 +57,7 @@
 Task<RecoveryOutcome> LotCoordinator::replicateSealed(LotRecord lot, Epoch epoch) {
   LotStatus& status = lots_[lot.key()];
   std::set<string> const retiring = retiringStores ? retiringStores() : std::set<string>();
-  HolderAnswers const answers = co_await askHolders(lot);
+  HolderConfirmations const answers = co_await confirmSealedHolders(lot);
   if (answers.confirmed.empty()) co_return RecoveryOutcome::noIntactReplica;
   vector<StoreRef> staying, leaving;
   for (StoreRef const& holder : answers.confirmed) {
--- a/lots/coordination/store_placement.cpp
+++ b/lots/coordination/store_placement.cpp
@@ -10,9 +10,9 @@
 /// Parts of a store's limit up to which it takes copies of a purpose.
 constexpr double admissionShare = 0.9, recoveryShare = 1, spareShare = 0.5;
 /// Part of the stores' room that admission counts on: copies don't spread evenly.
-constexpr double evenShare = 0.85;
+constexpr double usableFleetShare = 0.85;
 
-double shareFor(CopyPurpose purpose) {
+double maxLoadFor(CopyPurpose purpose) {
   switch (purpose) {
     case CopyPurpose::admission:
       return admissionShare;
@@ -32,9 +32,9 @@
 bool hasRoom(StoreLoad const& load, CopyPurpose purpose, double bytes) {
   if (!load.tells()) return true;
   // What open lots still grow by is kept free, but not at the cost of a copy that must be restored.
-  double const growth = purpose == CopyPurpose::recovery ? 0 : static_cast<double>(load.growth);
-  double const taken = static_cast<double>(load.used) + growth + bytes;
-  return taken <= shareFor(purpose) * static_cast<double>(load.limit);
+  double const expectedGrowth = purpose == CopyPurpose::recovery ? 0 : static_cast<double>(load.expectedGrowth);
+  double const taken = static_cast<double>(load.used) + expectedGrowth + bytes;
+  return taken <= maxLoadFor(purpose) * static_cast<double>(load.limit);
 }
 
 bool admits(FleetLoad const& fleet, double lotBytes) {
@@ -43,17 +43,17 @@
   for (StoreLoad const& store : fleet.stores) {
     if (!store.tells()) return true;
     limits.push_back(static_cast<double>(store.limit));
-    taken += static_cast<double>(store.used + store.growth);
+    taken += static_cast<double>(store.used + store.expectedGrowth);
   }
   // The largest stores may be the ones that are lost.
   std::sort(limits.begin(), limits.end());
-  limits.resize(limits.size() - std::min(limits.size(), fleet.lossesToCome));
-  double const room = std::accumulate(limits.begin(), limits.end(), 0.0) * evenShare;
+  limits.resize(limits.size() - std::min(limits.size(), fleet.lossesToTolerate));
+  double const room = std::accumulate(limits.begin(), limits.end(), 0.0) * usableFleetShare;
   // With few stores not all copies can be restored, and need no room then.
   std::size_t const copies = std::min(fleet.neededCopies, limits.size());
   double const restorable =
       static_cast<double>(copies) / static_cast<double>(std::max<std::size_t>(1, fleet.neededCopies));
-  return taken * fleet.neededShare * restorable + lotBytes * static_cast<double>(copies) <= room;
+  return taken * fleet.neededCopyShare * restorable + lotBytes * static_cast<double>(copies) <= room;
 }
 
 }  // namespace tealshelf
--- a/lots/coordination/store_placement.hpp
+++ b/lots/coordination/store_placement.hpp
@@ -23,11 +23,11 @@
 
 /// The stores as admission sees them.
 struct FleetLoad {
-  vector<StoreLoad> stores;      ///< those that are live
-  std::uint64_t lostBytes = 0;   ///< of stores that were lost lately
-  std::size_t lossesToCome = 0;  ///< how many more of them may be lost at once
-  std::size_t neededCopies = 1;  ///< copies that each lot must have
-  double neededShare = 1;        ///< part of all copies that are needed ones; the rest are spare
+  vector<StoreLoad> stores;          ///< those that are live
+  std::uint64_t lostBytes = 0;       ///< of stores that were lost lately
+  std::size_t lossesToTolerate = 0;  ///< how many more of them may be lost at once
+  std::size_t neededCopies = 1;      ///< copies that each lot must have
+  double neededCopyShare = 1;        ///< part of all copies that are needed ones; the rest are spare
 };
 
 /// True if after the losses to come the stores still have room for all needed copies, with those of a new lot.
--- a/lots/coordination/store_supervision.cpp
+++ b/lots/coordination/store_supervision.cpp
@@ -35,7 +35,7 @@
                      [&name](auto const& item) { return item.second.ref.name == name; });
 }
 
-bool LotCoordinator::isDiskGone(StoreRef const& holder) const {
+bool LotCoordinator::isDiskReplaced(StoreRef const& holder) const {
   auto const heard = stores_.find(holder.id);
   TimePoint const lastHeard = heard == stores_.end() ? TimePoint() : heard->second.heardAt;
   return std::any_of(stores_.begin(), stores_.end(), [&](auto const& item) {
@@ -54,20 +54,20 @@
   });
   for (bool const otherZonesOnly : {true, false})
     for (StoreRef const& store : live) {
-      bool used = excluded.contains(store.id) || retiring.contains(store.name) || closedStores_.contains(store.name);
+      bool used = excluded.contains(store.id) || retiring.contains(store.name) || excludedStores_.contains(store.name);
       bool zoneUsed = false;
       for (StoreRef const& holder : holders) {
         used = used || holder.id == store.id || holder.name == store.name;
         zoneUsed = zoneUsed || holder.zone == store.zone;
       }
-      bool const fits = !used && !(otherZonesOnly && zoneUsed) && mayTake(placement, store);
+      bool const fits = !used && !(otherZonesOnly && zoneUsed) && canPlaceOn(placement, store);
       if (fits && holders.size() < count) holders.push_back(store);
     }
   return holders;
 }
 
 /// A store that has a replica of the lot takes a fresh one in its place, whether or not there is room for others.
-bool LotCoordinator::mayTake(Placement const& placement, StoreRef const& store) const {
+bool LotCoordinator::canPlaceOn(Placement const& placement, StoreRef const& store) const {
   bool const hasReplica = std::any_of(placement.present.begin(), placement.present.end(),
                                       [&store](StoreRef const& holder) { return holder.id == store.id; });
   return hasReplica || hasRoom(stores_.at(store.id).load, placement.purpose, placement.bytes);
@@ -94,20 +94,20 @@
   std::set<string> lost;
   for (auto const& [id, status] : stores_) {
     if (containsStore(live, id) || now - status.heardAt > settings_.bounds.catchUp) continue;
-    fleet.lostBytes += status.load.used + status.load.growth;
+    fleet.lostBytes += status.load.used + status.load.expectedGrowth;
     if (!names.contains(status.ref.name)) lost.insert(status.ref.name);
   }
   std::size_t const survive = static_cast<std::size_t>(settings_.surviveMachines);
-  fleet.lossesToCome = survive - std::min(survive, lost.size());
+  fleet.lossesToTolerate = survive - std::min(survive, lost.size());
   fleet.neededCopies = neededCopies();
-  fleet.neededShare = neededCopyShare_;
+  fleet.neededCopyShare = neededCopyShare_;
   return fleet;
 }
 
-void LotCoordinator::noteRoomForSpares(TimePoint now) {
+void LotCoordinator::updateRoomForSpares(TimePoint now) {
   double taken = 0, limits = 0;
   for (StoreLoad const& store : fleetLoad(now).stores) {
-    taken += static_cast<double>(store.used + store.growth);
+    taken += static_cast<double>(store.used + store.expectedGrowth);
     limits += static_cast<double>(store.limit);
   }
   roomForSpares_ = taken <= maxLoadForSpares * limits;
@@ -139,7 +139,7 @@
     if (!lot || lot->stamp != failure.stamp) continue;
     LotStatus& status = lots_[failure.key()];
     if (failure.holder == heartbeat.self.id && !lot->isSealed())
-      status.reports.noteUnsettled(failure.stamp);
+      status.reports.addUnsettled(failure.stamp);
     else
       status.reports.noteFailed(failure.stamp, failure.holder);
   }
--- a/lots/messages.hpp
+++ b/lots/messages.hpp
@@ -70,11 +70,11 @@
 
 /// How full a store is, in bytes of replicas. All are 0 for a store that doesn't tell.
 struct StoreLoad {
-  std::uint64_t used = 0;    ///< by the replicas that it has
-  std::uint64_t growth = 0;  ///< what the results still to come will likely take
-  std::uint64_t limit = 0;   ///< what it takes at the most
+  std::uint64_t used = 0;            ///< by the replicas that it has
+  std::uint64_t expectedGrowth = 0;  ///< what the results still to come will likely take
+  std::uint64_t limit = 0;           ///< what it takes at the most
   bool tells() const { return limit != 0; }
-  MSGPACK_DEFINE(used, growth, limit)
+  MSGPACK_DEFINE(used, expectedGrowth, limit)
 };
 
 /// A store's report that a holder fails a lot, or, about itself, that its own replica must be settled anew.
--- a/lots/replicas/replica_store.cpp
+++ b/lots/replicas/replica_store.cpp
@@ -68,15 +68,15 @@
 }
 
 StoreLoad ReplicaStore::load() const {
-  double growth = 0;
-  table_.forEach([&growth](Replica const& replica) {
+  double expectedGrowth = 0;
+  table_.forEach([&expectedGrowth](Replica const& replica) {
     LotRecord const& lot = replica.lot;
     bool const unfinished = !replica.sealed && lot.state != LotState::ended && replica.results.size() < lot.itemCount;
     if (!unfinished) return;
     double const missingResults = static_cast<double>(lot.itemCount - replica.results.size());
-    growth += missingResults / static_cast<double>(lot.itemCount) * expectedResultBytes(lot);
+    expectedGrowth += missingResults / static_cast<double>(lot.itemCount) * expectedResultBytes(lot);
   });
-  return {table_.bytes(), static_cast<std::uint64_t>(growth), maxReplicaBytes()};
+  return {table_.bytes(), static_cast<std::uint64_t>(expectedGrowth), maxReplicaBytes()};
 }
 
 Task<Acknowledgement> ReplicaStore::create(CreateReplica request) {
--- a/tests/lots/holder_reports_test.cpp
+++ b/tests/lots/holder_reports_test.cpp
@@ -34,16 +34,16 @@
 TEST(holderReports, whatWasSaidOfARecordEndsWithItsStamp) {
   HolderReports reports;
   reports.noteFailed(GenerationStamp(4), NodeId(2));
-  reports.noteUnsettled(GenerationStamp(4));
+  reports.addUnsettled(GenerationStamp(4));
   CHECK(reports.failedUnder(GenerationStamp(4)).contains(NodeId(2)));
   CHECK(reports.failedUnder(GenerationStamp(5)).empty());
-  CHECK_FALSE(reports.tellOfTrouble(GenerationStamp(5)));
+  CHECK_FALSE(reports.requireRecovery(GenerationStamp(5)));
 }
 TEST(holderReports, aReportUnderAFreshStampBeginsAnew) {
   HolderReports reports;
   reports.noteFailed(GenerationStamp(4), NodeId(2));
-  reports.noteUnsettled(GenerationStamp(5));
-  CHECK(reports.tellOfTrouble(GenerationStamp(5)));
+  reports.addUnsettled(GenerationStamp(5));
+  CHECK(reports.requireRecovery(GenerationStamp(5)));
   CHECK(reports.failedUnder(GenerationStamp(5)).empty());
 }
 TEST(holderReports, aLateReportUnderAnEarlierStampCountsForNothing) {
@@ -66,7 +66,7 @@
 TEST(lotRecovery, aPrimaryThatSaysItHasNoIntactReplicaNeedsNoFence) {
   LotRecovery recovery = recoveryOfThree();
   recovery.inspected({answerOf(1, false, 0), answerOf(2, true, 7), answerOf(3, true, 7)});
-  CHECK(std::holds_alternative<recovery_step::TakeStamp>(recovery.step()));
+  CHECK(std::holds_alternative<recovery_step::AllocateStamp>(recovery.step()));
 }
 TEST(lotRecovery, anotherDiskAtThePrimarysAddressSaysNothingOfIt) {
   LotRecovery recovery = recoveryOfThree();
--- a/tests/lots/lot_fleet_coordination.cpp
+++ b/tests/lots/lot_fleet_coordination.cpp
@@ -8,7 +8,7 @@
   return heard == node.heard.end() || now_ - heard->second.second > inTouch * 3 / 10;
 }
 
-bool LotFleet::isDiskGone(Control const& node, StoreRef const& holder) const {
+bool LotFleet::isDiskReplaced(Control const& node, StoreRef const& holder) const {
   auto const heard = node.heard.find(holder.id);
   TimePoint const last = heard == node.heard.end() ? TimePoint() : heard->second.second;
   return std::any_of(node.heard.begin(), node.heard.end(), [&](auto const& item) {
@@ -36,32 +36,32 @@
   return holders;
 }
 
-std::set<NodeId> LotFleet::failedOf(LotStatus const& status, GenerationStamp stamp) const {
+std::set<NodeId> LotFleet::failedHoldersOf(LotStatus const& status, GenerationStamp stamp) const {
   return mutation_ == Mutation::reportsOutliveStamps ? status.everFailed : status.reports.failedUnder(stamp);
 }
 
 bool LotFleet::needsRecovery(Control const& node, LotRecord const& lot, LotStatus const& status) const {
   if (lot.state != LotState::accepted) return false;
-  if (status.reports.tellOfTrouble(lot.stamp) || lot.holders.size() < neededCopies) return true;
-  if (!failedOf(status, lot.stamp).empty()) return true;
+  if (status.reports.requireRecovery(lot.stamp) || lot.holders.size() < neededCopies) return true;
+  if (!failedHoldersOf(status, lot.stamp).empty()) return true;
   return std::any_of(lot.holders.begin(), lot.holders.end(),
-                     [&](StoreRef const& holder) { return isDead(node, holder.id) || isDiskGone(node, holder); });
+                     [&](StoreRef const& holder) { return isDead(node, holder.id) || isDiskReplaced(node, holder); });
 }
 
 void LotFleet::upkeep(Control& node) {
   for (auto const& [id, lot] : node.records) {
     LotStatus& status = node.lots[id];
-    bool const mayTry = !status.recovering && now_ - status.triedAt >= inTouch / 10;
-    bool const isLeft = mutation_ == Mutation::failedIsNotRetried && status.hasFailed;
+    bool const mayTry = !status.recovering && now_ - status.lastTriedAt >= inTouch / 10;
+    bool const isLeft = mutation_ == Mutation::failedRecoveryIsNotRetried && status.hasFailed;
     if (mayTry && !isLeft && needsRecovery(node, lot, status)) startRecovery(node, lot);
   }
 }
 
 void LotFleet::startRecovery(Control& node, LotRecord const& lot) {
   LotStatus& status = node.lots[lot.id];
-  RecoveryStart start{lot, {}, 0, failedOf(status, lot.stamp), {}, neededCopies};
+  RecoveryStart start{lot, {}, 0, failedHoldersOf(status, lot.stamp), {}, neededCopies};
   for (StoreRef const& holder : lot.holders) {
-    if (isDiskGone(node, holder))
+    if (isDiskReplaced(node, holder))
       ++start.lostDisks;
     else if (!isDead(node, holder.id) && !start.failed.contains(holder.id))
       start.live.push_back(holder);
@@ -89,12 +89,11 @@
   if (wanted::SettleHolders const* const settle = std::get_if<wanted::SettleHolders>(&step))
     return advanceSettle(task, *settle);
   if (wanted::FenceStore const* const fence = std::get_if<wanted::FenceStore>(&step)) {
-    task.recovery->fenced(fenceEverywhere(node, fence->store) || mutation_ == Mutation::skipsFence);
-  } else if (std::holds_alternative<wanted::TakeStamp>(step)) {
+    task.recovery->fenced(fenceAtMajority(node, fence->store) || mutation_ == Mutation::skipsFence);
+  } else if (std::holds_alternative<wanted::AllocateStamp>(step)) {
     task.recovery->stamped(freshStamp(node, task.epoch));
   } else if (wanted::SaveRecord const* const save = std::get_if<wanted::SaveRecord>(&step)) {
-    std::uint64_t const under =
-        mutation_ == Mutation::earlierOwnershipWrites ? node.epoch.value_or(task.epoch) : task.epoch;
+    std::uint64_t const under = mutation_ == Mutation::staleOwnerWrites ? node.epoch.value_or(task.epoch) : task.epoch;
     bool const saved = commit(node, save->lot, under);
     if (saved && pick(12) == 0) powerOff_ = save->lot;
     if (saved) note(task.lot + " recovered by " + std::to_string(task.node) + " under " + hex(save->lot.stamp.value));
@@ -102,10 +101,10 @@
   } else {
     return endRecovery(task, std::get<wanted::End>(step).outcome);
   }
-  nextStep(task);
+  beginNextStep(task);
 }
 
-void LotFleet::nextStep(RecoveryTask& task) {
+void LotFleet::beginNextStep(RecoveryTask& task) {
   task.at = 0;
   task.call.reset();
   task.replies.clear();
@@ -118,7 +117,7 @@
   Control& node = *controls_[task.node];
   LotStatus& status = node.lots[task.lot];
   status.recovering = false;
-  status.triedAt = now_;
+  status.lastTriedAt = now_;
   bool const isDone = outcome == RecoveryOutcome::done || outcome == RecoveryOutcome::copiesRefused;
   status.hasFailed = !isDone;
   if (isDone) ++recoveries_;
@@ -142,7 +141,7 @@
   }
   if (task.at == step.holders.size()) {
     task.recovery->inspected(task.replies);
-    return nextStep(task);
+    return beginNextStep(task);
   }
   LotKey const key{"", task.lot};
   task.replies.emplace_back();
@@ -177,7 +176,7 @@
   if (chosen.size() <= task.copies->holders.size()) {
     RecoveryCopies const copies = *task.copies;
     task.recovery->copied(copies);
-    return nextStep(task);
+    return beginNextStep(task);
   }
   task.target = chosen[task.copies->holders.size()];
   StoreRef const sourceRef = step.sources[(task.copies->made + task.copies->refused) % step.sources.size()];
@@ -205,7 +204,7 @@
   if (task.at == step.holders.size()) {
     vector<StoreRef> const settled = task.settled;
     task.recovery->settled(settled);
-    return nextStep(task);
+    return beginNextStep(task);
   }
   task.call = callStore(
       task.node, step.holders[task.at],
@@ -217,7 +216,7 @@
       inTouch / 4);
 }
 
-bool LotFleet::fenceEverywhere(Control& node, NodeId store) {
+bool LotFleet::fenceAtMajority(Control& node, NodeId store) {
   std::size_t fencedAt = 0;
   for (std::unique_ptr<Control> const& other : controls_)
     if (runs(*other) && linked(node.index, other->index)) fencedAt += other->leases->fence(store, now_);
@@ -225,7 +224,7 @@
 }
 
 std::optional<GenerationStamp> LotFleet::freshStamp(Control& node, std::uint64_t epoch) {
-  bool const isFree = mutation_ == Mutation::earlierOwnershipWrites;
+  bool const isFree = mutation_ == Mutation::staleOwnerWrites;
   if (node.epoch != epoch && !isFree) return std::nullopt;
   return GenerationStamp(epoch << 32 | ++node.stamps);
 }
@@ -243,7 +242,7 @@
   submission.lot.stamp = *freshStamp(node, *node.epoch);
   node.lots[submission.lot.id].openedAt = now_;
   if (!commit(node, submission.lot, *node.epoch)) return;
-  submission.dueAt = now_ + someDelay();
+  submission.dueAt = now_ + randomDelay();
   submissions_.push_back(std::move(submission));
 }
 
@@ -274,7 +273,7 @@
   if (!commit(node, next, *node.epoch)) return;
   accepted_.insert(lot.id);
   note(lot.id + " accepted");
-  if (pick(4) == 0) troubleAt_ = now_ + Ms(static_cast<std::int64_t>(pick(1500)));
+  if (pick(4) == 0) nextFaultAt_ = now_ + Ms(static_cast<std::int64_t>(pick(1500)));
   if (pick(12) == 0) powerOff_ = next;
 }
 
@@ -282,7 +281,7 @@
   if (accepted_.empty()) return;
   auto lot = accepted_.begin();
   std::advance(lot, static_cast<std::ptrdiff_t>(pick(accepted_.size())));
-  Reader reader{{}, pick(edges), seen_[*lot].size(), now_ + someDelay()};
+  Reader reader{{}, pick(edges), seen_[*lot].size(), now_ + randomDelay()};
   auto const cached = cachedRecords_.find({reader.edge, *lot});
   Control const& node = *controls_[truth_.owner];
   if (cached == cachedRecords_.end() && !confirmsOwnership(node)) return;
--- a/tests/lots/lot_fleet_sim.cpp
+++ b/tests/lots/lot_fleet_sim.cpp
@@ -26,8 +26,8 @@
 string LotFleet::run() {
   while (elapsed_ < length_ && violation_.empty()) {
     if (pick(220) == 0) trouble();
-    if (troubleAt_ != TimePoint() && now_ >= troubleAt_) {
-      troubleAt_ = TimePoint();
+    if (nextFaultAt_ != TimePoint() && now_ >= nextFaultAt_) {
+      nextFaultAt_ = TimePoint();
       trouble();
     }
     if (powerOff_) powerOffAll(*std::exchange(powerOff_, std::nullopt));
@@ -123,12 +123,12 @@
 void LotFleet::chooseOwner() {
   Control& owner = *controls_[truth_.owner];
   bool const isWell = runs(owner) && owner.epoch == truth_.epoch && hasMajority(owner);
-  if (isWell) truth_.ownerBadSince = now_;
+  if (isWell) truth_.ownerUnhealthySince = now_;
   Control& preferred = *controls_[0];
   bool const mayReturn = truth_.owner != 0 && runs(preferred) && hasMajority(preferred);
-  if (!mayReturn) truth_.preferredGoodSince = now_;
-  if (now_ - truth_.preferredGoodSince > Ms(300) && pick(40) == 0) return takeOver(preferred);
-  if (now_ - truth_.ownerBadSince < Ms(900) || pick(20)) return;
+  if (!mayReturn) truth_.preferredHealthySince = now_;
+  if (now_ - truth_.preferredHealthySince > Ms(300) && pick(40) == 0) return takeOver(preferred);
+  if (now_ - truth_.ownerUnhealthySince < Ms(900) || pick(20)) return;
   Control& candidate = *controls_[pick(controls_.size())];
   if (runs(candidate) && hasMajority(candidate)) takeOver(candidate);
 }
@@ -136,12 +136,12 @@
 void LotFleet::takeOver(Control& node) {
   if (node.epoch != std::nullopt || truth_.owner != node.index || truth_.epoch != 1) ++truth_.epoch;
   truth_.owner = node.index;
-  truth_.ownerBadSince = now_;
+  truth_.ownerUnhealthySince = now_;
   node.epoch = truth_.epoch;
   node.records = truth_.records;
   node.majorityAt = now_;
   note("control " + std::to_string(node.index) + " owns under epoch " + std::to_string(truth_.epoch));
-  if (pick(3) == 0) troubleAt_ = now_ + Ms(static_cast<std::int64_t>(pick(1500)));
+  if (pick(3) == 0) nextFaultAt_ = now_ + Ms(static_cast<std::int64_t>(pick(1500)));
 }
 
 bool LotFleet::confirmsOwnership(Control const& node) const {
@@ -149,7 +149,7 @@
 }
 
 bool LotFleet::commit(Control& node, LotRecord const& lot, std::uint64_t under) {
-  bool const isUnder = node.epoch == under || mutation_ == Mutation::earlierOwnershipWrites;
+  bool const isUnder = node.epoch == under || mutation_ == Mutation::staleOwnerWrites;
   if (!isUnder || !confirmsOwnership(node)) return false;
   LotRecord& record = truth_.records[lot.id];
   if (lot.stamp < record.stamp || lot.state < record.state) fail("the record of " + lot.id + " goes back");
@@ -184,7 +184,7 @@
   Store& store = *storeOf(to);
   call->store = store.index;
   call->life = store.life;
-  call->arrivesAt = now_ + someDelay();
+  call->arrivesAt = now_ + randomDelay();
   call->end = now_ + limit;
   call->apply = [this, fromMachine, &store, apply = std::move(apply), waitsForSync, raw = call.get()] {
     if (!store.up || !linked(fromMachine, machineOf(store))) return false;
@@ -235,8 +235,8 @@
     ++store.syncsDone;
     if (store.pending.empty() && pick(60) == 0) store.disk = store.table.snapshot();
   }
-  if (now_ >= store.nextBeatAt) {
-    store.nextBeatAt = now_ + inTouch / 18;
+  if (now_ >= store.nextHeartbeatAt) {
+    store.nextHeartbeatAt = now_ + inTouch / 18;
     beat(store);
   }
   for (auto& [key, run] : store.runs) list(store, run);
--- a/tests/lots/lot_fleet_sim.hpp
+++ b/tests/lots/lot_fleet_sim.hpp
@@ -20,12 +20,12 @@
  public:
   enum class Mutation {
     none,
-    earlierOwnershipWrites,  ///< a recovery writes its record under whatever epoch its node has by then
-    namesUnsyncedCopies,     ///< a record names copies that their stores haven't synced
-    fenceIsNeverLifted,      ///< a store whose lease was fenced asks for no other
-    skipsFence,              ///< a former primary that takes no part goes on under its lease
-    reportsOutliveStamps,    ///< reports on holders are kept when the record changes
-    failedIsNotRetried       ///< a recovery that failed once isn't tried again
+    staleOwnerWrites,           ///< a recovery writes its record under whatever epoch its node has by then
+    namesUnsyncedCopies,        ///< a record names copies that their stores haven't synced
+    fencedLeaseIsKept,          ///< a store whose lease was fenced asks for no other
+    skipsFence,                 ///< a former primary that takes no part goes on under its lease
+    reportsOutliveStamps,       ///< reports on holders are kept when the record changes
+    failedRecoveryIsNotRetried  ///< a recovery that failed once isn't tried again
   };
   static constexpr Ms step{10}, inTouch{4000}, catchUp{6000};
   static constexpr std::size_t edges = 4, survive = 2, neededCopies = survive + 1, items = 24, maxLots = 16;
@@ -56,7 +56,7 @@
     std::set<NodeId> failedHolders;
     vector<std::pair<NodeId, CallPtr>> calls;
   };
-  struct Unusable {
+  struct UnusableSince {
     GenerationStamp stamp;
     TimePoint since;
   };
@@ -64,16 +64,16 @@
     StoreRef self;
     std::size_t index = 0, life = 0;
     bool up = true;
-    TimePoint upAgainAt, lostUntil;
+    TimePoint upAgainAt, countsAsLostUntil;
     std::uint64_t lease = 1;
     ReplicaTable table;
     vector<string> disk;
     std::deque<std::pair<TimePoint, vector<string>>> pending;
     std::size_t syncsStarted = 0, syncsDone = 0, turn = 0;
-    TimePoint nextBeatAt;
+    TimePoint nextHeartbeatAt;
     std::map<std::size_t, TimePoint> grantedAt;
     std::map<LotKey, LotRecord> lots;
-    std::map<LotKey, Unusable> unusable;
+    std::map<LotKey, UnusableSince> unusable;
     std::map<LotKey, Run> runs;
   };
 
@@ -81,7 +81,7 @@
   struct LotStatus {
     HolderReports reports;
     std::set<NodeId> everFailed;
-    TimePoint openedAt, triedAt;
+    TimePoint openedAt, lastTriedAt;
     bool recovering = false, hasFailed = false;
   };
   struct Control {
@@ -97,10 +97,10 @@
     std::map<string, LotStatus> lots;
   };
   /// What is committed.
-  struct Truth {
+  struct CommittedState {
     std::uint64_t epoch = 1;
     std::size_t owner = 0;
-    TimePoint ownerBadSince, preferredGoodSince;
+    TimePoint ownerUnhealthySince, preferredHealthySince;
     std::map<string, LotRecord> records;
   };
   /// A recovery of one lot at one node.
@@ -137,7 +137,7 @@
   };
 
   std::uint64_t pick(std::uint64_t below) { return random_() % below; }
-  Ms someDelay() { return Ms(1 + static_cast<std::int64_t>(pick(25))); }
+  Ms randomDelay() { return Ms(1 + static_cast<std::int64_t>(pick(25))); }
   void note(string const& text);
   void fail(string const& what);
 
@@ -164,7 +164,7 @@
 
   // What stores do: lot_fleet_stores.cpp.
   void beat(Store& store);
-  void receiveBeat(Store& store, Control& node);
+  void handleHeartbeat(Store& store, Control& node);
   void learn(Store& store, LotRecord const& lot);
   void reconcile(Store& store);
   void startRun(Store& store, LotRecord const& lot);
@@ -175,19 +175,19 @@
 
   // What coordinators and clients do: lot_fleet_coordination.cpp.
   bool isDead(Control const& node, NodeId store) const;
-  bool isDiskGone(Control const& node, StoreRef const& holder) const;
+  bool isDiskReplaced(Control const& node, StoreRef const& holder) const;
   vector<StoreRef> choose(Control const& node, string const& lot, std::set<NodeId> const& excluded,
                           vector<StoreRef> holders) const;
   void upkeep(Control& node);
-  std::set<NodeId> failedOf(LotStatus const& status, GenerationStamp stamp) const;
+  std::set<NodeId> failedHoldersOf(LotStatus const& status, GenerationStamp stamp) const;
   bool needsRecovery(Control const& node, LotRecord const& lot, LotStatus const& status) const;
   void startRecovery(Control& node, LotRecord const& lot);
   void advanceRecovery(RecoveryTask& task);
   void advanceInspect(RecoveryTask& task, recovery_step::InspectHolders const& step);
   void advanceCopies(RecoveryTask& task, recovery_step::MakeCopies const& step);
   void advanceSettle(RecoveryTask& task, recovery_step::SettleHolders const& step);
-  bool fenceEverywhere(Control& node, NodeId store);
-  void nextStep(RecoveryTask& task);
+  bool fenceAtMajority(Control& node, NodeId store);
+  void beginNextStep(RecoveryTask& task);
   void endRecovery(RecoveryTask& task, RecoveryOutcome outcome);
   std::optional<GenerationStamp> freshStamp(Control& node, std::uint64_t epoch);
   void submit();
@@ -216,9 +216,9 @@
   vector<std::unique_ptr<Store>> stores_;
   vector<vector<bool>> blocked_;
   std::optional<TimePoint> cutEndsAt_;
-  std::set<string> cutZones_;
+  std::set<string> partitionedZones_;
   TimePoint healedAt_;
-  Truth truth_;
+  CommittedState truth_;
   vector<CallPtr> calls_;
   std::list<RecoveryTask> tasks_;
   std::list<Submission> submissions_;
@@ -229,9 +229,9 @@
   TimePoint now_ = TimePoint(Ms(1000000));
   Ms elapsed_{0};
   bool finishing_ = false;
-  std::uint64_t lastId_ = 0, lotCount_ = 0, texts_ = 0;
+  std::uint64_t lastId_ = 0, lotCount_ = 0, resultCount_ = 0;
   std::size_t recoveries_ = 0, wipes_ = 0;
-  TimePoint troubleAt_;                ///< of one that was put off until right after something
+  TimePoint nextFaultAt_;              ///< of one that was put off until right after something
   std::optional<LotRecord> powerOff_;  ///< a lot right after whose record all lose power
   vector<string> trace_;
   string violation_;
--- a/tests/lots/lot_fleet_stores.cpp
+++ b/tests/lots/lot_fleet_stores.cpp
@@ -12,7 +12,7 @@
 void LotFleet::beat(Store& store) {
   ++store.turn;
   for (std::unique_ptr<Control> const& node : controls_)
-    if (runs(*node) && linked(machineOf(store), node->index)) receiveBeat(store, *node);
+    if (runs(*node) && linked(machineOf(store), node->index)) handleHeartbeat(store, *node);
   reconcile(store);
 }
 
@@ -22,7 +22,7 @@
     if (!node.epoch || record == node.records.end() || record->second.stamp != lot.stamp) return;
     LotStatus& status = node.lots[lot.id];
     if (holder == self)
-      status.reports.noteUnsettled(lot.stamp);
+      status.reports.addUnsettled(lot.stamp);
     else
       status.reports.noteFailed(lot.stamp, holder);
     if (holder != self) status.everFailed.insert(holder);
@@ -37,7 +37,7 @@
     for (NodeId const holder : run.failedHolders) take(run.lot, holder, store.self.id);
 }
 
-void LotFleet::receiveBeat(Store& store, Control& node) {
+void LotFleet::handleHeartbeat(Store& store, Control& node) {
   node.heard[store.self.id] = {store.self, now_};
   report(store, node);
   LeaseGrants::Decision const decision = node.leases->renew(store.self.id, store.lease, hasMajority(node), now_);
@@ -62,7 +62,7 @@
 }
 
 void LotFleet::renewLease(Store& store, std::uint64_t fencedUpTo) {
-  if (mutation_ == Mutation::fenceIsNeverLifted) return;
+  if (mutation_ == Mutation::fencedLeaseIsKept) return;
   store.lease = std::max(store.lease, fencedUpTo) + 1;
   store.grantedAt.clear();
   for (auto& [key, run] : store.runs) {
@@ -92,7 +92,7 @@
       if (isPrimary) startRun(store, lot);
       continue;
     }
-    Unusable& unusable = store.unusable[key];
+    UnusableSince& unusable = store.unusable[key];
     if (unusable.stamp != lot.stamp) unusable = {lot.stamp, isPrimary ? now_ : now_ + inTouch / 4};
   }
 }
@@ -123,7 +123,7 @@
                        replica->results.size() < items && run.lot.holders.size() >= neededCopies;
   if (!mayList || pick(40)) return;
   std::uint64_t const from = replica->results.size();
-  vector<string> const results{"result " + std::to_string(++texts_)};
+  vector<string> const results{"result " + std::to_string(++resultCount_)};
   run.appending = from + 1;
   run.calls.clear();
   LotKey const key = run.lot.key();
--- a/tests/lots/lot_fleet_test.cpp
+++ b/tests/lots/lot_fleet_test.cpp
@@ -47,13 +47,13 @@
   CHECK(ownerships > 4 * seeds);
 }
 TEST(lotFleet, aRecordOfAnEarlierOwnershipIsCaught) {
-  expectCaught(LotFleet::Mutation::earlierOwnershipWrites, 200);
+  expectCaught(LotFleet::Mutation::staleOwnerWrites, 200);
 }
 TEST(lotFleet, aRecordThatNamesUnsyncedCopiesIsCaught) {
   expectCaught(LotFleet::Mutation::namesUnsyncedCopies, 400);
 }
 TEST(lotFleet, aFenceThatIsNeverLiftedIsCaught) {
-  expectCaught(LotFleet::Mutation::fenceIsNeverLifted, 60);
+  expectCaught(LotFleet::Mutation::fencedLeaseIsKept, 60);
 }
 TEST(lotFleet, aFormerPrimaryThatServesOnIsCaught) {
   expectCaught(LotFleet::Mutation::skipsFence, 400);
@@ -62,5 +62,5 @@
   expectCaught(LotFleet::Mutation::reportsOutliveStamps, 400);
 }
 TEST(lotFleet, aRecoveryThatIsNotTriedAgainIsCaught) {
-  expectCaught(LotFleet::Mutation::failedIsNotRetried, 60);
+  expectCaught(LotFleet::Mutation::failedRecoveryIsNotRetried, 60);
 }
--- a/tests/lots/lot_fleet_troubles.cpp
+++ b/tests/lots/lot_fleet_troubles.cpp
@@ -42,7 +42,7 @@
   }
   store.up = false;
   store.upAgainAt = now_ + Ms(300 + static_cast<std::int64_t>(pick(4000)));
-  store.lostUntil = store.upAgainAt + catchUp;
+  store.countsAsLostUntil = store.upAgainAt + catchUp;
   note(store.self.name + " is down");
 }
 
@@ -61,7 +61,7 @@
 std::size_t LotFleet::lostStores() const {
   bool const isCut = cutEndsAt_ || now_ - healedAt_ < catchUp;
   return static_cast<std::size_t>(std::count_if(stores_.begin(), stores_.end(), [&](auto const& store) {
-    return !store->up || now_ < store->lostUntil || (isCut && cutZones_.contains(store->self.zone));
+    return !store->up || now_ < store->countsAsLostUntil || (isCut && partitionedZones_.contains(store->self.zone));
   }));
 }
 
@@ -96,9 +96,9 @@
       if (form == 3) blocks = left != right && (left == zone || left == second) && (right == zone || right == second);
       blocked_[from][to] = blocks;
     }
-  cutZones_ = {zone};
-  if (form == 1) cutZones_ = {"z0", "z1", "z2", "z3"};
-  if (form == 3) cutZones_ = {zone, second};
+  partitionedZones_ = {zone};
+  if (form == 1) partitionedZones_ = {"z0", "z1", "z2", "z3"};
+  if (form == 3) partitionedZones_ = {zone, second};
   cutEndsAt_ = now_ + Ms(1500 + static_cast<std::int64_t>(pick(pick(3) ? 6000 : 20000)));
   note("cut " + std::to_string(form) + " of " + zone + " " + second);
 }
@@ -109,7 +109,7 @@
   healedAt_ = now_;
   for (vector<bool>& row : blocked_) row.assign(row.size(), false);
   note("healed");
-  if (pick(3) == 0) troubleAt_ = now_ + Ms(static_cast<std::int64_t>(pick(2500)));
+  if (pick(3) == 0) nextFaultAt_ = now_ + Ms(static_cast<std::int64_t>(pick(2500)));
 }
 
 void LotFleet::checkEnd() {
--- a/tests/lots/replica_rules_test.cpp
+++ b/tests/lots/replica_rules_test.cpp
@@ -42,9 +42,9 @@
 };
 
 /// Four stores, one lot and a coordinator that moves it; the first store is to leave.
-class Moving {
+class LotMigration {
  public:
-  explicit Moving(std::uint64_t seed) : random_(seed) {
+  explicit LotMigration(std::uint64_t seed) : random_(seed) {
     for (std::size_t i = 0; i < 4; ++i) stores_[i].ref = {NodeId(i + 1), "s" + std::to_string(i), "z", {}};
     for (std::size_t i = 0; i < 3; ++i) {
       lot_.holders.push_back(stores_[i].ref);
@@ -52,7 +52,7 @@
     }
   }
   /// Plays until the first store may go, takes it away and wipes another: is the lot lost?
-  bool losesTheLot(bool byTheRecordAlone) {
+  bool losesTheLot(bool trustsRecordAlone) {
     bool damaged = false;
     for (int step = 0; step < 200; ++step) {
       Store& other = stores_[1 + dice(3)];
@@ -69,7 +69,8 @@
           other.restart(true);
       }
       if (dice(3) == 0) recover();
-      bool const finished = byTheRecordAlone ? !namesStore(lot_, "s0") : isFreeOf(lot_, "s0", askAll(), needed);
+      bool const finished =
+          trustsRecordAlone ? !namesStore(lot_, "s0") : canRemoveStore(lot_, "s0", confirmAll(), needed);
       if (!finished || dice(2)) continue;
       stores_[0].gone = finished_ = true;
       for (Store& store : stores_) store.restart(false);
@@ -101,7 +102,7 @@
     for (Store const& store : stores_) count += !store.gone && store.replicas->holds({"h", "lot"}, lot_.stamp);
     return count;
   }
-  ConfirmedReplicas askAll() {
+  ConfirmedReplicas confirmAll() {
     ConfirmedReplicas confirmed;
     ConfirmReplicas const question{{{lot_.host, lot_.id, lot_.stamp}}};
     for (StoreRef const& holder : lot_.holders)
@@ -151,10 +152,10 @@
 TEST(replicaRules, aStoreGoesOnlyWhenOthersSaidThatTheyHoldItsLots) {
   std::size_t caught = 0, finished = 0;
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
-    Moving moving(seed);
+    LotMigration moving(seed);
     CHECK_FALSE_TEXT(moving.losesTheLot(false), ("seed " + std::to_string(seed)).c_str());
     finished += moving.finished();
-    caught += Moving(seed).losesTheLot(true);
+    caught += LotMigration(seed).losesTheLot(true);
   }
   CHECK(finished > 1000);
   CHECK_TEXT(caught > 0, "going by the record alone was never caught");
@@ -187,16 +188,16 @@
   note();
   std::size_t tooFew = 0;
   for (std::size_t lost = 0; lost < records.size(); ++lost)
-    for (bool const doubted : {true, false}) {
+    for (bool const markedDamaged : {true, false}) {
       ReplicaTable damaged;
       for (std::size_t i = 0; i < records.size(); ++i)
         if (i != lost) damaged.replay(records[i]);
-      if (doubted) damaged.markAllDamaged();
+      if (markedDamaged) damaged.markAllDamaged();
       // The doubt outlives the next start, and ends once the replica is made anew.
       ReplicaTable later;
       for (string const& record : damaged.snapshot()) later.replay(record);
       InspectReplicaReply const found = later.inspect({"h", "lot"});
-      if (!doubted) {
+      if (!markedDamaged) {
         tooFew += found.known && found.results < 5;
         continue;
       }
--- a/tests/lots/store_placement_test.cpp
+++ b/tests/lots/store_placement_test.cpp
@@ -10,7 +10,7 @@
 FleetLoad fleetOf(std::size_t stores, std::uint64_t used) {
   FleetLoad fleet;
   fleet.stores.assign(stores, StoreLoad{used, 0, limit});
-  fleet.lossesToCome = 2;
+  fleet.lossesToTolerate = 2;
   fleet.neededCopies = 3;
   return fleet;
 }
@@ -34,20 +34,20 @@
   CHECK_FALSE(admits(fleetOf(9, 70), 10));
   FleetLoad fleet = fleetOf(9, 70);
   // Spare copies are given up before a needed one is refused.
-  fleet.neededShare = 0.75;
+  fleet.neededCopyShare = 0.75;
   CHECK(admits(fleet, 10));
   // A loss that has come is no loss to come.
   fleet = fleetOf(7, 70);
-  fleet.lossesToCome = 0;
+  fleet.lossesToTolerate = 0;
   CHECK(admits(fleet, 10));
-  fleet.lossesToCome = 2;
+  fleet.lossesToTolerate = 2;
   CHECK_FALSE(admits(fleet, 10));
 }
 
 TEST(storePlacement, whatOpenLotsWillGrowByCounts) {
   FleetLoad fleet = fleetOf(9, 30);
   CHECK(admits(fleet, 10));
-  for (StoreLoad& store : fleet.stores) store.growth = 40;
+  for (StoreLoad& store : fleet.stores) store.expectedGrowth = 40;
   CHECK_FALSE(admits(fleet, 10));
 }
 
--- a/tests/lots/two_primaries_test.cpp
+++ b/tests/lots/two_primaries_test.cpp
@@ -11,8 +11,8 @@
 
 /// Two stores on loopback, a worker, and a control node that grants every lease and tells each store what the
 /// test wants it to believe.
-struct StoreRig {
-  explicit StoreRig(string const& folder)
+struct TwoStoreCluster {
+  explicit TwoStoreCluster(string const& folder)
       : control(io, settings[0].controlAddress(ip(0)), Ms(1000)),
         publisher(io, settings[0], 0),
         worker(
@@ -50,13 +50,13 @@
       if (told.count(q.self.name)) r.lots = {told[q.self.name]};
       r.members.resize(1);
       r.members[0].ip = ip(0);
-      refs[q.self.name] = q.self;
+      storeRefs[q.self.name] = q.self;
       co_return r;
     });
     control.start();
     worker.start();
     for (std::unique_ptr<StoreNode> const& s : stores) s->start();
-    until([this] { return refs.size() == 2; });
+    until([this] { return storeRefs.size() == 2; });
   }
   static string ip(std::size_t n) { return "127.0.0." + std::to_string(90 + n); }
   Task<HttpReply> run(HttpCall c) {
@@ -116,23 +116,23 @@
   HttpServer worker;
   RpcClient rpc;
   vector<std::unique_ptr<StoreNode>> stores;
-  std::map<string, StoreRef> refs;
+  std::map<string, StoreRef> storeRefs;
   std::map<string, LotRecord> told;
   std::map<string, int> runs;
   std::uint64_t revision = 0;
   vector<string> seen;  ///< what readers saw at each position, at any store
 };
 
-enum class Course {
+enum class Scenario {
   twoPrimaries,  ///< the second holder is settled and made primary; the first one isn't told
   freshStamp,    ///< both are settled under a fresh stamp, and the first one goes on
   broken         ///< both are settled apart, as two coordinators at once would do
 };
 
 /// Runs a lot through a course; false if readers ever saw two results at a position or an item twice.
-bool play(Course course) {
-  StoreRig rig("/tmp/tealshelf-two-primaries");
-  StoreRef const a = rig.refs["store-1"], b = rig.refs["store-2"];
+bool play(Scenario course) {
+  TwoStoreCluster rig("/tmp/tealshelf-two-primaries");
+  StoreRef const a = rig.storeRefs["store-1"], b = rig.storeRefs["store-2"];
   LotRecord l;
   l.id = lotId;
   l.host = primaryHost;
@@ -164,10 +164,10 @@
   next.stamp = GenerationStamp(2);
   std::optional<InspectReplicaReply> const at = rig.ask(b, InspectReplica{primaryHost, lotId});
   std::uint64_t cut = at->results;
-  bool const moves = course != Course::freshStamp;
+  bool const moves = course != Scenario::freshStamp;
   if (moves) {
     next.holders = {b};
-    if (course == Course::broken) {
+    if (course == Scenario::broken) {
       LotRecord& apart = rig.told["store-1"];
       apart.holders = {a};
       apart.stamp = GenerationStamp(3);
@@ -185,7 +185,7 @@
   stale.parts = {{primaryHost, lotId, GenerationStamp(1), cut, {serialize(ResultRecord{0, true, "stale"})}}};
   CHECK_FALSE(rig.ask(b, stale)->accepted.at(0));
   rig.until([&] {
-    same = rig.read(a, course == Course::broken ? GenerationStamp(3) : GenerationStamp(1)) && same;
+    same = rig.read(a, course == Scenario::broken ? GenerationStamp(3) : GenerationStamp(1)) && same;
     same = rig.read(moves ? b : a, GenerationStamp(2)) && same;
     return rig.seen.size() == primaryItems || !same;
   });
@@ -205,13 +205,13 @@
 TEST_GROUP(primaries){};
 
 TEST(primaries, anItemUnderTwoPrimariesIsListedOnce) {
-  CHECK(play(Course::twoPrimaries));
+  CHECK(play(Scenario::twoPrimaries));
 }
 TEST(primaries, aLotGoesOnUnderAFreshStamp) {
-  CHECK(play(Course::freshStamp));
+  CHECK(play(Scenario::freshStamp));
 }
 TEST(primaries, twoCoordinatorsAtOnceAreCaught) {
   bool caught = false;
-  for (int n = 0; n < 5 && !caught; ++n) caught = !play(Course::broken);
+  for (int n = 0; n < 5 && !caught; ++n) caught = !play(Scenario::broken);
   CHECK(caught);
 }
--- a/traffic/load_balancer.hpp
+++ b/traffic/load_balancer.hpp
@@ -85,7 +85,7 @@
     TimePoint reportedAt, failedUntil, fullUntil;
     int failures = 0;  ///< consecutive
   };
-  /// Moving average of the loads reported by the warm workers of a service.
+  /// LotMigration average of the loads reported by the warm workers of a service.
   struct MeanLoad {
     double mean = 0;
     TimePoint reportedAt;
