--- a/lots/coordination/holder_reports.hpp
+++ b/lots/coordination/holder_reports.hpp
@@ -11,12 +11,12 @@
 class HolderReports {
  public:
   /// A holder failed the primary, or said itself that it lacks its replica.
-  void noteFailed(GenerationStamp stamp, NodeId holder) {
-    if (begin(stamp)) failed_.insert(holder);
+  void addFailed(GenerationStamp stamp, NodeId holder) {
+    if (startStamp(stamp)) failed_.insert(holder);
   }
   /// A holder said that its own replica must be settled under a fresh stamp.
   void addUnsettled(GenerationStamp stamp) {
-    if (begin(stamp)) unsettled_ = true;
+    if (startStamp(stamp)) unsettled_ = true;
   }
   /// The holders that failed under the stamp of the present record.
   std::set<NodeId> failedUnder(GenerationStamp stamp) const { return stamp == stamp_ ? failed_ : std::set<NodeId>(); }
@@ -29,7 +29,7 @@
 
  private:
   /// Drops what was reported under an earlier stamp; false if the report itself is an earlier one.
-  bool begin(GenerationStamp stamp) {
+  bool startStamp(GenerationStamp stamp) {
     if (stamp < stamp_) return false;
     if (stamp != stamp_) clear();
     stamp_ = stamp;
--- a/lots/coordination/lot_coordinator.hpp
+++ b/lots/coordination/lot_coordinator.hpp
@@ -60,7 +60,7 @@
     RecoveryOutcome lastOutcome = RecoveryOutcome::none;
     std::size_t failedRecoveries = 0;  ///< in a row
     TimePoint failingSince;            ///< when the first of them ended
-    TimePoint toldAt;                  ///< when the log last said that it waits
+    TimePoint lastWarnedAt;            ///< when the log last said that it waits
     string lastRecoverySummary;        ///< what the last recovery saw
     std::optional<AsyncMutex> mutex;   ///< for changes of the record
   };
@@ -105,7 +105,7 @@
 
   // Stores: store_supervision.cpp.
   Task<StoreHeartbeatReply> receiveHeartbeat(StoreHeartbeat heartbeat);
-  void noteProgress(StoreHeartbeat const& heartbeat, TimePoint now);
+  void recordHeartbeat(StoreHeartbeat const& heartbeat, TimePoint now);
   void addRecords(string const& keyspace, std::uint64_t sinceRevision, StoreHeartbeatReply& reply);
   void addStaleReplicas(string const& keyspace, StoreHeartbeat const& heartbeat, StoreHeartbeatReply& reply) const;
   /// Leaves out what an owner says that may have been overtaken.
@@ -120,12 +120,12 @@
     string lot;
     CopyPurpose purpose;
     double bytes = 0;
-    vector<StoreRef> present;  ///< stores that have a replica already
+    vector<StoreRef> currentHolders;  ///< stores that have a replica already
   };
   bool canPlaceOn(Placement const& placement, StoreRef const& store) const;
   /// Adds stores with room to those that a lot has, in other zones first, in rendezvous order.
-  vector<StoreRef> choose(Placement const& placement, std::set<NodeId> const& excluded, vector<StoreRef> holders,
-                          std::size_t count, TimePoint now) const;
+  vector<StoreRef> chooseHolders(Placement const& placement, std::set<NodeId> const& excluded, vector<StoreRef> holders,
+                                 std::size_t count, TimePoint now) const;
   /// Chooses the needed holders, and a spare one where there is plenty of room.
   vector<StoreRef> chooseWithSpare(Placement placement, std::set<NodeId> const& excluded,
                                    vector<StoreRef> const& holders, TimePoint now) const;
@@ -146,7 +146,7 @@
     std::size_t named = 0;   ///< by records
     std::size_t needed = 0;  ///< of them, those that can't be given up
   };
-  Task<void> maintain(string keyspace, CopyCount& copies);
+  Task<void> maintainKeyspace(string keyspace, CopyCount& copies);
   /// Forgets what is known of lots whose records are deleted.
   void forget(string const& host, vector<KeyChange> const& deletions);
   bool isDeletable(LotRecord const& lot, LotStatus const& status, TimePoint now) const;
@@ -184,12 +184,12 @@
   /// serves reads all the while.
   Task<RecoveryOutcome> replicateSealed(LotRecord lot, Epoch epoch);
   struct HolderConfirmations {
-    vector<StoreRef> confirmed;  ///< hold it intact and synced
-    vector<StoreRef> silent;     ///< may hold it
+    vector<StoreRef> confirmed;    ///< hold it intact and synced
+    vector<StoreRef> unreachable;  ///< may hold it
   };
   Task<HolderConfirmations> confirmSealedHolders(LotRecord lot);
   /// Leaves the fullest stores out, as far as the zones allow.
-  vector<StoreRef> trim(vector<StoreRef> holders, std::size_t count) const;
+  vector<StoreRef> trimHolders(vector<StoreRef> holders, std::size_t count) const;
 
   // Retirement of stores: relying_lots.cpp.
   Task<std::uint64_t> countRelyingInKeyspace(string host, string store);
--- a/lots/coordination/lot_recovery.cpp
+++ b/lots/coordination/lot_recovery.cpp
@@ -18,7 +18,7 @@
   if (!reply || reply->self != holder.id) return;
   if (reply->known && reply->stamp >= start_.lot.stamp) {
     survivors_.push_back(holder);
-    shortest_ = std::min(shortest_, reply->results);
+    commonLength_ = std::min(commonLength_, reply->results);
     return;
   }
   ++withoutReplicaCount_;
@@ -60,7 +60,7 @@
 }
 
 void LotRecovery::makeCopies(vector<StoreRef> holders, std::set<NodeId> excluded) {
-  CopyReplica request{recovered_, {}, start_.lot.stamp, shortest_};
+  CopyReplica request{recovered_, {}, start_.lot.stamp, commonLength_};
   step_ = recovery_step::MakeCopies{std::move(request), survivors_, std::move(holders), std::move(excluded)};
 }
 
@@ -79,7 +79,7 @@
   if (!enough) return end(copies_.refused ? RecoveryOutcome::copiesRefused : RecoveryOutcome::tooFewStores);
   checkInvariant(Invariant::freshStampAfterCopies, enough, [this] { return start_.lot.id; });
   LotRecord const& lot = start_.lot;
-  step_ = recovery_step::SettleHolders{survivors_, {lot.host, lot.id, lot.stamp, recovered_.stamp, shortest_}};
+  step_ = recovery_step::SettleHolders{survivors_, {lot.host, lot.id, lot.stamp, recovered_.stamp, commonLength_}};
 }
 
 void LotRecovery::settled(vector<StoreRef> const& stores) {
--- a/lots/coordination/lot_recovery.hpp
+++ b/lots/coordination/lot_recovery.hpp
@@ -86,7 +86,7 @@
   /// The record as it was written; meant for a recovery that ended with a written record.
   LotRecord const& recovered() const { return recovered_; }
   bool isWritten() const { return written_; }
-  std::uint64_t length() const { return shortest_; }
+  std::uint64_t length() const { return commonLength_; }
 
  private:
   void end(RecoveryOutcome outcome) { step_ = recovery_step::End{outcome}; }
@@ -106,7 +106,7 @@
   vector<StoreRef> survivors_;           ///< that have an intact replica, those that stay first
   std::size_t stayingCount_ = 0;         ///< survivors that aren't to be emptied
   std::size_t withoutReplicaCount_ = 0;  ///< holders that have no intact replica for certain
-  std::uint64_t shortest_ = ~0ull;       ///< results that all survivors have
+  std::uint64_t commonLength_ = ~0ull;   ///< results that all survivors have
   bool primaryCannotServe_ = false;      ///< the former primary serves nothing any more
   bool allowsFailedStores_ = false;
   RecoveryCopies copies_;
--- a/lots/coordination/lot_upkeep.cpp
+++ b/lots/coordination/lot_upkeep.cpp
@@ -21,7 +21,7 @@
     CopyCount copies;
     vector<string> const keyspaces = ownedKeyspaces();
     for (string const& keyspace : keyspaces)
-      if (driver_.consensus().owns(keyspace)) co_await maintain(keyspace, copies);
+      if (driver_.consensus().owns(keyspace)) co_await maintainKeyspace(keyspace, copies);
     recoveryMetrics_.endCount();
     // Other owners' lots may have no spare copies to give up.
     bool const ownsAll = keyspaces.size() == countLotKeyspaces();
@@ -30,7 +30,7 @@
   }
 }
 
-Task<void> LotCoordinator::maintain(string keyspace, CopyCount& copies) {
+Task<void> LotCoordinator::maintainKeyspace(string keyspace, CopyCount& copies) {
   TimePoint const now = Clock::now();
   vector<KeyChange> deletions;
   vector<PendingRecovery> pending;
@@ -178,7 +178,7 @@
   LotStatus& status = lots_[key];
   status.recovering = false;
   status.lastRecoveryAt = now;
-  recoveryMetrics_.ended(need, outcome);
+  recoveryMetrics_.recordOutcome(need, outcome);
   bool const changed = outcome != std::exchange(status.lastOutcome, outcome);
   if (outcome == RecoveryOutcome::done) {
     status.failedRecoveries = 0;
@@ -186,11 +186,11 @@
   }
   if (++status.failedRecoveries == 1) status.failingSince = now;
   // The same reason is told again, so that a lot that waits for long is never forgotten; but only so many lines come.
-  bool const repeats =
-      now - status.toldAt >= settings_.bounds.inTouch && now - lastRepeatedWarningAt_ >= settings_.bounds.inTouch / 8;
+  bool const repeats = now - status.lastWarnedAt >= settings_.bounds.inTouch &&
+                       now - lastRepeatedWarningAt_ >= settings_.bounds.inTouch / 8;
   if (!changed && !repeats) return;
   if (!changed) lastRepeatedWarningAt_ = now;
-  status.toldAt = now;
+  status.lastWarnedAt = now;
   std::int64_t const waitsMs = std::chrono::duration_cast<Ms>(now - status.failingSince).count();
   logWarning("lots", key.id + " waits (" + string(nameOf(need)) + "): " + string(nameOf(outcome)) + "; tries " +
                          std::to_string(status.failedRecoveries) + ", for " + std::to_string(waitsMs) + " ms; " +
--- a/lots/coordination/recovery_metrics.cpp
+++ b/lots/coordination/recovery_metrics.cpp
@@ -3,11 +3,11 @@
 namespace tealshelf {
 
 RecoveryMetrics::RecoveryMetrics() {
-  for (std::size_t kind = 0; kind < kinds; ++kind) {
+  for (std::size_t kind = 0; kind < needCount; ++kind) {
     MetricLabels const labels{{"need", string(nameOf(static_cast<RecoveryNeed>(kind)))}};
     lots_.push_back(metrics().gauge("tealshelf_lots_waiting", "Lots that wait for a recovery.", labels));
-    longest_.push_back(metrics().gauge("tealshelf_lots_longest_wait_seconds",
-                                       "How long the lot that waits longest has waited.", labels));
+    longestWait_.push_back(metrics().gauge("tealshelf_lots_longest_wait_seconds",
+                                           "How long the lot that waits longest has waited.", labels));
   }
 }
 
@@ -23,13 +23,13 @@
 }
 
 void RecoveryMetrics::endCount() {
-  for (std::size_t kind = 0; kind < kinds; ++kind) {
+  for (std::size_t kind = 0; kind < needCount; ++kind) {
     lots_[kind].setCount(waiting_[kind].lots);
-    longest_[kind].set(std::chrono::duration<double>(waiting_[kind].longest).count());
+    longestWait_[kind].set(std::chrono::duration<double>(waiting_[kind].longest).count());
   }
 }
 
-void RecoveryMetrics::ended(RecoveryNeed need, RecoveryOutcome outcome) {
+void RecoveryMetrics::recordOutcome(RecoveryNeed need, RecoveryOutcome outcome) {
   metrics()
       .counter("tealshelf_lot_recoveries_total", "Tries to recover, seal or replicate a lot.",
                {{"need", string(nameOf(need))}, {"outcome", string(nameOf(outcome))}})
--- a/lots/coordination/recovery_metrics.hpp
+++ b/lots/coordination/recovery_metrics.hpp
@@ -12,16 +12,16 @@
   void beginCount();
   void count(RecoveryNeed need, Ms waited);
   void endCount();
-  void ended(RecoveryNeed need, RecoveryOutcome outcome);
+  void recordOutcome(RecoveryNeed need, RecoveryOutcome outcome);
 
  private:
   struct WaitingLots {
     std::size_t lots = 0;
     Ms longest{0};
   };
-  static constexpr std::size_t kinds = static_cast<std::size_t>(RecoveryNeed::none);
-  std::array<WaitingLots, kinds> waiting_;
-  vector<Gauge> lots_, longest_;
+  static constexpr std::size_t needCount = static_cast<std::size_t>(RecoveryNeed::none);
+  std::array<WaitingLots, needCount> waiting_;
+  vector<Gauge> lots_, longestWait_;
 };
 
 }  // namespace tealshelf
--- a/lots/coordination/recovery_need.cpp
+++ b/lots/coordination/recovery_need.cpp
@@ -30,7 +30,7 @@
       return "not the owner";
     case RecoveryOutcome::busy:
       return "another change took too long";
-    case RecoveryOutcome::overtaken:
+    case RecoveryOutcome::recordChanged:
       return "the record changed meanwhile";
     case RecoveryOutcome::noLiveHolder:
       return "no live holder";
--- a/lots/coordination/recovery_need.hpp
+++ b/lots/coordination/recovery_need.hpp
@@ -21,7 +21,7 @@
   done,              ///< the record is written, or nothing had to change
   notOwner,          ///< another control node owns the keyspace by now
   busy,              ///< another change of the record took too long
-  overtaken,         ///< the record changed meanwhile
+  recordChanged,     ///< the record changed meanwhile
   noLiveHolder,      ///< no holder was heard lately
   primaryNotFenced,  ///< the lease of the former primary may still count
   noIntactReplica,   ///< no live holder has a replica at or above the recorded stamp
--- a/lots/coordination/sealed_lots.cpp
+++ b/lots/coordination/sealed_lots.cpp
@@ -7,7 +7,7 @@
 Task<RecoveryOutcome> LotCoordinator::seal(LotRecord lot, Epoch epoch) {
   LotStatus& status = lots_[lot.key()];
   bool const stands = status.finalStamp == lot.stamp && lot.holders.size() >= neededCopies();
-  if (!stands) co_return RecoveryOutcome::overtaken;
+  if (!stands) co_return RecoveryOutcome::recordChanged;
   lot.sealedStamp = lot.stamp;
   lot.sealedResults = status.finalResults;
   lot.stamp = freshStamp(lot.host);
@@ -21,7 +21,7 @@
   for (StoreRef const& holder : lot.holders) {
     if (isDiskReplaced(holder)) continue;
     if (isDead(holder.id, Clock::now())) {
-      answers.silent.push_back(holder);
+      answers.unreachable.push_back(holder);
       continue;
     }
     try {
@@ -30,13 +30,13 @@
       if (sameDisk && !answer.held.empty() && answer.held[0]) answers.confirmed.push_back(holder);
     } catch (Error const& error) {
       logDebug("lots", lot.id + ": " + holder.name + " doesn't confirm: " + error.what());
-      answers.silent.push_back(holder);
+      answers.unreachable.push_back(holder);
     }
   }
   co_return answers;
 }
 
-vector<StoreRef> LotCoordinator::trim(vector<StoreRef> holders, std::size_t count) const {
+vector<StoreRef> LotCoordinator::trimHolders(vector<StoreRef> holders, std::size_t count) const {
   auto const used = [this](StoreRef const& store) {
     auto const status = stores_.find(store.id);
     return status == stores_.end() ? 0 : status->second.load.used;
@@ -64,7 +64,7 @@
     bool const goes = retiring.contains(holder.name) || isDiskFailing(holder.id);
     (goes ? leaving : staying).push_back(holder);
   }
-  if (mustTrimSpares_) staying = trim(std::move(staying), neededCopies());
+  if (mustTrimSpares_) staying = trimHolders(std::move(staying), neededCopies());
   LotRecord next = lot;
   next.stamp = freshStamp(lot.host);
   CopyReplica const copy{next, {}, lot.sealedStamp, lot.sealedResults};
@@ -74,7 +74,7 @@
   // While too few have it for certain, every store that has or may have it stays named, and serves reads when it can.
   if (!enough) {
     vector<StoreRef> others = leaving;
-    others.insert(others.end(), answers.silent.begin(), answers.silent.end());
+    others.insert(others.end(), answers.unreachable.begin(), answers.unreachable.end());
     for (StoreRef const& store : others)
       if (!containsStore(next.holders, store.id)) next.holders.push_back(store);
   }
--- a/lots/coordination/store_supervision.cpp
+++ b/lots/coordination/store_supervision.cpp
@@ -44,8 +44,8 @@
   });
 }
 
-vector<StoreRef> LotCoordinator::choose(Placement const& placement, std::set<NodeId> const& excluded,
-                                        vector<StoreRef> holders, std::size_t count, TimePoint now) const {
+vector<StoreRef> LotCoordinator::chooseHolders(Placement const& placement, std::set<NodeId> const& excluded,
+                                               vector<StoreRef> holders, std::size_t count, TimePoint now) const {
   std::set<string> const retiring = retiringStores ? retiringStores() : std::set<string>();
   vector<StoreRef> live = liveStores(now);
   std::sort(live.begin(), live.end(), [&placement](StoreRef const& left, StoreRef const& right) {
@@ -68,17 +68,17 @@
 
 /// A store that has a replica of the lot takes a fresh one in its place, whether or not there is room for others.
 bool LotCoordinator::canPlaceOn(Placement const& placement, StoreRef const& store) const {
-  bool const hasReplica = std::any_of(placement.present.begin(), placement.present.end(),
+  bool const hasReplica = std::any_of(placement.currentHolders.begin(), placement.currentHolders.end(),
                                       [&store](StoreRef const& holder) { return holder.id == store.id; });
   return hasReplica || hasRoom(stores_.at(store.id).load, placement.purpose, placement.bytes);
 }
 
 vector<StoreRef> LotCoordinator::chooseWithSpare(Placement placement, std::set<NodeId> const& excluded,
                                                  vector<StoreRef> const& holders, TimePoint now) const {
-  vector<StoreRef> const needed = choose(placement, excluded, holders, neededCopies(), now);
+  vector<StoreRef> const needed = chooseHolders(placement, excluded, holders, neededCopies(), now);
   if (needed.size() < neededCopies() || !roomForSpares_) return needed;
   placement.purpose = CopyPurpose::spare;
-  return choose(placement, excluded, needed, neededCopies() + 1, now);
+  return chooseHolders(placement, excluded, needed, neededCopies() + 1, now);
 }
 
 FleetLoad LotCoordinator::fleetLoad(TimePoint now) const {
@@ -118,7 +118,7 @@
   co_return Acknowledgement{leases_.fence(request.store, Clock::now())};
 }
 
-void LotCoordinator::noteProgress(StoreHeartbeat const& heartbeat, TimePoint now) {
+void LotCoordinator::recordHeartbeat(StoreHeartbeat const& heartbeat, TimePoint now) {
   StoreStatus& store = stores_[heartbeat.self.id];
   store.ref = heartbeat.self;
   store.heardAt = now;
@@ -141,7 +141,7 @@
     if (failure.holder == heartbeat.self.id && !lot->isSealed())
       status.reports.addUnsettled(failure.stamp);
     else
-      status.reports.noteFailed(failure.stamp, failure.holder);
+      status.reports.addFailed(failure.stamp, failure.holder);
   }
 }
 
@@ -191,7 +191,7 @@
 
 Task<StoreHeartbeatReply> LotCoordinator::receiveHeartbeat(StoreHeartbeat heartbeat) {
   TimePoint const now = Clock::now();
-  noteProgress(heartbeat, now);
+  recordHeartbeat(heartbeat, now);
   // A store with a failing disk serves reads on, unless others can take its lots over.
   bool const replaced = heartbeat.diskFailing && liveStores(now).size() >= neededCopies();
   bool const ready = driver_.inContactWithMajority() && !replaced;
--- a/lots/coordination/waiting_lots.cpp
+++ b/lots/coordination/waiting_lots.cpp
@@ -4,9 +4,9 @@
 
 namespace tealshelf {
 
-string waitingLotsReport(string const& node, vector<WaitingLot> lots, std::size_t most) {
+string waitingLotsReport(string const& node, vector<WaitingLot> lots, std::size_t maxLots) {
   std::sort(lots.begin(), lots.end(), [](WaitingLot const& left, WaitingLot const& right) {
-    return std::tuple(left.need, right.waits, left.lot) < std::tuple(right.need, left.waits, right.lot);
+    return std::tuple(left.need, right.waited, left.lot) < std::tuple(right.need, left.waited, right.lot);
   });
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
@@ -15,7 +15,7 @@
   writeField(writer, "waiting", lots.size());
   writer.Key("lots");
   writer.StartArray();
-  for (std::size_t i = 0; i < std::min(lots.size(), most); ++i) {
+  for (std::size_t i = 0; i < std::min(lots.size(), maxLots); ++i) {
     WaitingLot const& lot = lots[i];
     writer.StartObject();
     writeField(writer, "lot", lot.lot);
@@ -23,7 +23,7 @@
     writeField(writer, "need", string(nameOf(lot.need)));
     writeField(writer, "outcome", string(nameOf(lot.outcome)));
     writeField(writer, "tries", lot.tries);
-    writeField(writer, "waitsMs", static_cast<std::uint64_t>(lot.waits.count()));
+    writeField(writer, "waitsMs", static_cast<std::uint64_t>(lot.waited.count()));
     writeField(writer, "finding", lot.finding);
     writer.EndObject();
   }
--- a/lots/coordination/waiting_lots.hpp
+++ b/lots/coordination/waiting_lots.hpp
@@ -9,12 +9,12 @@
   RecoveryNeed need = RecoveryNeed::none;
   RecoveryOutcome outcome = RecoveryOutcome::none;  ///< of the last try
   std::size_t tries = 0;
-  Ms waits{0};     ///< since the first of the tries ended
+  Ms waited{0};    ///< since the first of the tries ended
   string finding;  ///< what the last try saw of record, holders and copies
 };
 
 /// The lots that wait, the most urgent need first and of one need the longest wait first, as a JSON text; no more than
-/// `most`.
-string waitingLotsReport(string const& node, vector<WaitingLot> lots, std::size_t most);
+/// `maxLots`.
+string waitingLotsReport(string const& node, vector<WaitingLot> lots, std::size_t maxLots);
 
 }  // namespace tealshelf
--- a/tests/lots/holder_reports_test.cpp
+++ b/tests/lots/holder_reports_test.cpp
@@ -33,7 +33,7 @@
 /// became the holders of the second one.
 TEST(holderReports, whatWasSaidOfARecordEndsWithItsStamp) {
   HolderReports reports;
-  reports.noteFailed(GenerationStamp(4), NodeId(2));
+  reports.addFailed(GenerationStamp(4), NodeId(2));
   reports.addUnsettled(GenerationStamp(4));
   CHECK(reports.failedUnder(GenerationStamp(4)).contains(NodeId(2)));
   CHECK(reports.failedUnder(GenerationStamp(5)).empty());
@@ -41,15 +41,15 @@
 }
 TEST(holderReports, aReportUnderAFreshStampBeginsAnew) {
   HolderReports reports;
-  reports.noteFailed(GenerationStamp(4), NodeId(2));
+  reports.addFailed(GenerationStamp(4), NodeId(2));
   reports.addUnsettled(GenerationStamp(5));
   CHECK(reports.requireRecovery(GenerationStamp(5)));
   CHECK(reports.failedUnder(GenerationStamp(5)).empty());
 }
 TEST(holderReports, aLateReportUnderAnEarlierStampCountsForNothing) {
   HolderReports reports;
-  reports.noteFailed(GenerationStamp(5), NodeId(1));
-  reports.noteFailed(GenerationStamp(4), NodeId(2));
+  reports.addFailed(GenerationStamp(5), NodeId(1));
+  reports.addFailed(GenerationStamp(4), NodeId(2));
   CHECK(reports.failedUnder(GenerationStamp(5)) == std::set<NodeId>{NodeId(1)});
 }
 
--- a/tests/lots/lot_fleet_coordination.cpp
+++ b/tests/lots/lot_fleet_coordination.cpp
@@ -17,8 +17,8 @@
   });
 }
 
-vector<StoreRef> LotFleet::choose(Control const& node, string const& lot, std::set<NodeId> const& excluded,
-                                  vector<StoreRef> holders) const {
+vector<StoreRef> LotFleet::chooseHolders(Control const& node, string const& lot, std::set<NodeId> const& excluded,
+                                         vector<StoreRef> holders) const {
   vector<StoreRef> live;
   for (auto const& [id, heard] : node.heard)
     if (now_ - heard.second <= inTouch / 4 && !excluded.contains(id)) live.push_back(heard.first);
@@ -48,11 +48,11 @@
                      [&](StoreRef const& holder) { return isDead(node, holder.id) || isDiskReplaced(node, holder); });
 }
 
-void LotFleet::upkeep(Control& node) {
+void LotFleet::startDueRecoveries(Control& node) {
   for (auto const& [id, lot] : node.records) {
     LotStatus& status = node.lots[id];
     bool const mayTry = !status.recovering && now_ - status.lastTriedAt >= inTouch / 10;
-    bool const isLeft = mutation_ == Mutation::failedRecoveryIsNotRetried && status.hasFailed;
+    bool const isLeft = mutation_ == Mutation::failedRecoveryIsNotRetried && status.lastRecoveryFailed;
     if (mayTry && !isLeft && needsRecovery(node, lot, status)) startRecovery(node, lot);
   }
 }
@@ -69,7 +69,7 @@
   status.recovering = true;
   RecoveryTask task;
   task.node = node.index;
-  task.life = node.life;
+  task.incarnation = node.incarnation;
   task.epoch = *node.epoch;
   task.lot = lot.id;
   task.dueAt = now_;
@@ -79,7 +79,7 @@
 
 void LotFleet::advanceRecovery(RecoveryTask& task) {
   Control& node = *controls_[task.node];
-  if (node.life != task.life) task.ended = true;
+  if (node.incarnation != task.incarnation) task.ended = true;
   if (task.ended || !runs(node) || now_ < task.dueAt) return;
   namespace wanted = recovery_step;
   RecoveryStep const step = task.recovery->step();
@@ -119,7 +119,7 @@
   status.recovering = false;
   status.lastTriedAt = now_;
   bool const isDone = outcome == RecoveryOutcome::done || outcome == RecoveryOutcome::copiesRefused;
-  status.hasFailed = !isDone;
+  status.lastRecoveryFailed = !isDone;
   if (isDone) ++recoveries_;
   if (isDone) status.everFailed.clear();
   if (outcome == RecoveryOutcome::noLiveHolder) {
@@ -172,7 +172,7 @@
     task.call.reset();
   }
   Control const& node = *controls_[task.node];
-  vector<StoreRef> const chosen = choose(node, task.lot, task.excluded, task.copies->holders);
+  vector<StoreRef> const chosen = chooseHolders(node, task.lot, task.excluded, task.copies->holders);
   if (chosen.size() <= task.copies->holders.size()) {
     RecoveryCopies const copies = *task.copies;
     task.recovery->copied(copies);
@@ -230,13 +230,13 @@
 }
 
 void LotFleet::submit() {
-  Control& node = *controls_[truth_.owner];
+  Control& node = *controls_[committed_.owner];
   if (!node.epoch || !runs(node)) return;
   Submission submission;
   submission.node = node.index;
   submission.lot.id = "lot-" + std::to_string(lotCount_);
   submission.lot.itemCount = items;
-  submission.lot.holders = choose(node, submission.lot.id, {}, {});
+  submission.lot.holders = chooseHolders(node, submission.lot.id, {}, {});
   if (submission.lot.holders.size() < neededCopies) return;
   ++lotCount_;
   submission.lot.stamp = *freshStamp(node, *node.epoch);
@@ -262,7 +262,7 @@
     return;
   }
   submission.ended = true;
-  Control& node = *controls_[truth_.owner];
+  Control& node = *controls_[committed_.owner];
   if (submission.synced < neededCopies || !runs(node) || !node.epoch) return;
   auto const record = node.records.find(lot.id);
   bool const isOpen =
@@ -283,7 +283,7 @@
   std::advance(lot, static_cast<std::ptrdiff_t>(pick(accepted_.size())));
   Reader reader{{}, pick(edges), seen_[*lot].size(), now_ + randomDelay()};
   auto const cached = cachedRecords_.find({reader.edge, *lot});
-  Control const& node = *controls_[truth_.owner];
+  Control const& node = *controls_[committed_.owner];
   if (cached == cachedRecords_.end() && !confirmsOwnership(node)) return;
   reader.lot = cached == cachedRecords_.end() ? node.records.at(*lot) : cached->second;
   cachedRecords_[{reader.edge, *lot}] = reader.lot;
--- a/tests/lots/lot_fleet_sim.cpp
+++ b/tests/lots/lot_fleet_sim.cpp
@@ -25,10 +25,10 @@
 
 string LotFleet::run() {
   while (elapsed_ < length_ && violation_.empty()) {
-    if (pick(220) == 0) trouble();
+    if (pick(220) == 0) injectFault();
     if (nextFaultAt_ != TimePoint() && now_ >= nextFaultAt_) {
       nextFaultAt_ = TimePoint();
-      trouble();
+      injectFault();
     }
     if (powerOff_) powerOffAll(*std::exchange(powerOff_, std::nullopt));
     if (elapsed_ > Ms(1500) && lotCount_ < maxLots && pick(120) == 0) submit();
@@ -61,7 +61,7 @@
 }
 
 void LotFleet::startStore(Store& store) {
-  ++store.life;
+  ++store.incarnation;
   store.up = true;
   store.table = ReplicaTable();
   for (string const& record : store.disk) store.table.replay(record);
@@ -86,7 +86,7 @@
 void LotFleet::advance() {
   now_ += step;
   elapsed_ += step;
-  if (cutEndsAt_ && now_ >= *cutEndsAt_) heal();
+  if (partitionEndsAt_ && now_ >= *partitionEndsAt_) heal();
   chooseOwner();
   for (std::unique_ptr<Control> const& node : controls_) advanceControl(*node);
   for (std::unique_ptr<Store> const& store : stores_) advanceStore(*store);
@@ -111,47 +111,47 @@
   if (hasMajority(node)) node.majorityAt = now_;
   // One that is cut off, or slept, takes itself for the owner until it looks.
   bool const isOverdue = now_ - node.majorityAt > inTouch * 6 / 10;
-  bool const hasHeard = node.epoch && truth_.epoch != *node.epoch && linked(node.index, truth_.owner) &&
-                        runs(*controls_[truth_.owner]) && pick(20) == 0;
+  bool const hasHeard = node.epoch && committed_.epoch != *node.epoch && linked(node.index, committed_.owner) &&
+                        runs(*controls_[committed_.owner]) && pick(20) == 0;
   if (node.epoch && (isOverdue || hasHeard)) node.epoch.reset();
   if (node.epoch && now_ >= node.nextUpkeepAt) {
     node.nextUpkeepAt = now_ + inTouch / 30;
-    upkeep(node);
+    startDueRecoveries(node);
   }
 }
 
 void LotFleet::chooseOwner() {
-  Control& owner = *controls_[truth_.owner];
-  bool const isWell = runs(owner) && owner.epoch == truth_.epoch && hasMajority(owner);
-  if (isWell) truth_.ownerUnhealthySince = now_;
+  Control& owner = *controls_[committed_.owner];
+  bool const isWell = runs(owner) && owner.epoch == committed_.epoch && hasMajority(owner);
+  if (isWell) committed_.ownerUnhealthySince = now_;
   Control& preferred = *controls_[0];
-  bool const mayReturn = truth_.owner != 0 && runs(preferred) && hasMajority(preferred);
-  if (!mayReturn) truth_.preferredHealthySince = now_;
-  if (now_ - truth_.preferredHealthySince > Ms(300) && pick(40) == 0) return takeOver(preferred);
-  if (now_ - truth_.ownerUnhealthySince < Ms(900) || pick(20)) return;
+  bool const mayReturn = committed_.owner != 0 && runs(preferred) && hasMajority(preferred);
+  if (!mayReturn) committed_.preferredHealthySince = now_;
+  if (now_ - committed_.preferredHealthySince > Ms(300) && pick(40) == 0) return takeOver(preferred);
+  if (now_ - committed_.ownerUnhealthySince < Ms(900) || pick(20)) return;
   Control& candidate = *controls_[pick(controls_.size())];
   if (runs(candidate) && hasMajority(candidate)) takeOver(candidate);
 }
 
 void LotFleet::takeOver(Control& node) {
-  if (node.epoch != std::nullopt || truth_.owner != node.index || truth_.epoch != 1) ++truth_.epoch;
-  truth_.owner = node.index;
-  truth_.ownerUnhealthySince = now_;
-  node.epoch = truth_.epoch;
-  node.records = truth_.records;
+  if (node.epoch != std::nullopt || committed_.owner != node.index || committed_.epoch != 1) ++committed_.epoch;
+  committed_.owner = node.index;
+  committed_.ownerUnhealthySince = now_;
+  node.epoch = committed_.epoch;
+  node.records = committed_.records;
   node.majorityAt = now_;
-  note("control " + std::to_string(node.index) + " owns under epoch " + std::to_string(truth_.epoch));
+  note("control " + std::to_string(node.index) + " owns under epoch " + std::to_string(committed_.epoch));
   if (pick(3) == 0) nextFaultAt_ = now_ + Ms(static_cast<std::int64_t>(pick(1500)));
 }
 
 bool LotFleet::confirmsOwnership(Control const& node) const {
-  return node.epoch == truth_.epoch && truth_.owner == node.index && hasMajority(node);
+  return node.epoch == committed_.epoch && committed_.owner == node.index && hasMajority(node);
 }
 
 bool LotFleet::commit(Control& node, LotRecord const& lot, std::uint64_t under) {
   bool const isUnder = node.epoch == under || mutation_ == Mutation::staleOwnerWrites;
   if (!isUnder || !confirmsOwnership(node)) return false;
-  LotRecord& record = truth_.records[lot.id];
+  LotRecord& record = committed_.records[lot.id];
   if (lot.stamp < record.stamp || lot.state < record.state) fail("the record of " + lot.id + " goes back");
   record = lot;
   checkHolders(lot);
@@ -183,13 +183,13 @@
   CallPtr const call = std::make_shared<StoreCall>();
   Store& store = *storeOf(to);
   call->store = store.index;
-  call->life = store.life;
+  call->incarnation = store.incarnation;
   call->arrivesAt = now_ + randomDelay();
   call->end = now_ + limit;
   call->apply = [this, fromMachine, &store, apply = std::move(apply), waitsForSync, raw = call.get()] {
     if (!store.up || !linked(fromMachine, machineOf(store))) return false;
     raw->reached = true;
-    raw->life = store.life;
+    raw->incarnation = store.incarnation;
     try {
       if (!apply(store)) return false;
     } catch (Error const&) {
@@ -213,7 +213,7 @@
       // One that can't be reached is waited for.
       if (!call->accepted && call->reached) call->done = true;
     }
-    bool const synced = call->accepted && store.life == call->life && store.syncsDone >= call->syncs;
+    bool const synced = call->accepted && store.incarnation == call->incarnation && store.syncsDone >= call->syncs;
     if (synced) call->done = true;
     if (now_ >= call->end && !call->done) {
       call->done = true;
@@ -237,9 +237,9 @@
   }
   if (now_ >= store.nextHeartbeatAt) {
     store.nextHeartbeatAt = now_ + inTouch / 18;
-    beat(store);
+    sendHeartbeats(store);
   }
-  for (auto& [key, run] : store.runs) list(store, run);
+  for (auto& [key, run] : store.runs) appendNextResult(store, run);
 }
 
 }  // namespace tealshelf::sim
--- a/tests/lots/lot_fleet_sim.hpp
+++ b/tests/lots/lot_fleet_sim.hpp
@@ -34,7 +34,7 @@
   string run();
   std::size_t accepted() const { return accepted_.size(); }
   std::size_t recoveries() const { return recoveries_; }
-  std::size_t ownerships() const { return truth_.epoch; }
+  std::size_t ownerships() const { return committed_.epoch; }
   std::size_t wipes() const { return wipes_; }
   /// What was done, one line each, for the seed that is looked at.
   vector<string> const& trace() const { return trace_; }
@@ -42,7 +42,7 @@
  private:
   /// A call to a store whose answer waits for a sync there.
   struct StoreCall {
-    std::size_t store = 0, life = 0, syncs = 0;
+    std::size_t store = 0, incarnation = 0, syncs = 0;
     TimePoint arrivesAt, end;
     std::function<bool()> apply;  ///< false if the store refuses
     bool applied = false, reached = false, done = false, accepted = false;
@@ -62,14 +62,14 @@
   };
   struct Store {
     StoreRef self;
-    std::size_t index = 0, life = 0;
+    std::size_t index = 0, incarnation = 0;
     bool up = true;
     TimePoint upAgainAt, countsAsLostUntil;
     std::uint64_t lease = 1;
     ReplicaTable table;
     vector<string> disk;
     std::deque<std::pair<TimePoint, vector<string>>> pending;
-    std::size_t syncsStarted = 0, syncsDone = 0, turn = 0;
+    std::size_t syncsStarted = 0, syncsDone = 0, heartbeatCount = 0;
     TimePoint nextHeartbeatAt;
     std::map<std::size_t, TimePoint> grantedAt;
     std::map<LotKey, LotRecord> lots;
@@ -82,10 +82,10 @@
     HolderReports reports;
     std::set<NodeId> everFailed;
     TimePoint openedAt, lastTriedAt;
-    bool recovering = false, hasFailed = false;
+    bool recovering = false, lastRecoveryFailed = false;
   };
   struct Control {
-    std::size_t index = 0, life = 0;
+    std::size_t index = 0, incarnation = 0;
     string zone;
     bool up = true;
     TimePoint upAgainAt, frozenUntil, majorityAt, nextUpkeepAt;
@@ -105,7 +105,7 @@
   };
   /// A recovery of one lot at one node.
   struct RecoveryTask {
-    std::size_t node = 0, life = 0;
+    std::size_t node = 0, incarnation = 0;
     std::uint64_t epoch = 0;
     string lot;
     std::unique_ptr<LotRecovery> recovery;
@@ -163,12 +163,12 @@
   void advanceCalls();
 
   // What stores do: lot_fleet_stores.cpp.
-  void beat(Store& store);
+  void sendHeartbeats(Store& store);
   void handleHeartbeat(Store& store, Control& node);
-  void learn(Store& store, LotRecord const& lot);
+  void learnRecord(Store& store, LotRecord const& lot);
   void reconcile(Store& store);
   void startRun(Store& store, LotRecord const& lot);
-  void list(Store& store, Run& run);
+  void appendNextResult(Store& store, Run& run);
   bool hasLease(Store const& store) const;
   void renewLease(Store& store, std::uint64_t fencedUpTo);
   void report(Store& store, Control& node);
@@ -176,9 +176,9 @@
   // What coordinators and clients do: lot_fleet_coordination.cpp.
   bool isDead(Control const& node, NodeId store) const;
   bool isDiskReplaced(Control const& node, StoreRef const& holder) const;
-  vector<StoreRef> choose(Control const& node, string const& lot, std::set<NodeId> const& excluded,
-                          vector<StoreRef> holders) const;
-  void upkeep(Control& node);
+  vector<StoreRef> chooseHolders(Control const& node, string const& lot, std::set<NodeId> const& excluded,
+                                 vector<StoreRef> holders) const;
+  void startDueRecoveries(Control& node);
   std::set<NodeId> failedHoldersOf(LotStatus const& status, GenerationStamp stamp) const;
   bool needsRecovery(Control const& node, LotRecord const& lot, LotStatus const& status) const;
   void startRecovery(Control& node, LotRecord const& lot);
@@ -198,14 +198,14 @@
   void finishRead(Reader const& reader);
 
   // Troubles and the end: lot_fleet_troubles.cpp.
-  void trouble();
+  void injectFault();
   void stopStore(Store& store, bool losesPower);
   void stopControl(Control& node);
   std::size_t lostStores() const;
   void wipe(Store& store);
   /// All stores lose power, and as many holders of a lot as may be lost lose their disks too.
   void powerOffAll(LotRecord const& lot);
-  void cut();
+  void partition();
   void heal();
   void checkEnd();
 
@@ -215,10 +215,10 @@
   vector<std::unique_ptr<Control>> controls_;
   vector<std::unique_ptr<Store>> stores_;
   vector<vector<bool>> blocked_;
-  std::optional<TimePoint> cutEndsAt_;
+  std::optional<TimePoint> partitionEndsAt_;
   std::set<string> partitionedZones_;
   TimePoint healedAt_;
-  CommittedState truth_;
+  CommittedState committed_;
   vector<CallPtr> calls_;
   std::list<RecoveryTask> tasks_;
   std::list<Submission> submissions_;
--- a/tests/lots/lot_fleet_stores.cpp
+++ b/tests/lots/lot_fleet_stores.cpp
@@ -9,8 +9,8 @@
   return granted > controls_.size() / 2;
 }
 
-void LotFleet::beat(Store& store) {
-  ++store.turn;
+void LotFleet::sendHeartbeats(Store& store) {
+  ++store.heartbeatCount;
   for (std::unique_ptr<Control> const& node : controls_)
     if (runs(*node) && linked(machineOf(store), node->index)) handleHeartbeat(store, *node);
   reconcile(store);
@@ -24,7 +24,7 @@
     if (holder == self)
       status.reports.addUnsettled(lot.stamp);
     else
-      status.reports.noteFailed(lot.stamp, holder);
+      status.reports.addFailed(lot.stamp, holder);
     if (holder != self) status.everFailed.insert(holder);
   };
   for (auto const& [key, unusable] : store.unusable) {
@@ -45,8 +45,8 @@
   bool const isLost = decision == LeaseGrants::Decision::fenced && !hasLease(store);
   if (isLost) renewLease(store, node.leases->fencedUpTo(store.self.id));
   if (!node.epoch) return;
-  for (auto const& [id, lot] : node.records) learn(store, lot);
-  if (store.turn % 6 || !confirmsOwnership(node)) return;
+  for (auto const& [id, lot] : node.records) learnRecord(store, lot);
+  if (store.heartbeatCount % 6 || !confirmsOwnership(node)) return;
   for (ReplicaVersion const& replica : store.table.versions()) {
     auto const record = node.records.find(replica.lot);
     if (record == node.records.end()) continue;
@@ -71,7 +71,7 @@
   }
 }
 
-void LotFleet::learn(Store& store, LotRecord const& lot) {
+void LotFleet::learnRecord(Store& store, LotRecord const& lot) {
   LotRecord& known = store.lots[lot.key()];
   bool const isOutdated = lot.stamp < known.stamp || (lot.stamp == known.stamp && lot.state < known.state);
   if (known.stamp.value && isOutdated) return;
@@ -103,7 +103,7 @@
   run = Run{lot, store.table.find(lot.key())->results.size(), 0, false, {}, {}};
 }
 
-void LotFleet::list(Store& store, Run& run) {
+void LotFleet::appendNextResult(Store& store, Run& run) {
   if (run.appending) {
     bool const isOpen =
         std::any_of(run.calls.begin(), run.calls.end(), [](auto const& call) { return !call.second->done; });
--- a/tests/lots/lot_fleet_troubles.cpp
+++ b/tests/lots/lot_fleet_troubles.cpp
@@ -3,15 +3,15 @@
 
 namespace tealshelf::sim {
 
-void LotFleet::trouble() {
+void LotFleet::injectFault() {
   Store& store = *stores_[pick(stores_.size())];
-  Control& node = *controls_[pick(2) ? pick(controls_.size()) : truth_.owner];
+  Control& node = *controls_[pick(2) ? pick(controls_.size()) : committed_.owner];
   switch (pick(11)) {
     case 0:
     case 1:
     case 2:
     case 8:
-      if (!cutEndsAt_) cut();
+      if (!partitionEndsAt_) partition();
       return;
     case 3:
       return stopStore(store, false);
@@ -49,7 +49,7 @@
 void LotFleet::stopControl(Control& node) {
   if (!node.up) return;
   node.up = false;
-  ++node.life;
+  ++node.incarnation;
   node.upAgainAt = now_ + Ms(300 + static_cast<std::int64_t>(pick(3000)));
   node.epoch.reset();
   node.heard.clear();
@@ -59,7 +59,7 @@
 }
 
 std::size_t LotFleet::lostStores() const {
-  bool const isCut = cutEndsAt_ || now_ - healedAt_ < catchUp;
+  bool const isCut = partitionEndsAt_ || now_ - healedAt_ < catchUp;
   return static_cast<std::size_t>(std::count_if(stores_.begin(), stores_.end(), [&](auto const& store) {
     return !store->up || now_ < store->countsAsLostUntil || (isCut && partitionedZones_.contains(store->self.zone));
   }));
@@ -82,7 +82,7 @@
   for (std::unique_ptr<Store> const& store : stores_) stopStore(*store, true);
 }
 
-void LotFleet::cut() {
+void LotFleet::partition() {
   std::size_t const count = blocked_.size();
   string const zone = zoneOf(pick(count)), second = zoneOf(pick(count));
   std::uint64_t const form = pick(4);
@@ -99,13 +99,13 @@
   partitionedZones_ = {zone};
   if (form == 1) partitionedZones_ = {"z0", "z1", "z2", "z3"};
   if (form == 3) partitionedZones_ = {zone, second};
-  cutEndsAt_ = now_ + Ms(1500 + static_cast<std::int64_t>(pick(pick(3) ? 6000 : 20000)));
+  partitionEndsAt_ = now_ + Ms(1500 + static_cast<std::int64_t>(pick(pick(3) ? 6000 : 20000)));
   note("cut " + std::to_string(form) + " of " + zone + " " + second);
 }
 
 void LotFleet::heal() {
-  if (!cutEndsAt_) return;
-  cutEndsAt_.reset();
+  if (!partitionEndsAt_) return;
+  partitionEndsAt_.reset();
   healedAt_ = now_;
   for (vector<bool>& row : blocked_) row.assign(row.size(), false);
   note("healed");
@@ -114,8 +114,8 @@
 
 void LotFleet::checkEnd() {
   for (string const& lot : accepted_) {
-    auto const record = truth_.records.find(lot);
-    if (record == truth_.records.end() || record->second.state != LotState::accepted)
+    auto const record = committed_.records.find(lot);
+    if (record == committed_.records.end() || record->second.state != LotState::accepted)
       return fail(lot + " has no record");
     std::optional<std::size_t> const listed = read(record->second);
     if (!listed) return fail(lot + " can't be read at the end");
--- a/tests/lots/replica_rules_test.cpp
+++ b/tests/lots/replica_rules_test.cpp
@@ -55,26 +55,26 @@
   bool losesTheLot(bool trustsRecordAlone) {
     bool damaged = false;
     for (int step = 0; step < 200; ++step) {
-      Store& other = stores_[1 + dice(3)];
+      Store& other = stores_[1 + randomBelow(3)];
       if (!other.up)
         other.restart(false);
-      else if (dice(3) == 0 && allUp())
+      else if (randomBelow(3) == 0 && allUp())
         other.up = false;
       // One loss, of a disk or of records on it, comes before the end.
-      else if (!damaged && dice(8) == 0 && allUp()) {
+      else if (!damaged && randomBelow(8) == 0 && allUp()) {
         damaged = true;
-        if (dice(2))
+        if (randomBelow(2))
           other.wipe(100);
         else
           other.restart(true);
       }
-      if (dice(3) == 0) recover();
+      if (randomBelow(3) == 0) recover();
       bool const finished =
           trustsRecordAlone ? !namesStore(lot_, "s0") : canRemoveStore(lot_, "s0", confirmAll(), needed);
-      if (!finished || dice(2)) continue;
+      if (!finished || randomBelow(2)) continue;
       stores_[0].gone = finished_ = true;
       for (Store& store : stores_) store.restart(false);
-      stores_[1 + dice(3)].wipe(200);
+      stores_[1 + randomBelow(3)].wipe(200);
       return copies() == 0;
     }
     return false;
@@ -84,7 +84,7 @@
 
  private:
   static constexpr std::size_t needed = 2;
-  std::size_t dice(std::size_t n) { return random_() % n; }
+  std::size_t randomBelow(std::size_t n) { return random_() % n; }
   bool allUp() const {
     return std::all_of(std::begin(stores_), std::end(stores_), [](Store const& store) { return store.up; });
   }
@@ -130,12 +130,12 @@
     next.stamp = fresh;
     for (Store& store : stores_) {
       bool const has = std::find(staying.begin(), staying.end(), store.ref) != staying.end();
-      if (has || store.ref.name == "s0" || !store.up || staying.size() > needed || dice(3) == 0) continue;
+      if (has || store.ref.name == "s0" || !store.up || staying.size() > needed || randomBelow(3) == 0) continue;
       create(store, next);
       staying.push_back(store.ref);
     }
     next.holders = holdersAfterRecovery(kept, staying, needed);
-    if (next.holders.size() < std::min(needed, lot_.holders.size()) || dice(5) == 0) return;
+    if (next.holders.size() < std::min(needed, lot_.holders.size()) || randomBelow(5) == 0) return;
     lot_ = next;
   }
 
