--- a/tests/lots/lot_fleet_sim.hpp
+++ b/tests/lots/lot_fleet_sim.hpp
@@ -197,7 +197,7 @@
   std::optional<std::size_t> read(LotRecord const& lot);
   void finishRead(Reader const& reader);
 
-  // Troubles and the end: lot_fleet_troubles.cpp.
+  // Troubles and the end: lot_fleet_faults.cpp.
   void injectFault();
   void stopStore(Store& store, bool losesPower);
   void stopControl(Control& node);
