--- a/lots/coordination/holder_reports.hpp
+++ b/lots/coordination/holder_reports.hpp
@@ -3,24 +3,23 @@
 
 namespace tealshelf {
 
-/// What stores reported of one lot's holders, under the stamp of the record that they went by. No input or output.
-///
-/// A record with another stamp names other holders, or the same ones settled anew, so a report ends with its stamp. One
-/// that outlived it would keep a holder with an intact replica out of every recovery: as the primary of the later
-/// record it renews its lease, can't be fenced, and the lot would wait for good.
+/// Failures of one lot's holders that stores reported under the stamp of one record. Does no I/O.
+/// A record with a new stamp names other holders, or the same ones after they settled their replicas, so a report is
+/// valid for one stamp only. A report kept longer would exclude a holder with an intact replica from every recovery: as
+/// the primary of the later record it renews its lease and can't be fenced, and the lot would never be recovered.
 class HolderReports {
  public:
-  /// A holder failed the primary, or said itself that it lacks its replica.
+  /// Adds a holder that failed a request of the primary, or reported that it has no intact replica.
   void addFailed(GenerationStamp stamp, NodeId holder) {
     if (startStamp(stamp)) failed_.insert(holder);
   }
-  /// A holder said that its own replica must be settled under a fresh stamp.
+  /// Adds a holder's report that its own replica must be settled under a new stamp.
   void addUnsettled(GenerationStamp stamp) {
     if (startStamp(stamp)) unsettled_ = true;
   }
-  /// The holders that failed under the stamp of the present record.
+  /// Holders that failed under the stamp of the current record.
   std::set<NodeId> failedUnder(GenerationStamp stamp) const { return stamp == stamp_ ? failed_ : std::set<NodeId>(); }
-  /// True if a holder must be replaced or settled under the present record.
+  /// True if a holder must be replaced or settled again under the current record.
   bool requireRecovery(GenerationStamp stamp) const { return stamp == stamp_ && (unsettled_ || !failed_.empty()); }
   void clear() {
     failed_.clear();
@@ -28,7 +27,7 @@
   }
 
  private:
-  /// Drops what was reported under an earlier stamp; false if the report itself is an earlier one.
+  /// Drops reports under an earlier stamp; false if the new report's own stamp is the earlier one.
   bool startStamp(GenerationStamp stamp) {
     if (stamp < stamp_) return false;
     if (stamp != stamp_) clear();
--- a/lots/coordination/lease_grants.hpp
+++ b/lots/coordination/lease_grants.hpp
@@ -3,14 +3,14 @@
 
 namespace tealshelf {
 
-/// The leases that one control node granted to stores. A lease counts while a majority of the control nodes granted it
-/// within the last `duration`. No input or output of its own.
+/// Leases that one control node granted to stores. A lease is valid while a majority of the control nodes granted it
+/// within the last `duration`. Does no I/O.
 class LeaseGrants {
  public:
   enum class Decision { granted, fenced, notReady };
   LeaseGrants(Ms duration, TimePoint startedAt) : duration_(duration), startedAt_(startedAt) {}
 
-  /// A store asks for its lease to go on; nothing is granted while this node isn't ready.
+  /// Renews a store's lease, unless it is fenced or this node isn't ready to grant any.
   Decision renew(NodeId store, std::uint64_t lease, bool ready, TimePoint now) {
     Grant& grant = grants_[store];
     grant.highestLease = std::max(grant.highestLease, lease);
@@ -20,14 +20,15 @@
     return Decision::granted;
   }
 
-  /// The highest lease of a store that is never granted again here.
+  /// Highest lease of a store that this node has fenced.
   std::uint64_t fencedUpTo(NodeId store) const {
     auto const grant = grants_.find(store);
     return grant == grants_.end() ? 0 : grant->second.fencedUpTo;
   }
 
-  /// Bars the present lease of a store for good. False, and nothing is barred, while a lease granted here, or by an
-  /// earlier process of this node, may still count.
+  /// Fences the current lease of a store for good. Returns false without fencing it while a lease granted by this
+  /// process or
+  /// an earlier one of this node may still be valid.
   bool fence(NodeId store, TimePoint now) {
     Grant& grant = grants_[store];
     if (now - grant.grantedAt <= duration_ || now - startedAt_ <= duration_) return false;
--- a/lots/coordination/lot_coordinator.cpp
+++ b/lots/coordination/lot_coordinator.cpp
@@ -1,4 +1,4 @@
-// The calls of edge nodes, and the records of lots.
+// Requests of edge nodes, and the records of lots.
 #include "lots/coordination/lot_coordinator.hpp"
 
 #include "consensus/forward_to_owner.hpp"
@@ -6,11 +6,11 @@
 namespace tealshelf {
 
 namespace {
-/// Calls that wait for one lot at most: its client's and those that the nodes sent again.
+/// Limit of requests that wait for the lock of one lot: its client's and retries by nodes.
 constexpr std::size_t maxWaitingCalls = 16;
 string const keyspacePrefix = "lots/";
 
-/// The tokens that may wait are counted for each tenant of a route.
+/// Queued tokens are limited for each tenant of a route.
 bool sharesQuota(LotRecord const& left, LotRecord const& right) {
   return left.route == right.route && left.tenant == right.tenant;
 }
@@ -66,7 +66,7 @@
   return deserialize<LotRecord>(record->second);
 }
 
-/// What must hold between two records of a lot that follow each other.
+/// Checks the invariants between the last committed record of a lot and its successor.
 void LotCoordinator::checkRecordChange(LotRecord const& next) const {
   std::set<NodeId> holders;
   for (StoreRef const& holder : next.holders) holders.insert(holder.id);
@@ -84,7 +84,7 @@
 Task<bool> LotCoordinator::save(LotRecord lot, Epoch under) {
   checkRecordChange(lot);
   vector<KeyChange> changes(1, KeyChange{lot.id, serialize(lot), false});
-  // An unknown end is reported like none: the callers answer with a status that promises nothing.
+  // An unknown result counts as not committed: callers then answer with a status that leaves the outcome open.
   OperationResult const result = co_await driver_.propose(keyspaceOf(lot.host), std::move(changes), under);
   if (result != OperationResult::committed) co_return false;
   lots_[lot.key()].revision = ++revision_;
@@ -97,7 +97,7 @@
   return status.mutex->lock(settings_.bounds.inTouch / 2);
 }
 
-/// Stamps rise over handovers without a write of their own, as the owner's epoch is their upper half.
+/// The owner's epoch is the upper half of a stamp, so stamps rise across ownership changes without being persisted.
 GenerationStamp LotCoordinator::freshStamp(string const& host) {
   std::uint64_t const epoch = driver_.consensus().epochOf(keyspaceOf(host)).number;
   GenerationStamp const stamp((epoch << 32) | (++stampCounter_ & 0xffffffffu));
@@ -115,7 +115,7 @@
 bool LotCoordinator::countsTowardsQuota(LotRecord const& lot, LotRecord const& incoming) const {
   bool const finished = lot.state == LotState::ended || lot.isSealed();
   if (lot.id == incoming.id || !sharesQuota(lot, incoming) || finished) return false;
-  // A lot that was never accepted stops counting only when it can't be accepted any more.
+  // A lot that isn't accepted yet counts until it can no longer be accepted.
   if (lot.state == LotState::opening && !mayBeAccepted(lot.key(), settings_.bounds.inTouch)) return false;
   return !opening_.contains(lot.key());
 }
@@ -177,13 +177,13 @@
   }
   vector<StoreRef> holders = chooseWithSpare({lot.id, CopyPurpose::admission, bytes, {}}, excluded, {}, now);
   if (holders.size() < neededCopies()) throw Error(ErrorCode::noStores);
-  // Until their next heartbeats tell, the holders count as having the lot.
+  // The holders' loads include the lot before their next heartbeats report it.
   for (StoreRef const& holder : holders) stores_.at(holder.id).load.expectedGrowth += static_cast<std::uint64_t>(bytes);
   return holders;
 }
 
-/// A refusal promises that nothing runs. That can't be said by a node that was overtaken, as another may have accepted
-/// an earlier try, nor while one may still be accepted here.
+/// A refusal promises that the lot doesn't run. A node that lost its ownership can't promise this, as the new owner may
+/// have accepted an earlier attempt; nor can this node while an earlier attempt may still be accepted here.
 Task<OpenLotReply> LotCoordinator::refuse(LotKey key, Error refusal) {
   co_await confirmOwnership(key.host);
   std::optional<LotRecord> const known = load(key);
@@ -223,7 +223,7 @@
   if (forwarded) co_return *forwarded;
   LotKey const key = request.key();
   AsyncMutex::Lock const held = co_await lock(key);
-  // What a node that was overtaken knows may be older, so its ownership is confirmed before it looks.
+  // The records of a node that lost its ownership may be outdated, so ownership is confirmed before the record is read.
   co_await confirmOwnership(key.host);
   Epoch const epoch = driver_.consensus().epochOf(keyspaceOf(key.host));
   std::optional<LotRecord> lot = load(key);
--- a/lots/coordination/lot_recovery.cpp
+++ b/lots/coordination/lot_recovery.cpp
@@ -1,4 +1,5 @@
-// Recovery of a lot that goes on, step by step.
+// State machine of the recovery of an unsealed lot.
+
 #include "lots/coordination/lot_recovery.hpp"
 
 #include "base/invariant.hpp"
@@ -14,7 +15,7 @@
 }
 
 void LotRecovery::addReply(StoreRef const& holder, std::optional<InspectReplicaReply> const& reply) {
-  // Another disk may have come to the holder's address; it says nothing of the holder's own.
+  // A reply from another disk at the holder's address says nothing about the holder's replica.
   if (!reply || reply->self != holder.id) return;
   if (reply->known && reply->stamp >= start_.lot.stamp) {
     survivors_.push_back(holder);
@@ -22,14 +23,14 @@
     return;
   }
   ++withoutReplicaCount_;
-  // A primary that says itself that it has no intact replica answers no reads of it, whatever its lease.
+  // A primary that reports no intact replica answers no reads, even with a valid lease.
   if (holder.id == primary() && !reply->known) primaryCannotServe_ = true;
 }
 
 void LotRecovery::inspected(vector<std::optional<InspectReplicaReply>> const& replies) {
   for (std::size_t i = 0; i < start_.live.size() && i < replies.size(); ++i) addReply(start_.live[i], replies[i]);
   if (survivors_.empty()) return end(RecoveryOutcome::noIntactReplica);
-  // A primary that takes no part may go on answering reads under its lease.
+  // A primary that isn't among the survivors may go on answering reads under its lease.
   bool const mayServe = !primaryCannotServe_ && !containsStore(survivors_, primary());
   if (mayServe)
     step_ = recovery_step::FenceStore{primary()};
@@ -50,12 +51,12 @@
 void LotRecovery::stamped(std::optional<GenerationStamp> stamp) {
   if (!stamp) return end(RecoveryOutcome::notOwner);
   recovered_.stamp = *stamp;
-  // Stores that stay come first, so that one of them is the primary.
+  // Stores that aren't retiring come first, so that one of them becomes the primary.
   auto const leaving = std::stable_partition(survivors_.begin(), survivors_.end(), [this](StoreRef const& store) {
     return !start_.retiring.contains(store.name);
   });
   stayingCount_ = static_cast<std::size_t>(leaving - survivors_.begin());
-  // Stores that failed the primary are excluded, unless too few others are there.
+  // Stores that failed the primary are excluded, unless too few others are available.
   makeCopies(vector<StoreRef>(survivors_.begin(), leaving), start_.failed);
 }
 
@@ -73,8 +74,8 @@
 
 void LotRecovery::settleIfEnoughCopies() {
   std::size_t const reachable = holdersAfterRecovery(survivors_, copies_.holders, start_.neededCopies).size();
-  // With fewer the stores that are away may come back with the others, unless no other copy is left anywhere: nothing
-  // could be listed with one copy anyway.
+  // With fewer, the recovery waits for unreachable holders to come back with their copies. If none can come back, the
+  // lot goes on with the copies left, as no result is listed while there are too few.
   bool const enough = reachable >= minHolders() || allHoldersAccountedFor();
   if (!enough) return end(copies_.refused ? RecoveryOutcome::copiesRefused : RecoveryOutcome::tooFewStores);
   checkInvariant(Invariant::freshStampAfterCopies, enough, [this] { return start_.lot.id; });
@@ -102,10 +103,10 @@
 void LotRecovery::saved(bool done) {
   if (!done) return end(RecoveryOutcome::recordNotWritten);
   written_ = true;
-  // A wished copy that was refused is tried again, but with a pause that grows.
+  // If only the spare copy was refused, the recovery is retried with a growing delay.
   bool const lacksSpare = recovered_.holders.size() < start_.neededCopies + 1;
-  bool const wishRefused = copies_.refused && !copies_.made && lacksSpare;
-  end(wishRefused ? RecoveryOutcome::copiesRefused : RecoveryOutcome::done);
+  bool const spareRefused = copies_.refused && !copies_.made && lacksSpare;
+  end(spareRefused ? RecoveryOutcome::copiesRefused : RecoveryOutcome::done);
 }
 
 string LotRecovery::describe() const {
--- a/lots/coordination/lot_recovery.hpp
+++ b/lots/coordination/lot_recovery.hpp
@@ -6,25 +6,25 @@
 
 namespace tealshelf {
 
-/// What a coordinator knows of a lot as its recovery begins.
+/// What the coordinator knows of a lot when its recovery begins.
 struct RecoveryStart {
   LotRecord lot;
-  vector<StoreRef> live;      ///< holders that are asked
-  std::size_t lostDisks = 0;  ///< holders whose disk is known to be gone
+  vector<StoreRef> live;      ///< holders to inspect
+  std::size_t lostDisks = 0;  ///< holders whose disk was replaced
   std::set<NodeId> failed;    ///< holders that failed the primary under the record's stamp
-  std::set<string> retiring;  ///< names of stores that shall be emptied
+  std::set<string> retiring;  ///< names of stores that are being drained
   std::size_t neededCopies = 1;
 };
 
-/// Holders with new copies behind those that there were.
+/// Holders after copying: the former ones first, then those with new copies.
 struct RecoveryCopies {
   vector<StoreRef> holders;
   std::size_t made = 0, refused = 0;
 };
 
-/// What a recovery wants done next.
+/// The actions that a recovery asks its driver to carry out.
 namespace recovery_step {
-/// Ask holders for stamp and length of their replicas.
+/// Ask holders for the stamp and length of their replicas.
 struct InspectHolders {
   vector<StoreRef> holders;
 };
@@ -32,20 +32,20 @@
 struct FenceStore {
   NodeId store;
 };
-/// Give a fresh stamp, if this node still owns the keyspace under the epoch with which the recovery began.
+/// Allocate a fresh stamp, if this node still owns the keyspace under the epoch in which the recovery began.
 struct AllocateStamp {};
-/// Have copies made until the lot has enough holders or no store is left that takes one.
+/// Copy the lot to other stores until it has enough holders or no candidate is left.
 struct MakeCopies {
   CopyReplica request;  ///< without a source
   vector<StoreRef> sources, holders;
   std::set<NodeId> excluded;
 };
-/// Have replicas cut to a length under a fresh stamp.
+/// Truncate replicas to a common length under a fresh stamp.
 struct SettleHolders {
   vector<StoreRef> holders;
   SettleReplica request;
 };
-/// Write the record under the epoch with which the recovery began.
+/// Commit the record under the epoch in which the recovery began.
 struct SaveRecord {
   LotRecord lot;
 };
@@ -57,33 +57,34 @@
                                   recovery_step::AllocateStamp, recovery_step::MakeCopies, recovery_step::SettleHolders,
                                   recovery_step::SaveRecord, recovery_step::End>;
 
-/// The paper's recovery of one lot that goes on, as a state machine without input or output of its own.
+/// Recovery of one unsealed lot as a state machine that does no I/O.
 ///
-/// Stamps and lengths are collected, replicas below the recorded stamp left out, the shortest length settled under a
-/// fresh stamp, and only then the record is written. The copies that are needed are made first: until they are there no
-/// survivor takes the fresh stamp, so that a recovery that gives up leaves the replicas that the record names as they
-/// were. All of it belongs to one ownership of the keyspace: whoever drives it gives a stamp and writes the record only
-/// under the epoch with which it began.
+/// The recovery collects stamps and lengths of replicas, ignores replicas below the recorded stamp, makes the missing
+/// copies, settles all survivors at the shortest length under a fresh stamp, and then commits the record. No survivor
+/// takes the fresh stamp before the needed copies exist, so a recovery that gives up leaves the replicas that the
+/// record names unchanged. A recovery belongs to one ownership of the keyspace: its driver allocates the stamp and
+/// commits the record only under the epoch in which the recovery began.
 ///
-/// step() says what is wanted; the answer to it is passed to the function that its step names.
+/// step() is the action to carry out; its result is passed to the matching function: inspected() for InspectHolders,
+/// fenced() for FenceStore, and so on.
 class LotRecovery {
  public:
   explicit LotRecovery(RecoveryStart start);
   RecoveryStep const& step() const { return step_; }
-  /// What was found, for the log.
+  /// The state of record, holders and copies, for the log.
   string describe() const;
 
-  /// Answers to InspectHolders, in its order; none from a holder that didn't answer.
+  /// Replies to InspectHolders, in the same order; none for a holder that didn't answer.
   void inspected(vector<std::optional<InspectReplicaReply>> const& replies);
   void fenced(bool done);
-  /// None if this node doesn't own the keyspace any more.
+  /// No stamp if this node no longer owns the keyspace.
   void stamped(std::optional<GenerationStamp> stamp);
   void copied(RecoveryCopies copies);
-  /// The holders that settled their replica.
+  /// The holders that settled their replicas.
   void settled(vector<StoreRef> const& stores);
   void saved(bool done);
 
-  /// The record as it was written; meant for a recovery that ended with a written record.
+  /// The committed record; valid if isWritten().
   LotRecord const& recovered() const { return recovered_; }
   bool isWritten() const { return written_; }
   std::uint64_t length() const { return commonLength_; }
@@ -92,9 +93,9 @@
   void end(RecoveryOutcome outcome) { step_ = recovery_step::End{outcome}; }
   void addReply(StoreRef const& holder, std::optional<InspectReplicaReply> const& reply);
   NodeId primary() const { return start_.lot.holders[0].id; }
-  /// The record never names fewer than survive a loss, unless it did.
+  /// Holders that the new record must name: the needed copies, or as many as the old record names if these are fewer.
   std::size_t minHolders() const { return std::min(start_.neededCopies, start_.lot.holders.size()); }
-  /// True if no holder is left that may come back with a copy.
+  /// True if no other holder can come back with a copy.
   bool allHoldersAccountedFor() const {
     return survivors_.size() + withoutReplicaCount_ + start_.lostDisks >= start_.lot.holders.size();
   }
@@ -103,11 +104,11 @@
 
   RecoveryStart start_;
   RecoveryStep step_;
-  vector<StoreRef> survivors_;           ///< that have an intact replica, those that stay first
-  std::size_t stayingCount_ = 0;         ///< survivors that aren't to be emptied
-  std::size_t withoutReplicaCount_ = 0;  ///< holders that have no intact replica for certain
-  std::uint64_t commonLength_ = ~0ull;   ///< results that all survivors have
-  bool primaryCannotServe_ = false;      ///< the former primary serves nothing any more
+  vector<StoreRef> survivors_;           ///< holders with an intact replica; those that aren't retiring first
+  std::size_t stayingCount_ = 0;         ///< survivors that aren't retiring
+  std::size_t withoutReplicaCount_ = 0;  ///< holders that reported no intact replica
+  std::uint64_t commonLength_ = ~0ull;   ///< results that every survivor has
+  bool primaryCannotServe_ = false;      ///< the former primary can't answer reads any more
   bool allowsFailedStores_ = false;
   RecoveryCopies copies_;
   LotRecord recovered_;
--- a/lots/coordination/lot_upkeep.cpp
+++ b/lots/coordination/lot_upkeep.cpp
@@ -1,15 +1,15 @@
-// Upkeep of lots: which records are deleted, and which lots need a recovery, in which order.
+// Periodic maintenance of lots: deletes expired records and starts recoveries by urgency.
 #include "base/invariant.hpp"
 #include "lots/coordination/lot_coordinator.hpp"
 
 namespace tealshelf {
 
 namespace {
-/// Recoveries that are under way at once.
+/// Limit of concurrent recoveries.
 constexpr std::size_t maxRecoveries = 12;
-/// The pause before a failed recovery is tried again doubles so often at the most.
+/// Limit of doublings of the delay before a failed recovery is retried.
 constexpr std::size_t maxPauseDoublings = 4;
-/// Lots in a report of those that wait.
+/// Limit of lots in a report of waiting lots.
 constexpr std::size_t maxReportedLots = 200;
 }  // namespace
 
@@ -23,7 +23,7 @@
     for (string const& keyspace : keyspaces)
       if (driver_.consensus().owns(keyspace)) co_await maintainKeyspace(keyspace, copies);
     recoveryMetrics_.endCount();
-    // Other owners' lots may have no spare copies to give up.
+    // The spare copies of lots that other nodes own aren't known here, so none are assumed.
     bool const ownsAll = keyspaces.size() == countLotKeyspaces();
     neededCopyShare_ =
         copies.named && ownsAll ? static_cast<double>(copies.needed) / static_cast<double>(copies.named) : 1;
@@ -39,7 +39,7 @@
     LotStatus& status = lots_[lot.key()];
     ages_.learn(lot.key(), now);
     copies.named += lot.holders.size();
-    // The spare copy of a lot that goes on isn't given up for room.
+    // Only sealed lots give up their spare copies when space is short.
     copies.needed += lot.isSealed() ? std::min(lot.holders.size(), neededCopies()) : lot.holders.size();
     if (isDeletable(lot, status, now)) {
       bool const unfinished =
@@ -90,7 +90,7 @@
 Ms LotCoordinator::retryPause(LotStatus const& status, RecoveryNeed need) const {
   bool const urgent = need == RecoveryNeed::serve || need == RecoveryNeed::seal;
   Ms const first = settings_.bounds.inTouch / (urgent ? 10 : 3);
-  // What is needed to serve is tried again at once; each try may find the store that was away.
+  // Urgent needs are retried at a constant rate: each attempt may reach a store that was unreachable before.
   std::size_t const doublings = urgent ? 0 : std::min(status.failedRecoveries, maxPauseDoublings);
   return first * (1 << doublings);
 }
@@ -110,32 +110,32 @@
   if (failing) return RecoveryNeed::serve;
   if (lot.holders.size() < neededCopies()) return RecoveryNeed::replicate;
   if (!roomForSpares_) return RecoveryNeed::none;
-  vector<StoreRef> const wished = chooseWithSpare({lot.id, CopyPurpose::recovery, 0, {}}, {}, lot.holders, now);
-  return wished.size() > lot.holders.size() ? RecoveryNeed::spare : RecoveryNeed::none;
+  vector<StoreRef> const withSpare = chooseWithSpare({lot.id, CopyPurpose::recovery, 0, {}}, {}, lot.holders, now);
+  return withSpare.size() > lot.holders.size() ? RecoveryNeed::spare : RecoveryNeed::none;
 }
 
 RecoveryNeed LotCoordinator::recoveryNeedOfSealed(LotRecord const& lot, LotStatus const& status, TimePoint now) const {
   std::set<string> const retiring = retiringStores ? retiringStores() : std::set<string>();
   std::set<NodeId> const failed = status.reports.failedUnder(lot.stamp);
-  std::size_t lasting = 0;
+  std::size_t remaining = 0;
   bool isRetiring = false;
   for (StoreRef const& holder : lot.holders) {
-    bool const retires = retiring.contains(holder.name);
-    bool const goes = isLost(holder, now) || retires || failed.contains(holder.id);
-    if (!goes) ++lasting;
-    isRetiring = isRetiring || retires;
+    bool const retiresHolder = retiring.contains(holder.name);
+    bool const leaves = isLost(holder, now) || retiresHolder || failed.contains(holder.id);
+    if (!leaves) ++remaining;
+    isRetiring = isRetiring || retiresHolder;
   }
-  // A retiring store must be named by no record, also where enough other copies are left.
-  if (lasting < neededCopies() || isRetiring) return RecoveryNeed::replicate;
+  // No record may name a retiring store, even if enough other copies exist.
+  if (remaining < neededCopies() || isRetiring) return RecoveryNeed::replicate;
   if (!failed.empty()) return RecoveryNeed::replicate;
-  if (lasting > neededCopies()) return mustTrimSpares_ ? RecoveryNeed::trim : RecoveryNeed::none;
+  if (remaining > neededCopies()) return mustTrimSpares_ ? RecoveryNeed::trim : RecoveryNeed::none;
   if (!roomForSpares_) return RecoveryNeed::none;
-  vector<StoreRef> const wished = chooseWithSpare({lot.id, CopyPurpose::recovery, 0, {}}, {}, lot.holders, now);
-  return wished.size() > lot.holders.size() ? RecoveryNeed::spare : RecoveryNeed::none;
+  vector<StoreRef> const withSpare = chooseWithSpare({lot.id, CopyPurpose::recovery, 0, {}}, {}, lot.holders, now);
+  return withSpare.size() > lot.holders.size() ? RecoveryNeed::spare : RecoveryNeed::none;
 }
 
-/// Starts recoveries: the most urgent needs first, and of these the ones that failed least often, so that lots that
-/// can't be recovered now don't hold up the others; then old lots first.
+/// Starts the most urgent recoveries first. Within a need, those with fewer failures come first, so that lots that
+/// can't be recovered now don't delay the others; then older lots.
 void LotCoordinator::startRecoveries(vector<PendingRecovery> pending) {
   auto const order = [this](PendingRecovery const& next) {
     return std::tuple(next.need, lots_[next.lot.key()].failedRecoveries, next.lot.submittedAtMs);
@@ -161,7 +161,7 @@
     std::optional<LotRecord> const lot = load(key);
     if (lot && driver_.consensus().owns(keyspaceOf(key.host))) outcome = co_await recoverAs(need, *lot, epoch);
   } catch (std::exception const& error) {
-    logDebug("lots", "recovery of " + key.id + ": " + error.what());
+    logDebug("lots", "recovery of lot " + key.id + " failed: " + error.what());
     outcome = RecoveryOutcome::busy;
   }
   recordOutcome(key, need, outcome);
@@ -185,15 +185,16 @@
     return;
   }
   if (++status.failedRecoveries == 1) status.failingSince = now;
-  // The same reason is told again, so that a lot that waits for long is never forgotten; but only so many lines come.
+  // An unchanged reason is logged again from time to time, at a rate limited for each lot and for all lots together.
   bool const repeats = now - status.lastWarnedAt >= settings_.bounds.inTouch &&
                        now - lastRepeatedWarningAt_ >= settings_.bounds.inTouch / 8;
   if (!changed && !repeats) return;
   if (!changed) lastRepeatedWarningAt_ = now;
   status.lastWarnedAt = now;
-  std::int64_t const waitsMs = std::chrono::duration_cast<Ms>(now - status.failingSince).count();
-  logWarning("lots", key.id + " waits (" + string(nameOf(need)) + "): " + string(nameOf(outcome)) + "; tries " +
-                         std::to_string(status.failedRecoveries) + ", for " + std::to_string(waitsMs) + " ms; " +
+  std::int64_t const waitedMs = std::chrono::duration_cast<Ms>(now - status.failingSince).count();
+  logWarning("lots", "lot " + key.id + " waits for recovery (need: " + string(nameOf(need)) +
+                         "): " + string(nameOf(outcome)) + "; " + std::to_string(status.failedRecoveries) +
+                         " failed attempts, the first " + std::to_string(waitedMs) + " ms ago; " +
                          status.lastRecoverySummary);
 }
 
--- a/lots/coordination/recovery_driver.cpp
+++ b/lots/coordination/recovery_driver.cpp
@@ -1,4 +1,4 @@
-// Carries out what recoveries of lots that go on want done (LotRecovery).
+// Carries out the steps of LotRecovery for unsealed lots.
 #include "lots/coordination/lot_coordinator.hpp"
 
 #include "wire/call_each.hpp"
@@ -14,7 +14,7 @@
 }  // namespace
 
 Task<bool> LotCoordinator::fenceAtMajority(NodeId store) {
-  // A fence that can't reach a majority would only bar the store's lease at the members that it does reach.
+  // A fence without a majority would only revoke the store's lease at the members that it reaches.
   if (!driver_.inContactWithMajority()) co_return false;
   FenceStore const request{store};
   Acknowledgement const own = co_await fence(request);
@@ -22,7 +22,7 @@
   vector<Address> others;
   for (Member const& member : driver_.consensus().membership().members)
     if (member.id != driver_.consensus().self().id) others.push_back(settings_.controlAddress(member.ip));
-  // Members that are cut off too must not hold up the lots that a cut left without their primary.
+  // callEach() stops at a majority: unreachable members must not delay lots that a partition left without a primary.
   auto const isFenced = [neededOthers](vector<CallOutcome<Acknowledgement>> const& outcomes) {
     auto const fenced =
         std::count_if(outcomes.begin(), outcomes.end(),
@@ -34,7 +34,7 @@
   co_return isFenced(outcomes);
 }
 
-/// The answers of holders to the question for their stamps and lengths, none from one that didn't answer.
+/// Asks holders for the stamps and lengths of their replicas; no reply for a holder that didn't answer.
 Task<vector<std::optional<InspectReplicaReply>>> LotCoordinator::inspectHolders(LotKey key, vector<StoreRef> holders) {
   InspectReplica const request{key.host, key.id};
   vector<CallOutcome<InspectReplicaReply>> outcomes =
@@ -42,13 +42,14 @@
   vector<std::optional<InspectReplicaReply>> replies;
   for (std::size_t i = 0; i < holders.size(); ++i) {
     if (!outcomes[i].reply)
-      logDebug("lots", key.id + ": " + holders[i].name + " can't be inspected: " + outcomes[i].error);
+      logDebug("lots", "replica of lot " + key.id + " at store " + holders[i].name +
+                           " can't be inspected: " + outcomes[i].error);
     replies.push_back(std::move(outcomes[i].reply));
   }
   co_return replies;
 }
 
-/// The holders that settled their replica; that of any other is stale from now on.
+/// Returns the holders that settled their replica. The replica of any other holder is stale from now on.
 Task<vector<StoreRef>> LotCoordinator::settleHolders(recovery_step::SettleHolders step) {
   vector<CallOutcome<Acknowledgement>> const outcomes =
       co_await callEach(io_, rpc_, addressesOf(step.holders), step.request, settings_.bounds.inTouch / 4);
@@ -57,12 +58,14 @@
     if (outcomes[i].reply)
       settled.push_back(step.holders[i]);
     else
-      logInfo("lots", step.request.lot + ": " + step.holders[i].name + " took no fresh stamp: " + outcomes[i].error);
+      logInfo("lots", "lot " + step.request.lot + ": store " + step.holders[i].name +
+                          " didn't settle its replica under stamp " + hex(step.request.newStamp.value) + ": " +
+                          outcomes[i].error);
   }
   co_return settled;
 }
 
-/// A store that refuses or fails a copy is passed over, so that one without room doesn't stand in the way of others.
+/// A store that refuses or fails a copy is skipped, so that one full store doesn't block the recovery.
 Task<RecoveryCopies> LotCoordinator::makeCopies(CopyReplica request, vector<StoreRef> sources, vector<StoreRef> holders,
                                                 std::set<NodeId> excluded) {
   RecoveryCopies copies{std::move(holders), 0, 0};
@@ -77,7 +80,8 @@
       copies.holders.push_back(target);
       ++copies.made;
     } catch (Error const& error) {
-      logInfo("lots", request.lot.id + ": " + target.name + " took no copy: " + error.what());
+      logInfo("lots", "lot " + request.lot.id + ": copy to store " + target.name +
+                          " failed, trying another store: " + error.what());
       excluded.insert(target.id);
       ++copies.refused;
     }
@@ -96,7 +100,7 @@
   return start;
 }
 
-/// A fresh stamp, if this node still owns the keyspace under the epoch with which the recovery began.
+/// Allocates a fresh stamp, if this node still owns the keyspace under the epoch in which the recovery began.
 std::optional<GenerationStamp> LotCoordinator::stampIfOwner(string const& host, Epoch epoch) {
   string const keyspace = keyspaceOf(host);
   bool const isOwner = driver_.consensus().owns(keyspace) && driver_.consensus().epochOf(keyspace) == epoch;
@@ -130,7 +134,7 @@
   }
   RecoveryOutcome const outcome = std::get<step::End>(recovery.step()).outcome;
   status.lastRecoverySummary = recovery.describe();
-  // All holders failed: which of them can be used shows only when they are asked.
+  // All holders are reported as failed; the next attempt inspects them to find the usable ones.
   if (outcome == RecoveryOutcome::noLiveHolder) status.reports.clear();
   if (recovery.isWritten()) logRecovered(recovery);
   co_return outcome;
@@ -140,8 +144,8 @@
   LotRecord const& lot = recovery.recovered();
   string names;
   for (StoreRef const& holder : lot.holders) names += " " + holder.name;
-  logInfo("lots", lot.id + " is recovered under stamp " + hex(lot.stamp.value) + " with " +
-                      std::to_string(recovery.length()) + " results at" + names);
+  logInfo("lots", "lot " + lot.id + " is recovered under stamp " + hex(lot.stamp.value) + " with " +
+                      std::to_string(recovery.length()) + " results at stores" + names);
 }
 
 }  // namespace tealshelf
--- a/lots/coordination/recovery_metrics.hpp
+++ b/lots/coordination/recovery_metrics.hpp
@@ -4,11 +4,11 @@
 
 namespace tealshelf {
 
-/// How many lots wait for a recovery, by what it is needed for, and how long the longest of them has waited.
+/// Metrics of lots that wait for a recovery: their number and the longest wait for each need, and outcomes of attempts.
 class RecoveryMetrics {
  public:
   RecoveryMetrics();
-  /// Begins a count of the lots of one keyspace.
+  /// Begins a count of the lots in all owned keyspaces; endCount() publishes it.
   void beginCount();
   void count(RecoveryNeed need, Ms waited);
   void endCount();
--- a/lots/coordination/recovery_need.hpp
+++ b/lots/coordination/recovery_need.hpp
@@ -1,32 +1,32 @@
 #pragma once
 #include "base/tealshelf.hpp"
 
-/// Why a lot's record or holders must change, and how a try to do it ended.
+/// Why a lot's record or holders must change, and how an attempt to change them ended.
 namespace tealshelf {
 
-/// The kinds of work that a coordinator does on a lot, the most urgent first.
+/// What a coordinator must do for a lot, the most urgent first.
 enum class RecoveryNeed {
-  serve,      ///< nobody runs it or answers its reads
-  seal,       ///< all that it will ever list is listed
-  replicate,  ///< it would not bear the next loss
-  spare,      ///< one more copy is wished for
-  trim,       ///< a spare copy takes room that others need
+  serve,      ///< it may have no primary that runs it and answers reads
+  seal,       ///< all its results are listed
+  replicate,  ///< it has too few copies to survive the next loss
+  spare,      ///< an optional copy beyond the needed ones is missing
+  trim,       ///< a spare copy takes room that other lots need
   none
 };
 std::string_view nameOf(RecoveryNeed need);
 
-/// How a try ended. Everything but `done` leaves the record as it was, and what it names stays readable.
+/// How an attempt ended. Every outcome but `done` leaves the record unchanged, and the replicas it names readable.
 enum class RecoveryOutcome {
-  none,              ///< not tried yet
-  done,              ///< the record is written, or nothing had to change
-  notOwner,          ///< another control node owns the keyspace by now
-  busy,              ///< another change of the record took too long
-  recordChanged,     ///< the record changed meanwhile
-  noLiveHolder,      ///< no holder was heard lately
-  primaryNotFenced,  ///< the lease of the former primary may still count
+  none,              ///< not attempted yet
+  done,              ///< the record is committed, or nothing had to change
+  notOwner,          ///< another control node owns the keyspace
+  busy,              ///< the lock for changes of the record wasn't obtained in time
+  recordChanged,     ///< the record changed in the meantime
+  noLiveHolder,      ///< no holder sent a heartbeat lately
+  primaryNotFenced,  ///< the lease of the former primary may still be valid
   noIntactReplica,   ///< no live holder has a replica at or above the recorded stamp
-  tooFewStores,      ///< too few live stores with room for the copies that are needed
-  copiesRefused,     ///< the copies that are needed were refused
+  tooFewStores,      ///< too few live stores have room for the needed copies
+  copiesRefused,     ///< stores refused copies
   notSettled,        ///< too few survivors took the fresh stamp
   recordNotWritten   ///< no majority acknowledged the record in time
 };
--- a/lots/coordination/replica_rules.hpp
+++ b/lots/coordination/replica_rules.hpp
@@ -1,17 +1,17 @@
 #pragma once
 #include "lots/messages.hpp"
 
-/// Rules on the holders of a lot, without input or output.
+/// Rules on the holders of a lot; they do no I/O.
 namespace tealshelf {
 
-/// The replicas that stores confirmed in their present process, by store.
+/// Replicas that stores confirmed to hold.
 class ConfirmedReplicas {
  public:
-  /// Takes in an answer; one of another disk than the one asked counts for nothing.
-  void add(NodeId asked, ConfirmReplicas const& question, ConfirmReplicasReply const& answer) {
-    if (answer.self != asked) return;
-    for (std::size_t i = 0; i < question.replicas.size() && i < answer.held.size(); ++i)
-      if (answer.held[i]) held_.insert({asked, question.replicas[i]});
+  /// Adds a store's answer; ignores it if the store has another disk than the one asked.
+  void add(NodeId asked, ConfirmReplicas const& request, ConfirmReplicasReply const& reply) {
+    if (reply.self != asked) return;
+    for (std::size_t i = 0; i < request.replicas.size() && i < reply.held.size(); ++i)
+      if (reply.held[i]) held_.insert({asked, request.replicas[i]});
   }
   bool has(NodeId store, LotRecord const& lot) const {
     return held_.contains({store, {lot.host, lot.id, lot.lowestReplicaStamp()}});
@@ -31,9 +31,9 @@
                      [&store](StoreRef const& holder) { return holder.name == store; });
 }
 
-/// True if a store may be taken away, with its disk, as far as one lot goes: the record doesn't name it, and enough
-/// others said themselves that they hold the lot. A record alone proves nothing: a holder may have lost its disk since
-/// it was written.
+/// True if one lot doesn't prevent the removal of a store with its disk: the record doesn't name the store, and enough
+/// holders confirmed their replicas. The record alone isn't enough: a holder may have lost its disk since it was
+/// written.
 inline bool canRemoveStore(LotRecord const& lot, string const& store, ConfirmedReplicas const& confirmed,
                            std::size_t needed) {
   if (namesStore(lot, store)) return false;
@@ -43,8 +43,8 @@
   return copies >= needed;
 }
 
-/// Who holds a lot after its recovery. Leaving stores go only once enough others have it; until then every intact copy
-/// is kept, the new ones too.
+/// The holders of a lot after its recovery. Retiring stores are left out only if enough others have the lot; otherwise
+/// every intact copy is kept, the new ones too.
 inline vector<StoreRef> holdersAfterRecovery(vector<StoreRef> const& settled, vector<StoreRef> const& staying,
                                              std::size_t needed) {
   if (staying.size() >= needed) return staying;
@@ -54,9 +54,9 @@
   return all;
 }
 
-/// The stores for a recovery: `choose(excluded)` gives the holders that would be left or taken. Stores that failed the
-/// writer are excluded, unless too few others are there: then they may get a fresh copy once they are back, as the lot
-/// would stay without a writer for good.
+/// The holders for a recovery: `choose(excluded)` returns the holders that stay or get a copy. Stores that failed the
+/// primary are excluded, unless too few others are available: then they may get a fresh copy, as the lot would
+/// otherwise have no primary for good.
 template <class Choose>
 vector<StoreRef> storesForRecovery(Choose choose, std::set<NodeId> const& failed, std::size_t needed) {
   vector<StoreRef> chosen = choose(failed);
--- a/lots/coordination/sealed_lots.cpp
+++ b/lots/coordination/sealed_lots.cpp
@@ -1,13 +1,13 @@
-// Sealed lots: their record says that nothing is listed any more, and their replicas never change again.
+// Sealed lots: no more results are listed, and their replicas never change again.
 #include "lots/coordination/lot_coordinator.hpp"
 
 namespace tealshelf {
 
-/// The primary said under the recorded stamp that all it will ever list is listed, so each holder has synced it.
+/// The primary reported under the recorded stamp that all results are listed, so every holder has synced them.
 Task<RecoveryOutcome> LotCoordinator::seal(LotRecord lot, Epoch epoch) {
   LotStatus& status = lots_[lot.key()];
-  bool const stands = status.finalStamp == lot.stamp && lot.holders.size() >= neededCopies();
-  if (!stands) co_return RecoveryOutcome::recordChanged;
+  bool const isCurrent = status.finalStamp == lot.stamp && lot.holders.size() >= neededCopies();
+  if (!isCurrent) co_return RecoveryOutcome::recordChanged;
   lot.sealedStamp = lot.stamp;
   lot.sealedResults = status.finalResults;
   lot.stamp = freshStamp(lot.host);
@@ -17,7 +17,7 @@
 
 Task<LotCoordinator::HolderConfirmations> LotCoordinator::confirmSealedHolders(LotRecord lot) {
   HolderConfirmations answers;
-  ConfirmReplicas const question{{{lot.host, lot.id, lot.sealedStamp}}};
+  ConfirmReplicas const request{{{lot.host, lot.id, lot.sealedStamp}}};
   for (StoreRef const& holder : lot.holders) {
     if (isDiskReplaced(holder)) continue;
     if (isDead(holder.id, Clock::now())) {
@@ -25,11 +25,11 @@
       continue;
     }
     try {
-      ConfirmReplicasReply const answer = co_await rpc_.call(holder.address, question, settings_.bounds.inTouch / 4);
-      bool const sameDisk = answer.self == holder.id;
-      if (sameDisk && !answer.held.empty() && answer.held[0]) answers.confirmed.push_back(holder);
+      ConfirmReplicasReply const reply = co_await rpc_.call(holder.address, request, settings_.bounds.inTouch / 4);
+      bool const sameDisk = reply.self == holder.id;
+      if (sameDisk && !reply.held.empty() && reply.held[0]) answers.confirmed.push_back(holder);
     } catch (Error const& error) {
-      logDebug("lots", lot.id + ": " + holder.name + " doesn't confirm: " + error.what());
+      logDebug("lots", "store " + holder.name + " didn't confirm its replica of lot " + lot.id + ": " + error.what());
       answers.unreachable.push_back(holder);
     }
   }
@@ -61,8 +61,8 @@
   if (answers.confirmed.empty()) co_return RecoveryOutcome::noIntactReplica;
   vector<StoreRef> staying, leaving;
   for (StoreRef const& holder : answers.confirmed) {
-    bool const goes = retiring.contains(holder.name) || isDiskFailing(holder.id);
-    (goes ? leaving : staying).push_back(holder);
+    bool const leaves = retiring.contains(holder.name) || isDiskFailing(holder.id);
+    (leaves ? leaving : staying).push_back(holder);
   }
   if (mustTrimSpares_) staying = trimHolders(std::move(staying), neededCopies());
   LotRecord next = lot;
@@ -71,7 +71,8 @@
   RecoveryCopies const copies = co_await makeCopies(copy, answers.confirmed, staying, {});
   next.holders = copies.holders;
   bool const enough = next.holders.size() >= neededCopies();
-  // While too few have it for certain, every store that has or may have it stays named, and serves reads when it can.
+  // While too few copies are confirmed, the record keeps every store that has or may have one, so that each can serve
+  // reads.
   if (!enough) {
     vector<StoreRef> others = leaving;
     others.insert(others.end(), answers.unreachable.begin(), answers.unreachable.end());
--- a/lots/coordination/store_supervision.cpp
+++ b/lots/coordination/store_supervision.cpp
@@ -1,16 +1,16 @@
-// Heartbeats, leases and choice of stores.
+// Heartbeats and leases of stores, and their choice as holders.
 #include "lots/coordination/lot_coordinator.hpp"
 
 namespace tealshelf {
 
 namespace {
-/// Parts of the stores' limits up to which spare copies are made, and up to which they are kept.
+/// Fractions of the stores' total limit up to which spare copies are made, and up to which they are kept.
 constexpr double maxLoadForSpares = 0.5, maxLoadToKeepSpares = 0.6;
 }  // namespace
 
 bool LotCoordinator::isDead(NodeId store, TimePoint now) const {
   auto const status = stores_.find(store);
-  // One that was never heard gets a while after this process's start.
+  // A store without a heartbeat so far gets a grace period after the start of this process.
   TimePoint const heardAt =
       status == stores_.end() ? startedAt_ + settings_.bounds.catchUp / 2 : status->second.heardAt;
   return now > heardAt && now - heardAt > settings_.bounds.inTouch * 3 / 10;
@@ -66,7 +66,7 @@
   return holders;
 }
 
-/// A store that has a replica of the lot takes a fresh one in its place, whether or not there is room for others.
+/// A store that has a replica of the lot can always replace it by a fresh one, even if it has no room for others.
 bool LotCoordinator::canPlaceOn(Placement const& placement, StoreRef const& store) const {
   bool const hasReplica = std::any_of(placement.currentHolders.begin(), placement.currentHolders.end(),
                                       [&store](StoreRef const& holder) { return holder.id == store.id; });
@@ -89,8 +89,8 @@
     fleet.stores.push_back(stores_.at(store.id).load);
     names.insert(store.name);
   }
-  // What was lost lately is one of the losses to survive; what is long gone has no part in them.
-  // Its copies are due on the others.
+  // A store lost recently is one of the losses to survive, and its copies must be restored on the others. Stores lost
+  // long ago no longer count.
   std::set<string> lost;
   for (auto const& [id, status] : stores_) {
     if (containsStore(live, id) || now - status.heardAt > settings_.bounds.catchUp) continue;
@@ -105,13 +105,13 @@
 }
 
 void LotCoordinator::updateRoomForSpares(TimePoint now) {
-  double taken = 0, limits = 0;
+  double used = 0, limits = 0;
   for (StoreLoad const& store : fleetLoad(now).stores) {
-    taken += static_cast<double>(store.used + store.expectedGrowth);
+    used += static_cast<double>(store.used + store.expectedGrowth);
     limits += static_cast<double>(store.limit);
   }
-  roomForSpares_ = taken <= maxLoadForSpares * limits;
-  mustTrimSpares_ = taken > maxLoadToKeepSpares * limits;
+  roomForSpares_ = used <= maxLoadForSpares * limits;
+  mustTrimSpares_ = used > maxLoadToKeepSpares * limits;
 }
 
 Task<Acknowledgement> LotCoordinator::fence(FenceStore request) {
@@ -145,7 +145,7 @@
   }
 }
 
-/// Adds the records of a keyspace that changed since a revision. A new ownership counts as a change of all.
+/// Adds the records of a keyspace that changed since a revision. A new ownership counts as a change of all records.
 void LotCoordinator::addRecords(string const& keyspace, std::uint64_t sinceRevision, StoreHeartbeatReply& reply) {
   string const host = keyspace.substr(keyspaceOf("").size());
   Values const& records = driver_.consensus().committedValues(keyspace);
@@ -172,7 +172,7 @@
 bool LotCoordinator::isStale(ReplicaVersion const& replica, NodeId store) const {
   std::optional<LotRecord> const lot = load(replica.key());
   if (!lot) return true;
-  // Nothing is deleted while the record names fewer copies than a loss needs.
+  // No replica is deleted while the record names fewer holders than needed.
   bool const replaced = lot->holders.size() >= neededCopies() && !lot->isHeldBy(store);
   return replaced && replica.stamp < lot->stamp;
 }
@@ -182,7 +182,7 @@
   for (ReplicaVersion const& replica : reply.staleReplicas) hosts.insert(replica.host);
   for (string const& host : hosts) {
     bool const confirmed = co_await driver_.confirmOwnership(keyspaceOf(host), settings_.bounds.inTouch / 15);
-    // A lot may have been opened or recovered meanwhile.
+    // The lot may have been opened or recovered during the confirmation.
     std::erase_if(reply.staleReplicas, [&](ReplicaVersion const& replica) {
       return replica.host == host && !(confirmed && isStale(replica, store));
     });
@@ -192,7 +192,7 @@
 Task<StoreHeartbeatReply> LotCoordinator::receiveHeartbeat(StoreHeartbeat heartbeat) {
   TimePoint const now = Clock::now();
   recordHeartbeat(heartbeat, now);
-  // A store with a failing disk serves reads on, unless others can take its lots over.
+  // A store with a failing disk keeps its lease and serves reads until enough other stores can take over its lots.
   bool const replaced = heartbeat.diskFailing && liveStores(now).size() >= neededCopies();
   bool const ready = driver_.inContactWithMajority() && !replaced;
   LeaseGrants::Decision const decision = leases_.renew(heartbeat.self.id, heartbeat.lease, ready, now);
--- a/lots/coordination/waiting_lots.hpp
+++ b/lots/coordination/waiting_lots.hpp
@@ -3,18 +3,17 @@
 
 namespace tealshelf {
 
-/// A lot whose recovery was tried and didn't succeed yet.
+/// A lot whose recovery has failed so far.
 struct WaitingLot {
   string lot, host;
   RecoveryNeed need = RecoveryNeed::none;
-  RecoveryOutcome outcome = RecoveryOutcome::none;  ///< of the last try
+  RecoveryOutcome outcome = RecoveryOutcome::none;  ///< of the last attempt
   std::size_t tries = 0;
-  Ms waited{0};    ///< since the first of the tries ended
-  string finding;  ///< what the last try saw of record, holders and copies
+  Ms waited{0};    ///< since the first failed attempt ended
+  string finding;  ///< state of record, holders and copies in the last attempt
 };
 
-/// The lots that wait, the most urgent need first and of one need the longest wait first, as a JSON text; no more than
-/// `maxLots`.
+/// JSON report of at most `maxLots` waiting lots, the most urgent need first and within a need the longest wait first.
 string waitingLotsReport(string const& node, vector<WaitingLot> lots, std::size_t maxLots);
 
 }  // namespace tealshelf
--- a/lots/messages.hpp
+++ b/lots/messages.hpp
@@ -2,7 +2,7 @@
 #include "consensus/membership.hpp"
 #include "segments/messages.hpp"
 
-/// Calls between edge nodes, stores and the coordinator of a lot.
+/// RPC messages between edge nodes, stores and the control node that coordinates a lot.
 namespace tealshelf {
 
 struct OpenLotReply {
@@ -11,19 +11,19 @@
   MSGPACK_DEFINE(alreadyAccepted, lot)
 };
 
-/// Opens a lot: the coordinator picks holders and gives a stamp.
+/// Registers a new lot: the coordinator chooses the stores that hold it and assigns a generation stamp.
 struct OpenLot {
   using Reply = OpenLotReply;
   static constexpr RpcMethod method = RpcMethod::openLot;
   LotRecord lot;
   std::uint64_t maxQueuedTokens = 0;
   int hops = 0;
-  vector<NodeId> excluded;  ///< stores that failed an earlier try
+  vector<NodeId> excluded;  ///< stores that failed an earlier attempt
   std::uint64_t itemBytes = 0;
   MSGPACK_DEFINE(lot, maxQueuedTokens, hops, excluded, itemBytes)
 };
 
-/// Accepts a lot that its holders have synced under a stamp.
+/// Marks a lot as accepted after its holders have synced it under the given stamp.
 struct AcceptLot {
   using Reply = Acknowledgement;
   static constexpr RpcMethod method = RpcMethod::acceptLot;
@@ -40,6 +40,7 @@
   MSGPACK_DEFINE(known, lot)
 };
 
+/// Looks up the record of an accepted or ended lot.
 struct FindLot {
   using Reply = FindLotReply;
   static constexpr RpcMethod method = RpcMethod::findLot;
@@ -49,6 +50,7 @@
   MSGPACK_DEFINE(host, lot, hops)
 };
 
+/// Marks a lot as ended; the reply holds the record.
 struct EndLot {
   using Reply = FindLotReply;
   static constexpr RpcMethod method = RpcMethod::endLot;
@@ -58,26 +60,27 @@
   MSGPACK_DEFINE(host, lot, hops)
 };
 
-/// How far a lot has come, told by its primary.
+/// Progress of a lot as its primary reports it. Listed results are those that readers can see.
 struct LotProgress {
   string host, lot;
   GenerationStamp stamp;
   std::uint64_t finishedTokens = 0, listedResults = 0;
-  bool final = false;  ///< nothing will be listed beyond these results
+  bool final = false;  ///< no more results will be listed
   LotKey key() const { return {host, lot}; }
   MSGPACK_DEFINE(host, lot, stamp, finishedTokens, listedResults, final)
 };
 
-/// How full a store is, in bytes of replicas. All are 0 for a store that doesn't tell.
+/// Disk space for replicas on a store, in bytes. All fields are 0 if the store doesn't report its load.
 struct StoreLoad {
-  std::uint64_t used = 0;            ///< by the replicas that it has
-  std::uint64_t expectedGrowth = 0;  ///< what the results still to come will likely take
-  std::uint64_t limit = 0;           ///< what it takes at the most
+  std::uint64_t used = 0;            ///< by the present replicas
+  std::uint64_t expectedGrowth = 0;  ///< estimate for results that are still to be written
+  std::uint64_t limit = 0;           ///< maximum for all replicas together
   bool tells() const { return limit != 0; }
   MSGPACK_DEFINE(used, expectedGrowth, limit)
 };
 
-/// A store's report that a holder fails a lot, or, about itself, that its own replica must be settled anew.
+/// A store's report that a holder of a lot failed, or, if the store names itself, that its own replica isn't usable
+/// until the lot is recovered under a new stamp.
 struct HolderFailure {
   string host, lot;
   GenerationStamp stamp;
@@ -87,36 +90,37 @@
 };
 
 struct StoreHeartbeatReply {
-  bool granted = false;  ///< the lease is renewed, as far as this control node goes
-  bool fenced = false;   ///< the lease is never granted again; the store needs another
-  std::uint64_t process = 0;
+  bool granted = false;       ///< this control node renewed the lease; it is valid once a majority did
+  bool fenced = false;        ///< the lease is never granted again; the store must ask for a higher one
+  std::uint64_t process = 0;  ///< random id of the control node's process, within which revisions are comparable
   std::uint64_t revision = 0;
-  vector<LotRecord> lots;                ///< changed since the revision asked with
-  vector<ReplicaVersion> staleReplicas;  ///< to be deleted, with the stamp up to which
-  vector<string> ownedKeyspaces;         ///< of this control node
+  vector<LotRecord> lots;                ///< changed since the revision in the request
+  vector<ReplicaVersion> staleReplicas;  ///< to be deleted, each with the stamp up to which it is stale
+  vector<string> ownedKeyspaces;         ///< by this control node
   vector<Member> members;
-  std::uint64_t fencedUpTo = 0;  ///< highest lease of the store that is never granted again
+  std::uint64_t fencedUpTo = 0;  ///< highest lease of the store that is fenced
   MSGPACK_DEFINE(granted, fenced, process, revision, lots, staleReplicas, ownedKeyspaces, members, fencedUpTo)
 };
 
-/// A store's periodic call to each control node: renews its lease and brings news of lots both ways.
+/// Sent periodically by each store to every control node: renews the store's lease, reports progress and failures of
+/// lots, and fetches changed records.
 struct StoreHeartbeat {
   using Reply = StoreHeartbeatReply;
   static constexpr RpcMethod method = RpcMethod::storeHeartbeat;
   StoreRef self;
   std::uint64_t lease = 0;
-  std::uint64_t process = 0, revision = 0;  ///< of the last reply
+  std::uint64_t process = 0, revision = 0;  ///< from the last reply
   bool countsAsLoss = false;
   vector<LotProgress> progress;
   vector<ReplicaVersion> replicas;
   vector<HolderFailure> failures;
   bool leaving = false;
-  bool diskFailing = false;  ///< its disk takes no writes: it can be read, but holds nothing new
+  bool diskFailing = false;  ///< the disk rejects writes: replicas stay readable, but no new ones can be stored
   StoreLoad load;
   MSGPACK_DEFINE(self, lease, process, revision, countsAsLoss, progress, replicas, failures, leaving, diskFailing, load)
 };
 
-/// Asks a control node never to grant the present lease of a store again.
+/// Asks a control node to fence the current lease of a store, so that it is never granted again.
 struct FenceStore {
   using Reply = Acknowledgement;
   static constexpr RpcMethod method = RpcMethod::fenceStore;
@@ -129,7 +133,7 @@
   MSGPACK_DEFINE(lots)
 };
 
-/// Asks the owner of a keyspace how many lots rely on a store.
+/// Asks the owner of a host's keyspace how many of its lots still depend on a store.
 struct CountRelyingLots {
   using Reply = CountRelyingLotsReply;
   static constexpr RpcMethod method = RpcMethod::countRelyingLots;
