--- a/lots/coordination/store_placement.cpp
+++ b/lots/coordination/store_placement.cpp
@@ -30,7 +30,7 @@
 }
 
 bool hasRoom(StoreLoad const& load, CopyPurpose purpose, double bytes) {
-  if (!load.tells()) return true;
+  if (!load.isReported()) return true;
   // Space for the growth of open lots is reserved, but not against copies that restore redundancy.
   double const expectedGrowth = purpose == CopyPurpose::recovery ? 0 : static_cast<double>(load.expectedGrowth);
   double const taken = static_cast<double>(load.used) + expectedGrowth + bytes;
@@ -41,7 +41,7 @@
   vector<double> limits;
   double used = static_cast<double>(fleet.lostBytes);
   for (StoreLoad const& store : fleet.stores) {
-    if (!store.tells()) return true;
+    if (!store.isReported()) return true;
     limits.push_back(static_cast<double>(store.limit));
     used += static_cast<double>(store.used + store.expectedGrowth);
   }
--- a/lots/messages.hpp
+++ b/lots/messages.hpp
@@ -75,7 +75,7 @@
   std::uint64_t used = 0;            ///< by the present replicas
   std::uint64_t expectedGrowth = 0;  ///< estimate for results that are still to be written
   std::uint64_t limit = 0;           ///< maximum for all replicas together
-  bool tells() const { return limit != 0; }
+  bool isReported() const { return limit != 0; }
   MSGPACK_DEFINE(used, expectedGrowth, limit)
 };
 
