--- a/tests/lots/failed_holder_test.cpp
+++ b/tests/lots/failed_holder_test.cpp
@@ -8,9 +8,9 @@
 
 TEST_GROUP(failedHolder){};
 
-/// All stores have outgrown their limit, and a holder failed its writer once. It is live, and its replica is intact:
-/// no new copy needs room, and the lot goes on under a fresh stamp.
-TEST(failedHolder, oneThatStillHasItsReplicaNeedsNoRoomToBeTakenBack) {
+/// All stores are over their limit, and a live holder with an intact replica failed the primary once. The lot must go
+/// on under a fresh stamp, as this needs no room for a new copy.
+TEST(failedHolder, aHolderWithAnIntactReplicaStaysWithoutFreeSpace) {
   StoreFleet fleet("/tmp/tealshelf-failed-holder", 3, 1, failedHolderPort);
   for (std::size_t store = 0; store < 3; ++store) CHECK(fleet.putFiller(store, 1350u << 10, 1));
   fleet.runUntil([] { return false; }, Ms(1000));
--- a/tests/lots/holder_reports_test.cpp
+++ b/tests/lots/holder_reports_test.cpp
@@ -10,7 +10,7 @@
 StoreRef storeNumber(std::uint64_t number) {
   return {NodeId(number), "store-" + std::to_string(number), "zone", {}};
 }
-InspectReplicaReply answerOf(std::uint64_t number, bool known, std::uint64_t stamp) {
+InspectReplicaReply replyOf(std::uint64_t number, bool known, std::uint64_t stamp) {
   return {known, GenerationStamp(stamp), 3, NodeId(number)};
 }
 /// A recovery of a lot at stores 1, 2 and 3, all of them live.
@@ -29,9 +29,9 @@
 
 TEST_GROUP(holderReports){};
 
-/// The day that lost lots: the primary of the first record reported the holders that a cut took from it, and these
-/// became the holders of the second one.
-TEST(holderReports, whatWasSaidOfARecordEndsWithItsStamp) {
+/// Guards against a loss of lots: the primary of one record reported holders that a partition separated from it, and
+/// these became the holders of the next record.
+TEST(holderReports, reportsEndWithTheStampOfTheirRecord) {
   HolderReports reports;
   reports.addFailed(GenerationStamp(4), NodeId(2));
   reports.addUnsettled(GenerationStamp(4));
@@ -39,14 +39,14 @@
   CHECK(reports.failedUnder(GenerationStamp(5)).empty());
   CHECK_FALSE(reports.requireRecovery(GenerationStamp(5)));
 }
-TEST(holderReports, aReportUnderAFreshStampBeginsAnew) {
+TEST(holderReports, aReportUnderANewStampDropsEarlierReports) {
   HolderReports reports;
   reports.addFailed(GenerationStamp(4), NodeId(2));
   reports.addUnsettled(GenerationStamp(5));
   CHECK(reports.requireRecovery(GenerationStamp(5)));
   CHECK(reports.failedUnder(GenerationStamp(5)).empty());
 }
-TEST(holderReports, aLateReportUnderAnEarlierStampCountsForNothing) {
+TEST(holderReports, aLateReportUnderAnEarlierStampIsIgnored) {
   HolderReports reports;
   reports.addFailed(GenerationStamp(5), NodeId(1));
   reports.addFailed(GenerationStamp(4), NodeId(2));
@@ -55,38 +55,38 @@
 
 TEST_GROUP(lotRecovery){};
 
-TEST(lotRecovery, aPrimaryThatTakesNoPartIsFencedBeforeAStampIsTaken) {
+TEST(lotRecovery, aPrimaryOutsideTheRecoveryIsFencedBeforeAStampIsAllocated) {
   LotRecovery recovery = recoveryOfThree();
-  recovery.inspected({std::nullopt, answerOf(2, true, 7), answerOf(3, true, 7)});
+  recovery.inspected({std::nullopt, replyOf(2, true, 7), replyOf(3, true, 7)});
   CHECK(std::holds_alternative<recovery_step::FenceStore>(recovery.step()));
   recovery.fenced(false);
   CHECK(std::get<recovery_step::End>(recovery.step()).outcome == RecoveryOutcome::primaryNotFenced);
 }
-/// It renews its lease for its other lots, so that waiting for a fence would never end.
-TEST(lotRecovery, aPrimaryThatSaysItHasNoIntactReplicaNeedsNoFence) {
+/// The primary keeps renewing its lease for its other lots, so fencing it would never succeed.
+TEST(lotRecovery, aPrimaryThatReportsNoIntactReplicaNeedsNoFence) {
   LotRecovery recovery = recoveryOfThree();
-  recovery.inspected({answerOf(1, false, 0), answerOf(2, true, 7), answerOf(3, true, 7)});
+  recovery.inspected({replyOf(1, false, 0), replyOf(2, true, 7), replyOf(3, true, 7)});
   CHECK(std::holds_alternative<recovery_step::AllocateStamp>(recovery.step()));
 }
-TEST(lotRecovery, anotherDiskAtThePrimarysAddressSaysNothingOfIt) {
+TEST(lotRecovery, aReplyFromAnotherDiskAtThePrimarysAddressIsIgnored) {
   LotRecovery recovery = recoveryOfThree();
-  recovery.inspected({answerOf(9, false, 0), answerOf(2, true, 7), answerOf(3, true, 7)});
+  recovery.inspected({replyOf(9, false, 0), replyOf(2, true, 7), replyOf(3, true, 7)});
   CHECK(std::holds_alternative<recovery_step::FenceStore>(recovery.step()));
 }
-TEST(lotRecovery, whoIsNoLongerTheOwnerGivesNoStamp) {
+TEST(lotRecovery, recoveryEndsIfTheNodeIsNoLongerTheOwner) {
   LotRecovery recovery = recoveryOfThree();
-  recovery.inspected({answerOf(1, true, 7), answerOf(2, true, 7), answerOf(3, true, 7)});
+  recovery.inspected({replyOf(1, true, 7), replyOf(2, true, 7), replyOf(3, true, 7)});
   recovery.stamped(std::nullopt);
   CHECK(std::get<recovery_step::End>(recovery.step()).outcome == RecoveryOutcome::notOwner);
 }
-TEST(lotRecovery, noSurvivorTakesTheFreshStampBeforeTheCopiesAreThere) {
+TEST(lotRecovery, noSurvivorTakesTheFreshStampBeforeTheCopiesExist) {
   LotRecovery recovery = recoveryOfThree({NodeId(3)});
-  recovery.inspected({answerOf(1, true, 7), answerOf(2, true, 7)});
+  recovery.inspected({replyOf(1, true, 7), replyOf(2, true, 7)});
   recovery.stamped(GenerationStamp(8));
   recovery_step::MakeCopies const first = std::get<recovery_step::MakeCopies>(recovery.step());
   CHECK(first.excluded.contains(NodeId(3)));
   recovery.copied({first.holders, 0, 1});
-  // The store that failed gets a fresh copy where no other takes one.
+  // The failed store may get a fresh copy if no other store accepts one.
   recovery_step::MakeCopies const second = std::get<recovery_step::MakeCopies>(recovery.step());
   CHECK(second.excluded.empty());
   recovery.copied({second.holders, 0, 1});
--- a/tests/lots/lot_fleet_coordination.cpp
+++ b/tests/lots/lot_fleet_coordination.cpp
@@ -1,4 +1,4 @@
-// What coordinators and clients of the simulated lots do.
+// Coordinators and clients of the simulated lots.
 #include "tests/lots/lot_fleet_sim.hpp"
 
 namespace tealshelf::sim {
@@ -52,8 +52,8 @@
   for (auto const& [id, lot] : node.records) {
     LotStatus& status = node.lots[id];
     bool const mayTry = !status.recovering && now_ - status.lastTriedAt >= inTouch / 10;
-    bool const isLeft = mutation_ == Mutation::failedRecoveryIsNotRetried && status.lastRecoveryFailed;
-    if (mayTry && !isLeft && needsRecovery(node, lot, status)) startRecovery(node, lot);
+    bool const isSkipped = mutation_ == Mutation::failedRecoveryIsNotRetried && status.lastRecoveryFailed;
+    if (mayTry && !isSkipped && needsRecovery(node, lot, status)) startRecovery(node, lot);
   }
 }
 
@@ -81,25 +81,27 @@
   Control& node = *controls_[task.node];
   if (node.incarnation != task.incarnation) task.ended = true;
   if (task.ended || !runs(node) || now_ < task.dueAt) return;
-  namespace wanted = recovery_step;
+  namespace action = recovery_step;
   RecoveryStep const step = task.recovery->step();
-  if (wanted::InspectHolders const* const inspect = std::get_if<wanted::InspectHolders>(&step))
+  if (action::InspectHolders const* const inspect = std::get_if<action::InspectHolders>(&step))
     return advanceInspect(task, *inspect);
-  if (wanted::MakeCopies const* const make = std::get_if<wanted::MakeCopies>(&step)) return advanceCopies(task, *make);
-  if (wanted::SettleHolders const* const settle = std::get_if<wanted::SettleHolders>(&step))
+  if (action::MakeCopies const* const make = std::get_if<action::MakeCopies>(&step)) return advanceCopies(task, *make);
+  if (action::SettleHolders const* const settle = std::get_if<action::SettleHolders>(&step))
     return advanceSettle(task, *settle);
-  if (wanted::FenceStore const* const fence = std::get_if<wanted::FenceStore>(&step)) {
+  if (action::FenceStore const* const fence = std::get_if<action::FenceStore>(&step)) {
     task.recovery->fenced(fenceAtMajority(node, fence->store) || mutation_ == Mutation::skipsFence);
-  } else if (std::holds_alternative<wanted::AllocateStamp>(step)) {
+  } else if (std::holds_alternative<action::AllocateStamp>(step)) {
     task.recovery->stamped(freshStamp(node, task.epoch));
-  } else if (wanted::SaveRecord const* const save = std::get_if<wanted::SaveRecord>(&step)) {
+  } else if (action::SaveRecord const* const save = std::get_if<action::SaveRecord>(&step)) {
     std::uint64_t const under = mutation_ == Mutation::staleOwnerWrites ? node.epoch.value_or(task.epoch) : task.epoch;
     bool const saved = commit(node, save->lot, under);
     if (saved && pick(12) == 0) powerOff_ = save->lot;
-    if (saved) note(task.lot + " recovered by " + std::to_string(task.node) + " under " + hex(save->lot.stamp.value));
+    if (saved)
+      note(task.lot + " recovered by control " + std::to_string(task.node) + " under stamp " +
+           hex(save->lot.stamp.value));
     task.recovery->saved(saved);
   } else {
-    return endRecovery(task, std::get<wanted::End>(step).outcome);
+    return endRecovery(task, std::get<action::End>(step).outcome);
   }
   beginNextStep(task);
 }
@@ -127,8 +129,8 @@
     status.everFailed.clear();
   }
   if (!isDone)
-    note(task.lot + " waits at " + std::to_string(task.node) + ": " + string(nameOf(outcome)) + "; " +
-         task.recovery->describe());
+    note("recovery of " + task.lot + " failed at control " + std::to_string(task.node) + ": " +
+         string(nameOf(outcome)) + "; " + task.recovery->describe());
   task.ended = true;
 }
 
@@ -224,8 +226,8 @@
 }
 
 std::optional<GenerationStamp> LotFleet::freshStamp(Control& node, std::uint64_t epoch) {
-  bool const isFree = mutation_ == Mutation::staleOwnerWrites;
-  if (node.epoch != epoch && !isFree) return std::nullopt;
+  bool const ignoresEpoch = mutation_ == Mutation::staleOwnerWrites;
+  if (node.epoch != epoch && !ignoresEpoch) return std::nullopt;
   return GenerationStamp(epoch << 32 | ++node.stamps);
 }
 
@@ -295,7 +297,7 @@
   if (!listed)
     cachedRecords_.erase({reader.edge, reader.lot.id});
   else if (*listed < reader.mustSee)
-    fail("a listed result vanished from " + reader.lot.id);
+    fail("a listed result disappeared from " + reader.lot.id);
 }
 
 std::optional<std::size_t> LotFleet::read(LotRecord const& lot) {
--- a/tests/lots/lot_fleet_faults.cpp
+++ b/tests/lots/lot_fleet_faults.cpp
@@ -1,4 +1,4 @@
-// Troubles of the simulated machines, and what must hold at the end.
+// Faults of the simulated machines and network, and the checks at the end.
 #include "tests/lots/lot_fleet_sim.hpp"
 
 namespace tealshelf::sim {
@@ -23,7 +23,7 @@
       return stopControl(node);
     case 9:
     case 10:
-      // A planned handover; the preferred owner gets its keyspace back soon.
+      // A planned change of owner; the preferred owner soon gets the keyspace back.
       if (runs(node) && hasMajority(node)) takeOver(node);
       return;
     default:
@@ -34,7 +34,7 @@
 
 void LotFleet::stopStore(Store& store, bool losesPower) {
   if (!store.up) return;
-  // What a killed process wrote stays; without power any beginning of it does.
+  // All writes of a killed process reach the disk; at a power failure only a prefix of them does.
   std::size_t keep = losesPower ? pick(store.pending.size() + 1) : store.pending.size();
   for (auto const& [doneAt, records] : store.pending) {
     if (!keep--) break;
@@ -54,7 +54,7 @@
   node.epoch.reset();
   node.heard.clear();
   node.lots.clear();
-  // Stamps repeat neither: the epochs of a new ownership are higher.
+  // Stamps don't repeat after a restart, as a new ownership has a higher epoch.
   note("control " + std::to_string(node.index) + " is down");
 }
 
@@ -85,22 +85,22 @@
 void LotFleet::partition() {
   std::size_t const count = blocked_.size();
   string const zone = zoneOf(pick(count)), second = zoneOf(pick(count));
-  std::uint64_t const form = pick(4);
+  std::uint64_t const kind = pick(4);
   auto const inFirstHalf = [](string const& name) { return name == "z0" || name == "z1"; };
   for (std::size_t from = 0; from < count; ++from)
     for (std::size_t to = 0; to < count; ++to) {
       string const &left = zoneOf(from), &right = zoneOf(to);
-      bool blocks = (left == zone) != (right == zone);                  // a zone is off
-      if (form == 1) blocks = inFirstHalf(left) != inFirstHalf(right);  // halves
-      if (form == 2) blocks = left == zone && right != zone;            // nothing comes out of it
-      if (form == 3) blocks = left != right && (left == zone || left == second) && (right == zone || right == second);
+      bool blocks = (left == zone) != (right == zone);                  // one zone is isolated
+      if (kind == 1) blocks = inFirstHalf(left) != inFirstHalf(right);  // two halves
+      if (kind == 2) blocks = left == zone && right != zone;            // one zone can't send
+      if (kind == 3) blocks = left != right && (left == zone || left == second) && (right == zone || right == second);
       blocked_[from][to] = blocks;
     }
   partitionedZones_ = {zone};
-  if (form == 1) partitionedZones_ = {"z0", "z1", "z2", "z3"};
-  if (form == 3) partitionedZones_ = {zone, second};
+  if (kind == 1) partitionedZones_ = {"z0", "z1", "z2", "z3"};
+  if (kind == 3) partitionedZones_ = {zone, second};
   partitionEndsAt_ = now_ + Ms(1500 + static_cast<std::int64_t>(pick(pick(3) ? 6000 : 20000)));
-  note("cut " + std::to_string(form) + " of " + zone + " " + second);
+  note("partition of kind " + std::to_string(kind) + " at zones " + zone + " " + second);
 }
 
 void LotFleet::heal() {
@@ -108,7 +108,7 @@
   partitionEndsAt_.reset();
   healedAt_ = now_;
   for (vector<bool>& row : blocked_) row.assign(row.size(), false);
-  note("healed");
+  note("partition healed");
   if (pick(3) == 0) nextFaultAt_ = now_ + Ms(static_cast<std::int64_t>(pick(2500)));
 }
 
@@ -119,7 +119,7 @@
       return fail(lot + " has no record");
     std::optional<std::size_t> const listed = read(record->second);
     if (!listed) return fail(lot + " can't be read at the end");
-    if (*listed < seen_[lot].size()) return fail("a listed result vanished from " + lot);
+    if (*listed < seen_[lot].size()) return fail("a listed result disappeared from " + lot);
     if (*listed < items) return fail(lot + " isn't complete at the end");
   }
 }
--- a/tests/lots/lot_fleet_sim.cpp
+++ b/tests/lots/lot_fleet_sim.cpp
@@ -1,4 +1,4 @@
-// Machines, links, disks and ownership of the simulated lots.
+// Machines, links, disks and keyspace ownership of the simulated lots.
 #include "tests/lots/lot_fleet_sim.hpp"
 
 namespace tealshelf::sim {
@@ -75,7 +75,7 @@
 }
 
 void LotFleet::flush(Store& store) {
-  // Now and then a disk is slow.
+  // Some syncs are slow.
   Ms const duration(5 + static_cast<std::int64_t>(pick(12) ? pick(15) : pick(400)));
   TimePoint done = now_ + duration;
   if (!store.pending.empty()) done = std::max(done, store.pending.back().first);
@@ -109,7 +109,7 @@
   }
   if (!runs(node)) return;
   if (hasMajority(node)) node.majorityAt = now_;
-  // One that is cut off, or slept, takes itself for the owner until it looks.
+  // A node that was cut off or frozen believes that it is the owner until it checks.
   bool const isOverdue = now_ - node.majorityAt > inTouch * 6 / 10;
   bool const hasHeard = node.epoch && committed_.epoch != *node.epoch && linked(node.index, committed_.owner) &&
                         runs(*controls_[committed_.owner]) && pick(20) == 0;
@@ -122,8 +122,8 @@
 
 void LotFleet::chooseOwner() {
   Control& owner = *controls_[committed_.owner];
-  bool const isWell = runs(owner) && owner.epoch == committed_.epoch && hasMajority(owner);
-  if (isWell) committed_.ownerUnhealthySince = now_;
+  bool const isHealthy = runs(owner) && owner.epoch == committed_.epoch && hasMajority(owner);
+  if (isHealthy) committed_.ownerUnhealthySince = now_;
   Control& preferred = *controls_[0];
   bool const mayReturn = committed_.owner != 0 && runs(preferred) && hasMajority(preferred);
   if (!mayReturn) committed_.preferredHealthySince = now_;
@@ -140,7 +140,7 @@
   node.epoch = committed_.epoch;
   node.records = committed_.records;
   node.majorityAt = now_;
-  note("control " + std::to_string(node.index) + " owns under epoch " + std::to_string(committed_.epoch));
+  note("control " + std::to_string(node.index) + "  owns the keyspace under epoch " + std::to_string(committed_.epoch));
   if (pick(3) == 0) nextFaultAt_ = now_ + Ms(static_cast<std::int64_t>(pick(1500)));
 }
 
@@ -149,20 +149,21 @@
 }
 
 bool LotFleet::commit(Control& node, LotRecord const& lot, std::uint64_t under) {
-  bool const isUnder = node.epoch == under || mutation_ == Mutation::staleOwnerWrites;
-  if (!isUnder || !confirmsOwnership(node)) return false;
+  bool const isCurrentEpoch = node.epoch == under || mutation_ == Mutation::staleOwnerWrites;
+  if (!isCurrentEpoch || !confirmsOwnership(node)) return false;
   LotRecord& record = committed_.records[lot.id];
-  if (lot.stamp < record.stamp || lot.state < record.state) fail("the record of " + lot.id + " goes back");
+  if (lot.stamp < record.stamp || lot.state < record.state)
+    fail("the record of " + lot.id + " goes back to an older stamp or state");
   record = lot;
   checkHolders(lot);
   node.records[lot.id] = lot;
-  // Now and then nobody learns that it was committed; the ownership ends with that.
+  // Sometimes the commit isn't reported, and the ownership ends.
   bool const isUnknown = pick(25) == 0;
   if (isUnknown) node.epoch.reset();
   return !isUnknown;
 }
 
-/// What a record names is on the disks of its holders.
+/// Checks that each holder that a record names has the replica on its disk.
 void LotFleet::checkHolders(LotRecord const& lot) {
   if (lot.state == LotState::opening) return;
   for (StoreRef const& holder : lot.holders) {
@@ -170,7 +171,8 @@
     if (store.self.id != holder.id) continue;
     ReplicaTable synced;
     for (string const& record : store.disk) synced.replay(record);
-    if (!synced.holds(lot.key(), lot.stamp)) fail("the record of " + lot.id + " names " + holder.name + " in vain");
+    if (!synced.holds(lot.key(), lot.stamp))
+      fail("the record of " + lot.id + " names " + holder.name + ", which has no synced replica");
   }
 }
 
@@ -210,7 +212,7 @@
     if (!call->applied && now_ >= call->arrivesAt) {
       call->applied = true;
       call->accepted = call->apply();
-      // One that can't be reached is waited for.
+      // A call to an unreachable store ends by its time limit.
       if (!call->accepted && call->reached) call->done = true;
     }
     bool const synced = call->accepted && store.incarnation == call->incarnation && store.syncsDone >= call->syncs;
--- a/tests/lots/lot_fleet_sim.hpp
+++ b/tests/lots/lot_fleet_sim.hpp
@@ -9,38 +9,41 @@
 
 namespace tealshelf::sim {
 
-/// Control nodes that own the keyspace of lots in turn, and stores that hold the lots, on a virtual clock.
+/// Simulation of control nodes that own the keyspace of lots in turn, and of stores that hold the lots, on a virtual
+/// clock.
 ///
-/// Real are the recovery (LotRecovery), the reports of holders, the grants of leases and the tables of replicas;
-/// modelled are ownership (epochs, majorities, a preferred owner that gets its keyspace back), disks with their syncs,
-/// links, and the little that coordinators and stores do around. A seed picks cuts, kills, freezes, losses of power and
-/// wiped disks, many of them right after a lot was accepted or an owner changed. run() checks that readers never see a
-/// listed result vanish or change, and at the end, healed, that every accepted lot is there, readable and complete.
+/// It runs the real LotRecovery, HolderReports, LeaseGrants and ReplicaTable. Ownership (epochs, majorities, a
+/// preferred owner that gets its keyspace back), disks and their syncs, links, and the rest of coordinators and stores
+/// are models. A seed determines the faults: partitions, killed and frozen nodes, power failures and wiped disks, many
+/// of them right after a lot was accepted or the owner changed. run() checks that no listed result disappears or
+/// changes for a reader, and that after all faults have ended every accepted lot is readable and complete.
 class LotFleet {
  public:
+  /// A fault put into the algorithm, which the checks must detect.
   enum class Mutation {
     none,
-    staleOwnerWrites,           ///< a recovery writes its record under whatever epoch its node has by then
+    staleOwnerWrites,  ///< a recovery commits its record under the node's current epoch, not the one in which it began
     namesUnsyncedCopies,        ///< a record names copies that their stores haven't synced
-    fencedLeaseIsKept,          ///< a store whose lease was fenced asks for no other
-    skipsFence,                 ///< a former primary that takes no part goes on under its lease
-    reportsOutliveStamps,       ///< reports on holders are kept when the record changes
-    failedRecoveryIsNotRetried  ///< a recovery that failed once isn't tried again
+    fencedLeaseIsKept,          ///< a store whose lease was fenced doesn't ask for a higher one
+    skipsFence,                 ///< a former primary outside the recovery isn't fenced and goes on under its lease
+    reportsOutliveStamps,       ///< reports of failed holders are kept when the stamp changes
+    failedRecoveryIsNotRetried  ///< a failed recovery isn't retried
   };
   static constexpr Ms step{10}, inTouch{4000}, catchUp{6000};
   static constexpr std::size_t edges = 4, survive = 2, neededCopies = survive + 1, items = 24, maxLots = 16;
 
   LotFleet(std::uint64_t seed, Mutation mutation, Ms length = Ms(40000));
+  /// Runs the simulation; returns the first violation, or an empty text.
   string run();
   std::size_t accepted() const { return accepted_.size(); }
   std::size_t recoveries() const { return recoveries_; }
   std::size_t ownerships() const { return committed_.epoch; }
   std::size_t wipes() const { return wipes_; }
-  /// What was done, one line each, for the seed that is looked at.
+  /// The events of the run, one line each, for a look at a single seed.
   vector<string> const& trace() const { return trace_; }
 
  private:
-  /// A call to a store whose answer waits for a sync there.
+  /// A call to a store, which answers after a sync.
   struct StoreCall {
     std::size_t store = 0, incarnation = 0, syncs = 0;
     TimePoint arrivesAt, end;
@@ -49,9 +52,10 @@
   };
   using CallPtr = std::shared_ptr<StoreCall>;
 
+  /// The execution of a lot at its primary.
   struct Run {
     LotRecord lot;
-    std::size_t listed = 0, appending = 0;  ///< results listed, and those of the append under way
+    std::size_t listed = 0, appending = 0;  ///< results listed, and results after the pending append
     bool stalled = false;
     std::set<NodeId> failedHolders;
     vector<std::pair<NodeId, CallPtr>> calls;
@@ -77,7 +81,7 @@
     std::map<LotKey, Run> runs;
   };
 
-  /// What a control node keeps of a lot in memory, whoever owns it meanwhile.
+  /// What a control node keeps of a lot in memory, across changes of ownership.
   struct LotStatus {
     HolderReports reports;
     std::set<NodeId> everFailed;
@@ -89,27 +93,27 @@
     string zone;
     bool up = true;
     TimePoint upAgainAt, frozenUntil, majorityAt, nextUpkeepAt;
-    std::optional<std::uint64_t> epoch;  ///< under which it takes itself for the owner
+    std::optional<std::uint64_t> epoch;  ///< set while the node believes that it is the owner
     std::uint64_t stamps = 0;
-    std::map<string, LotRecord> records;  ///< as it knows them
+    std::map<string, LotRecord> records;  ///< local copy
     std::unique_ptr<LeaseGrants> leases;
     std::map<NodeId, std::pair<StoreRef, TimePoint>> heard;
     std::map<string, LotStatus> lots;
   };
-  /// What is committed.
+  /// State that a majority of the control nodes committed.
   struct CommittedState {
     std::uint64_t epoch = 1;
     std::size_t owner = 0;
     TimePoint ownerUnhealthySince, preferredHealthySince;
     std::map<string, LotRecord> records;
   };
-  /// A recovery of one lot at one node.
+  /// The recovery of one lot at one control node.
   struct RecoveryTask {
     std::size_t node = 0, incarnation = 0;
     std::uint64_t epoch = 0;
     string lot;
     std::unique_ptr<LotRecovery> recovery;
-    std::size_t at = 0;  ///< index in the present step
+    std::size_t at = 0;  ///< index of the holder within the current step
     TimePoint dueAt;
     CallPtr call;
     std::shared_ptr<InspectReplicaReply> reply;
@@ -120,7 +124,7 @@
     std::optional<StoreRef> target;
     bool ended = false;
   };
-  /// A client that hands a lot in.
+  /// A client's submission of a lot.
   struct Submission {
     LotRecord lot;
     std::size_t node = 0, at = 0, synced = 0;
@@ -129,10 +133,10 @@
     CallPtr call;
     bool ended = false;
   };
-  /// A read by an edge, which goes on with the record that it knows as long as that record's primary answers.
+  /// A read through an edge node, which uses its cached record as long as the primary named there answers.
   struct Reader {
     LotRecord lot;
-    std::size_t edge = 0, mustSee = 0;  ///< results that others had seen as it began
+    std::size_t edge = 0, mustSee = 0;  ///< results that readers had seen when it began
     TimePoint dueAt;
   };
 
@@ -162,7 +166,7 @@
                     bool waitsForSync = true);
   void advanceCalls();
 
-  // What stores do: lot_fleet_stores.cpp.
+  // Stores: lot_fleet_stores.cpp.
   void sendHeartbeats(Store& store);
   void handleHeartbeat(Store& store, Control& node);
   void learnRecord(Store& store, LotRecord const& lot);
@@ -173,7 +177,7 @@
   void renewLease(Store& store, std::uint64_t fencedUpTo);
   void report(Store& store, Control& node);
 
-  // What coordinators and clients do: lot_fleet_coordination.cpp.
+  // Coordinators and clients: lot_fleet_coordination.cpp.
   bool isDead(Control const& node, NodeId store) const;
   bool isDiskReplaced(Control const& node, StoreRef const& holder) const;
   vector<StoreRef> chooseHolders(Control const& node, string const& lot, std::set<NodeId> const& excluded,
@@ -193,17 +197,17 @@
   void submit();
   void advanceSubmission(Submission& submission);
   void startRead();
-  /// How many results the primary that a record names tells; none if it doesn't answer.
+  /// The number of results listed by the primary that a record names; none if it doesn't answer.
   std::optional<std::size_t> read(LotRecord const& lot);
   void finishRead(Reader const& reader);
 
-  // Troubles and the end: lot_fleet_faults.cpp.
+  // Faults and the final check: lot_fleet_faults.cpp.
   void injectFault();
   void stopStore(Store& store, bool losesPower);
   void stopControl(Control& node);
   std::size_t lostStores() const;
   void wipe(Store& store);
-  /// All stores lose power, and as many holders of a lot as may be lost lose their disks too.
+  /// Turns off all stores, and wipes as many holders of a lot as the lot must survive.
   void powerOffAll(LotRecord const& lot);
   void partition();
   void heal();
@@ -231,8 +235,8 @@
   bool finishing_ = false;
   std::uint64_t lastId_ = 0, lotCount_ = 0, resultCount_ = 0;
   std::size_t recoveries_ = 0, wipes_ = 0;
-  TimePoint nextFaultAt_;              ///< of one that was put off until right after something
-  std::optional<LotRecord> powerOff_;  ///< a lot right after whose record all lose power
+  TimePoint nextFaultAt_;              ///< of a fault scheduled right after another event
+  std::optional<LotRecord> powerOff_;  ///< a just committed record; all stores lose power next
   vector<string> trace_;
   string violation_;
 };
--- a/tests/lots/lot_fleet_stores.cpp
+++ b/tests/lots/lot_fleet_stores.cpp
@@ -1,4 +1,4 @@
-// What the simulated stores do around their replicas: heartbeats, leases, runs of lots.
+// Simulated stores: heartbeats, leases and execution of lots.
 #include "tests/lots/lot_fleet_sim.hpp"
 
 namespace tealshelf::sim {
@@ -17,7 +17,7 @@
 }
 
 void LotFleet::report(Store& store, Control& node) {
-  auto const take = [&node](LotRecord const& lot, NodeId holder, NodeId self) {
+  auto const addReport = [&node](LotRecord const& lot, NodeId holder, NodeId self) {
     auto const record = node.records.find(lot.id);
     if (!node.epoch || record == node.records.end() || record->second.stamp != lot.stamp) return;
     LotStatus& status = node.lots[lot.id];
@@ -31,10 +31,10 @@
     LotRecord lot;
     lot.id = key.id;
     lot.stamp = unusable.stamp;
-    if (now_ - unusable.since > inTouch / 12) take(lot, store.self.id, store.self.id);
+    if (now_ - unusable.since > inTouch / 12) addReport(lot, store.self.id, store.self.id);
   }
   for (auto const& [key, run] : store.runs)
-    for (NodeId const holder : run.failedHolders) take(run.lot, holder, store.self.id);
+    for (NodeId const holder : run.failedHolders) addReport(run.lot, holder, store.self.id);
 }
 
 void LotFleet::handleHeartbeat(Store& store, Control& node) {
@@ -85,9 +85,9 @@
     Replica const* const replica = store.table.find(key);
     bool const isUsable =
         replica && replica->lot.stamp == lot.stamp && replica->settledSinceStart && !replica->underRecovery;
-    bool const isFine = isPrimary ? isUsable : !lot.isHeldBy(store.self.id) || store.table.holds(key, lot.stamp);
+    bool const isIntact = isPrimary ? isUsable : !lot.isHeldBy(store.self.id) || store.table.holds(key, lot.stamp);
     if (!isPrimary) store.runs.erase(key);
-    if (isFine) {
+    if (isIntact) {
       store.unusable.erase(key);
       if (isPrimary) startRun(store, lot);
       continue;
@@ -105,9 +105,9 @@
 
 void LotFleet::appendNextResult(Store& store, Run& run) {
   if (run.appending) {
-    bool const isOpen =
+    bool const isPending =
         std::any_of(run.calls.begin(), run.calls.end(), [](auto const& call) { return !call.second->done; });
-    if (isOpen) return;
+    if (isPending) return;
     bool acceptedByAll = true;
     for (auto const& [holder, call] : run.calls) {
       acceptedByAll = acceptedByAll && call->accepted;
--- a/tests/lots/lot_fleet_test.cpp
+++ b/tests/lots/lot_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Owners that come and go over lots whose stores are cut, killed and wiped, on a virtual clock: lot_fleet_sim.hpp.
+// Recovery of lots under changes of ownership, partitions, crashes and disk losses: see lot_fleet_sim.hpp.
 #include "tests/lots/lot_fleet_sim.hpp"
 #include "tests/seeds.hpp"
 
@@ -15,16 +15,16 @@
   return "seed " + std::to_string(seed) + ": " + violation;
 }
 
-void expectCaught(LotFleet::Mutation mutation, std::uint64_t seedsToCatch) {
+void expectDetected(LotFleet::Mutation mutation, std::uint64_t maxSeeds) {
   string violation;
   std::uint64_t seed = 0;
-  while (violation.empty() && seed < seedsToCatch) violation = LotFleet(++seed, mutation).run();
+  while (violation.empty() && seed < maxSeeds) violation = LotFleet(++seed, mutation).run();
   std::printf("%s\n", describeSeed(seed, violation).c_str());
   CHECK(!violation.empty());
 }
 }  // namespace
 
-TEST(lotFleet, acceptedLotsStayReadableAndListedResultsStay) {
+TEST(lotFleet, acceptedLotsStayReadableAndKeepListedResults) {
   std::uint64_t const seeds = seedCount(40);
   std::optional<std::uint64_t> const only = onlySeed();
   std::size_t accepted = 0, recoveries = 0, ownerships = 0, wipes = 0;
@@ -40,27 +40,27 @@
     wipes += fleet.wipes();
   }
   std::printf("%zu lots, %zu recoveries, %zu ownerships, %zu wipes\n", accepted, recoveries, ownerships, wipes);
-  // The runs reach what they are for.
+  // The runs must cover enough lots, recoveries and changes of ownership.
   if (only) return;
   CHECK(accepted > 6 * seeds);
   CHECK(recoveries > 10 * seeds);
   CHECK(ownerships > 4 * seeds);
 }
-TEST(lotFleet, aRecordOfAnEarlierOwnershipIsCaught) {
-  expectCaught(LotFleet::Mutation::staleOwnerWrites, 200);
+TEST(lotFleet, detectsARecordCommittedByAnEarlierOwnership) {
+  expectDetected(LotFleet::Mutation::staleOwnerWrites, 200);
 }
-TEST(lotFleet, aRecordThatNamesUnsyncedCopiesIsCaught) {
-  expectCaught(LotFleet::Mutation::namesUnsyncedCopies, 400);
+TEST(lotFleet, detectsARecordThatNamesUnsyncedCopies) {
+  expectDetected(LotFleet::Mutation::namesUnsyncedCopies, 400);
 }
-TEST(lotFleet, aFenceThatIsNeverLiftedIsCaught) {
-  expectCaught(LotFleet::Mutation::fencedLeaseIsKept, 60);
+TEST(lotFleet, detectsAStoreThatKeepsItsFencedLease) {
+  expectDetected(LotFleet::Mutation::fencedLeaseIsKept, 60);
 }
-TEST(lotFleet, aFormerPrimaryThatServesOnIsCaught) {
-  expectCaught(LotFleet::Mutation::skipsFence, 400);
+TEST(lotFleet, detectsAFormerPrimaryThatStillServes) {
+  expectDetected(LotFleet::Mutation::skipsFence, 400);
 }
-TEST(lotFleet, aReportThatOutlivesItsStampIsCaught) {
-  expectCaught(LotFleet::Mutation::reportsOutliveStamps, 400);
+TEST(lotFleet, detectsAReportThatOutlivesItsStamp) {
+  expectDetected(LotFleet::Mutation::reportsOutliveStamps, 400);
 }
-TEST(lotFleet, aRecoveryThatIsNotTriedAgainIsCaught) {
-  expectCaught(LotFleet::Mutation::failedRecoveryIsNotRetried, 60);
+TEST(lotFleet, detectsARecoveryThatIsNotRetried) {
+  expectDetected(LotFleet::Mutation::failedRecoveryIsNotRetried, 60);
 }
--- a/tests/lots/refusing_store_test.cpp
+++ b/tests/lots/refusing_store_test.cpp
@@ -14,17 +14,17 @@
 
 TEST_GROUP(refusingStore){};
 
-/// One of four stores is as full as it gets, and two of the three others have room. After the loss of one each lot
-/// finds its second copy there, whichever store comes first in the order of its choice.
-TEST(refusingStore, aCopyGoesToAnotherStoreThanTheOneThatRefuses) {
+/// One of four stores is full and another one is lost: the two that remain have room. Each lot gets its second copy
+/// there, even if the full store comes first in its rendezvous order.
+TEST(refusingStore, aCopyThatOneStoreRefusesGoesToAnother) {
   StoreFleet fleet("/tmp/tealshelf-refusing-store", 4, 1, refusingStorePort);
   CHECK(fleet.runUntil([&fleet] { return fleet.submit("first", 1000) == 0; }, Ms(20000)));
   std::size_t number = 0;
-  // The full one takes smaller and smaller replicas until it refuses even a small one.
+  // Fills the store with ever smaller replicas until it refuses even a small one.
   for (std::size_t bytes = 256u << 10; bytes >= 8u << 10; bytes /= 2)
     while (fleet.putFiller(3, bytes, 1, fillerName(++number))) {
     }
-  // The others are so full that no spare copies are made.
+  // Fills the others so far that no spare copies are made.
   for (std::size_t store = 0; store < 3; ++store)
     for (int part = 0; part < 4; ++part) CHECK(fleet.putFiller(store, 256u << 10, 1, fillerName(++number)));
   fleet.runUntil([] { return false; }, Ms(1000));
--- a/tests/lots/replica_rules_test.cpp
+++ b/tests/lots/replica_rules_test.cpp
@@ -17,7 +17,7 @@
   return lot;
 }
 
-/// A store with its disk.
+/// A store and its disk.
 struct Store {
   StoreRef ref;
   std::unique_ptr<ReplicaTable> replicas = std::make_unique<ReplicaTable>();
@@ -41,7 +41,7 @@
   }
 };
 
-/// Four stores, one lot and a coordinator that moves it; the first store is to leave.
+/// Four stores, one lot and a coordinator that moves it away from the first store, which is to be removed.
 class LotMigration {
  public:
   explicit LotMigration(std::uint64_t seed) : random_(seed) {
@@ -51,7 +51,7 @@
       create(stores_[i], lot_);
     }
   }
-  /// Plays until the first store may go, takes it away and wipes another: is the lot lost?
+  /// Runs random faults until the first store may be removed, removes it and wipes another; true if the lot is lost.
   bool losesTheLot(bool trustsRecordAlone) {
     bool damaged = false;
     for (int step = 0; step < 200; ++step) {
@@ -60,7 +60,7 @@
         other.restart(false);
       else if (randomBelow(3) == 0 && allUp())
         other.up = false;
-      // One loss, of a disk or of records on it, comes before the end.
+      // One loss of a disk, or of records on it, comes before the removal.
       else if (!damaged && randomBelow(8) == 0 && allUp()) {
         damaged = true;
         if (randomBelow(2))
@@ -104,13 +104,13 @@
   }
   ConfirmedReplicas confirmAll() {
     ConfirmedReplicas confirmed;
-    ConfirmReplicas const question{{{lot_.host, lot_.id, lot_.stamp}}};
+    ConfirmReplicas const request{{{lot_.host, lot_.id, lot_.stamp}}};
     for (StoreRef const& holder : lot_.holders)
       if (Store* const store = at(holder))
-        confirmed.add(holder.id, question, {store->ref.id, 1, {store->replicas->holds({"h", "lot"}, lot_.stamp)}});
+        confirmed.add(holder.id, request, {store->ref.id, 1, {store->replicas->holds({"h", "lot"}, lot_.stamp)}});
     return confirmed;
   }
-  /// What the coordinator does; it may fail anywhere.
+  /// Recovery by the coordinator, which may fail at any point.
   void recover() {
     vector<StoreRef> kept, staying;
     GenerationStamp const fresh(++lastStamp_);
@@ -149,24 +149,24 @@
 
 TEST_GROUP(replicaRules){};
 
-TEST(replicaRules, aStoreGoesOnlyWhenOthersSaidThatTheyHoldItsLots) {
-  std::size_t caught = 0, finished = 0;
+TEST(replicaRules, aStoreIsRemovedOnlyAfterOthersConfirmedTheirReplicas) {
+  std::size_t lost = 0, finished = 0;
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
-    LotMigration moving(seed);
-    CHECK_FALSE_TEXT(moving.losesTheLot(false), ("seed " + std::to_string(seed)).c_str());
-    finished += moving.finished();
-    caught += LotMigration(seed).losesTheLot(true);
+    LotMigration migration(seed);
+    CHECK_FALSE_TEXT(migration.losesTheLot(false), ("seed " + std::to_string(seed)).c_str());
+    finished += migration.finished();
+    lost += LotMigration(seed).losesTheLot(true);
   }
   CHECK(finished > 1000);
-  CHECK_TEXT(caught > 0, "going by the record alone was never caught");
+  CHECK_TEXT(lost > 0, "trusting the record alone never lost a lot");
 }
 
-TEST(replicaRules, anAnswerOfAnotherDiskCountsForNothing) {
+TEST(replicaRules, aConfirmationByAnotherDiskIsIgnored) {
   LotRecord lot = lotWith(5);
-  ConfirmReplicas const question{{{"h", "lot", GenerationStamp(5)}}};
+  ConfirmReplicas const request{{{"h", "lot", GenerationStamp(5)}}};
   for (std::uint64_t const identity : {1u, 2u}) {
     ConfirmedReplicas confirmed;
-    confirmed.add(NodeId(1), question, {NodeId(identity), 7, {true}});
+    confirmed.add(NodeId(1), request, {NodeId(identity), 7, {true}});
     CHECK_EQUAL(identity == 1, confirmed.has(NodeId(1), lot));
     lot.stamp = GenerationStamp(6);
     CHECK_FALSE(confirmed.has(NodeId(1), lot));
@@ -174,31 +174,31 @@
   }
 }
 
-/// Whichever synced record is lost, the store doesn't call a replica whole that lacks results.
-TEST(replicaRules, aReplicaWithALostRecordDoesntCountAsHeld) {
+/// Whichever synced record is lost, the store doesn't report an incomplete replica as intact.
+TEST(replicaRules, aReplicaWithALostRecordIsNotHeld) {
   ReplicaTable replicas;
   vector<string> records;
-  auto const note = [&] {
+  auto const syncRecords = [&] {
     for (string& record : replicas.takeRecords()) records.push_back(std::move(record));
   };
   replicas.create(lotWith(1), "items", {});
   for (std::uint64_t i = 0; i < 4; ++i) replicas.append({"h", "lot"}, GenerationStamp(1), i, {"result"});
   replicas.settle({"h", "lot"}, GenerationStamp(1), GenerationStamp(2), 4);
   replicas.append({"h", "lot"}, GenerationStamp(2), 4, {"result"});
-  note();
-  std::size_t tooFew = 0;
+  syncRecords();
+  std::size_t incomplete = 0;
   for (std::size_t lost = 0; lost < records.size(); ++lost)
     for (bool const markedDamaged : {true, false}) {
       ReplicaTable damaged;
       for (std::size_t i = 0; i < records.size(); ++i)
         if (i != lost) damaged.replay(records[i]);
       if (markedDamaged) damaged.markAllDamaged();
-      // The doubt outlives the next start, and ends once the replica is made anew.
+      // The mark outlives a restart, and ends when the replica is created again.
       ReplicaTable later;
       for (string const& record : damaged.snapshot()) later.replay(record);
       InspectReplicaReply const found = later.inspect({"h", "lot"});
       if (!markedDamaged) {
-        tooFew += found.known && found.results < 5;
+        incomplete += found.known && found.results < 5;
         continue;
       }
       CHECK_FALSE(found.known);
@@ -206,23 +206,23 @@
       later.create(lotWith(3), "items", {"result"});
       CHECK(later.holds({"h", "lot"}, GenerationStamp(3)));
     }
-  CHECK_TEXT(tooFew > 0, "a replica that lacks results was never taken for whole");
+  CHECK_TEXT(incomplete > 0, "without the mark, no incomplete replica was reported as intact");
 }
 
-TEST(replicaRules, aStoreThatFailedTheWriterMayGetAFreshCopy) {
-  StoreRef const writer{NodeId(1), "a", "z1", {}}, failed{NodeId(2), "b", "z2", {}}, spare{NodeId(3), "c", "z3", {}};
+TEST(replicaRules, aStoreThatFailedThePrimaryMayGetAFreshCopy) {
+  StoreRef const primary{NodeId(1), "a", "z1", {}}, failed{NodeId(2), "b", "z2", {}}, spare{NodeId(3), "c", "z3", {}};
   std::set<NodeId> const bad{failed.id};
   auto const among = [&](vector<StoreRef> const& live) {
-    return [live](std::set<NodeId> const& barred) {
+    return [live](std::set<NodeId> const& excluded) {
       vector<StoreRef> chosen;
       for (StoreRef const& store : live)
-        if (!barred.count(store.id) && chosen.size() < 2) chosen.push_back(store);
+        if (!excluded.count(store.id) && chosen.size() < 2) chosen.push_back(store);
       return chosen;
     };
   };
-  // Alone with the writer it is taken again; the rule that bars it for good would leave the lot with one store.
-  CHECK((storesForRecovery(among({writer, failed}), bad, 2) == vector<StoreRef>{writer, failed}));
-  LONGS_EQUAL(1, among({writer, failed})(bad).size());
-  CHECK((storesForRecovery(among({writer, failed, spare}), bad, 2) == vector<StoreRef>{writer, spare}));
-  LONGS_EQUAL(1, storesForRecovery(among({writer}), bad, 2).size());
+  // With only the primary left it may be used again; if it stayed excluded, the lot would have one store.
+  CHECK((storesForRecovery(among({primary, failed}), bad, 2) == vector<StoreRef>{primary, failed}));
+  LONGS_EQUAL(1, among({primary, failed})(bad).size());
+  CHECK((storesForRecovery(among({primary, failed, spare}), bad, 2) == vector<StoreRef>{primary, spare}));
+  LONGS_EQUAL(1, storesForRecovery(among({primary}), bad, 2).size());
 }
--- a/tests/lots/store_placement_test.cpp
+++ b/tests/lots/store_placement_test.cpp
@@ -18,7 +18,7 @@
 
 TEST_GROUP(storePlacement){};
 
-TEST(storePlacement, roomDependsOnWhatACopyIsFor) {
+TEST(storePlacement, roomDependsOnThePurposeOfACopy) {
   StoreLoad const load{60, 20, limit};
   CHECK(hasRoom(load, CopyPurpose::admission, 10));
   CHECK_FALSE(hasRoom(load, CopyPurpose::admission, 11));
@@ -28,15 +28,15 @@
   CHECK(hasRoom(StoreLoad{}, CopyPurpose::spare, 1e9));
 }
 
-/// Nine stores, two of which may be lost: what is admitted fits the seven that are left.
-TEST(storePlacement, aLotIsAdmittedWhileItsCopiesFitTheStoresThatAreLeft) {
+/// Two of nine stores may be lost: admitted lots fit the remaining seven.
+TEST(storePlacement, aLotIsAdmittedWhileItsCopiesFitTheRemainingStores) {
   CHECK(admits(fleetOf(9, 50), 10));
   CHECK_FALSE(admits(fleetOf(9, 70), 10));
   FleetLoad fleet = fleetOf(9, 70);
-  // Spare copies are given up before a needed one is refused.
+  // Spare copies don't count, as they are removed when needed copies lack space.
   fleet.neededCopyShare = 0.75;
   CHECK(admits(fleet, 10));
-  // A loss that has come is no loss to come.
+  // A loss that has happened no longer counts as a loss to tolerate.
   fleet = fleetOf(7, 70);
   fleet.lossesToTolerate = 0;
   CHECK(admits(fleet, 10));
@@ -44,14 +44,14 @@
   CHECK_FALSE(admits(fleet, 10));
 }
 
-TEST(storePlacement, whatOpenLotsWillGrowByCounts) {
+TEST(storePlacement, expectedGrowthOfOpenLotsCounts) {
   FleetLoad fleet = fleetOf(9, 30);
   CHECK(admits(fleet, 10));
   for (StoreLoad& store : fleet.stores) store.expectedGrowth = 40;
   CHECK_FALSE(admits(fleet, 10));
 }
 
-TEST(storePlacement, aStoreThatTellsNoLoadBarsNothing) {
+TEST(storePlacement, aStoreThatReportsNoLoadRefusesNothing) {
   FleetLoad fleet = fleetOf(9, 100);
   fleet.stores[4] = StoreLoad{};
   CHECK(admits(fleet, 10));
