--- a/lots/coordination/lot_coordinator.cpp
+++ b/lots/coordination/lot_coordinator.cpp
@@ -70,8 +70,8 @@
 void LotCoordinator::checkRecordChange(LotRecord const& next) const {
   std::set<NodeId> holders;
   for (StoreRef const& holder : next.holders) holders.insert(holder.id);
-  bool const eachOnce = !holders.empty() && holders.size() == next.holders.size();
-  checkInvariant(Invariant::recordNamesHolders, eachOnce, [&] { return next.id; });
+  bool const areDistinct = !holders.empty() && holders.size() == next.holders.size();
+  checkInvariant(Invariant::recordNamesHolders, areDistinct, [&] { return next.id; });
   std::optional<LotRecord> const last = load(next.key());
   if (!last) return;
   checkInvariant(Invariant::recordStampRises, next.stamp >= last->stamp, [&] { return next.id; });
@@ -122,17 +122,17 @@
 
 void LotCoordinator::checkQuota(LotRecord const& lot, std::uint64_t maxQueuedTokens) const {
   if (!maxQueuedTokens) return;
-  std::uint64_t waiting = 0;
+  std::uint64_t queuedTokens = 0;
   for (auto const& [id, record] : driver_.consensus().committedValues(keyspaceOf(lot.host))) {
     LotRecord const other = deserialize<LotRecord>(record);
     if (!countsTowardsQuota(other, lot)) continue;
     auto const status = lots_.find(other.key());
     std::uint64_t const finished = status == lots_.end() ? 0 : status->second.finishedTokens;
-    waiting += other.tokens > finished ? other.tokens - finished : 0;
+    queuedTokens += other.tokens > finished ? other.tokens - finished : 0;
   }
   for (auto const& [key, other] : opening_)
-    if (key != lot.key() && other.route == lot.route && other.tenant == lot.tenant) waiting += other.tokens;
-  if (waiting + lot.tokens > maxQueuedTokens) throw Error(ErrorCode::lotOverQuota, std::to_string(waiting));
+    if (key != lot.key() && other.route == lot.route && other.tenant == lot.tenant) queuedTokens += other.tokens;
+  if (queuedTokens + lot.tokens > maxQueuedTokens) throw Error(ErrorCode::lotOverQuota, std::to_string(queuedTokens));
 }
 
 Task<OpenLotReply> LotCoordinator::open(OpenLot request) {
--- a/lots/coordination/recovery_driver.cpp
+++ b/lots/coordination/recovery_driver.cpp
@@ -81,7 +81,7 @@
       ++copies.made;
     } catch (Error const& error) {
       logInfo("lots", "lot " + request.lot.id + ": copy to store " + target.name +
-                          " failed, trying another store: " + error.what());
+                          " failed, store is skipped: " + error.what());
       excluded.insert(target.id);
       ++copies.refused;
     }
--- a/lots/coordination/store_placement.cpp
+++ b/lots/coordination/store_placement.cpp
@@ -33,8 +33,8 @@
   if (!load.isReported()) return true;
   // Space for the growth of open lots is reserved, but not against copies that restore redundancy.
   double const expectedGrowth = purpose == CopyPurpose::recovery ? 0 : static_cast<double>(load.expectedGrowth);
-  double const taken = static_cast<double>(load.used) + expectedGrowth + bytes;
-  return taken <= maxLoadFor(purpose) * static_cast<double>(load.limit);
+  double const used = static_cast<double>(load.used) + expectedGrowth + bytes;
+  return used <= maxLoadFor(purpose) * static_cast<double>(load.limit);
 }
 
 bool admits(FleetLoad const& fleet, double lotBytes) {
--- a/tests/lots/lot_fleet_sim.cpp
+++ b/tests/lots/lot_fleet_sim.cpp
@@ -111,9 +111,9 @@
   if (hasMajority(node)) node.majorityAt = now_;
   // A node that was cut off or frozen believes that it is the owner until it checks.
   bool const isOverdue = now_ - node.majorityAt > inTouch * 6 / 10;
-  bool const hasHeard = node.epoch && committed_.epoch != *node.epoch && linked(node.index, committed_.owner) &&
-                        runs(*controls_[committed_.owner]) && pick(20) == 0;
-  if (node.epoch && (isOverdue || hasHeard)) node.epoch.reset();
+  bool const learnsOfNewOwner = node.epoch && committed_.epoch != *node.epoch && linked(node.index, committed_.owner) &&
+                                runs(*controls_[committed_.owner]) && pick(20) == 0;
+  if (node.epoch && (isOverdue || learnsOfNewOwner)) node.epoch.reset();
   if (node.epoch && now_ >= node.nextUpkeepAt) {
     node.nextUpkeepAt = now_ + inTouch / 30;
     startDueRecoveries(node);
