--- a/lots/coordination/lot_coordinator.hpp
+++ b/lots/coordination/lot_coordinator.hpp
@@ -41,7 +41,7 @@
   /// State of a store in its last heartbeat.
   struct StoreStatus {
     StoreRef ref;
-    TimePoint heardAt;
+    TimePoint lastHeartbeatAt;
     bool leaving = false, diskFailing = false;
     StoreLoad load;
   };
--- a/lots/coordination/store_supervision.cpp
+++ b/lots/coordination/store_supervision.cpp
@@ -11,9 +11,9 @@
 bool LotCoordinator::isDead(NodeId store, TimePoint now) const {
   auto const status = stores_.find(store);
   // A store without a heartbeat so far gets a grace period after the start of this process.
-  TimePoint const heardAt =
-      status == stores_.end() ? startedAt_ + settings_.bounds.catchUp / 2 : status->second.heardAt;
-  return now > heardAt && now - heardAt > settings_.bounds.inTouch * 3 / 10;
+  TimePoint const lastHeartbeatAt =
+      status == stores_.end() ? startedAt_ + settings_.bounds.catchUp / 2 : status->second.lastHeartbeatAt;
+  return now > lastHeartbeatAt && now - lastHeartbeatAt > settings_.bounds.inTouch * 3 / 10;
 }
 
 bool LotCoordinator::isDiskFailing(NodeId store) const {
@@ -24,7 +24,7 @@
 vector<StoreRef> LotCoordinator::liveStores(TimePoint now) const {
   vector<StoreRef> live;
   for (auto const& [id, status] : stores_) {
-    bool const heard = now - status.heardAt <= settings_.bounds.inTouch / 4;
+    bool const heard = now - status.lastHeartbeatAt <= settings_.bounds.inTouch / 4;
     if (heard && !status.leaving && !status.diskFailing) live.push_back(status.ref);
   }
   return live;
@@ -37,10 +37,10 @@
 
 bool LotCoordinator::isDiskReplaced(StoreRef const& holder) const {
   auto const heard = stores_.find(holder.id);
-  TimePoint const lastHeard = heard == stores_.end() ? TimePoint() : heard->second.heardAt;
+  TimePoint const lastHeard = heard == stores_.end() ? TimePoint() : heard->second.lastHeartbeatAt;
   return std::any_of(stores_.begin(), stores_.end(), [&](auto const& item) {
     StoreStatus const& other = item.second;
-    return other.ref.name == holder.name && other.ref.id != holder.id && other.heardAt > lastHeard;
+    return other.ref.name == holder.name && other.ref.id != holder.id && other.lastHeartbeatAt > lastHeard;
   });
 }
 
@@ -93,7 +93,7 @@
   // long ago no longer count.
   std::set<string> lost;
   for (auto const& [id, status] : stores_) {
-    if (containsStore(live, id) || now - status.heardAt > settings_.bounds.catchUp) continue;
+    if (containsStore(live, id) || now - status.lastHeartbeatAt > settings_.bounds.catchUp) continue;
     fleet.lostBytes += status.load.used + status.load.expectedGrowth;
     if (!names.contains(status.ref.name)) lost.insert(status.ref.name);
   }
@@ -121,7 +121,7 @@
 void LotCoordinator::recordHeartbeat(StoreHeartbeat const& heartbeat, TimePoint now) {
   StoreStatus& store = stores_[heartbeat.self.id];
   store.ref = heartbeat.self;
-  store.heardAt = now;
+  store.lastHeartbeatAt = now;
   store.leaving = heartbeat.leaving;
   store.diskFailing = heartbeat.diskFailing;
   store.load = heartbeat.load;
--- a/lots/coordination/waiting_lots.cpp
+++ b/lots/coordination/waiting_lots.cpp
@@ -22,7 +22,7 @@
     writeField(writer, "host", lot.host);
     writeField(writer, "need", string(nameOf(lot.need)));
     writeField(writer, "outcome", string(nameOf(lot.outcome)));
-    writeField(writer, "tries", lot.tries);
+    writeField(writer, "tries", lot.attempts);
     writeField(writer, "waitsMs", static_cast<std::uint64_t>(lot.waited.count()));
     writeField(writer, "finding", lot.finding);
     writer.EndObject();
--- a/lots/coordination/waiting_lots.hpp
+++ b/lots/coordination/waiting_lots.hpp
@@ -8,7 +8,7 @@
   string lot, host;
   RecoveryNeed need = RecoveryNeed::none;
   RecoveryOutcome outcome = RecoveryOutcome::none;  ///< of the last attempt
-  std::size_t tries = 0;
+  std::size_t attempts = 0;
   Ms waited{0};    ///< since the first failed attempt ended
   string finding;  ///< state of record, holders and copies in the last attempt
 };
--- a/tests/lots/lot_fleet_coordination.cpp
+++ b/tests/lots/lot_fleet_coordination.cpp
@@ -4,14 +4,14 @@
 namespace tealshelf::sim {
 
 bool LotFleet::isDead(Control const& node, NodeId store) const {
-  auto const heard = node.heard.find(store);
-  return heard == node.heard.end() || now_ - heard->second.second > inTouch * 3 / 10;
+  auto const heard = node.lastHeartbeats.find(store);
+  return heard == node.lastHeartbeats.end() || now_ - heard->second.second > inTouch * 3 / 10;
 }
 
 bool LotFleet::isDiskReplaced(Control const& node, StoreRef const& holder) const {
-  auto const heard = node.heard.find(holder.id);
-  TimePoint const last = heard == node.heard.end() ? TimePoint() : heard->second.second;
-  return std::any_of(node.heard.begin(), node.heard.end(), [&](auto const& item) {
+  auto const heard = node.lastHeartbeats.find(holder.id);
+  TimePoint const last = heard == node.lastHeartbeats.end() ? TimePoint() : heard->second.second;
+  return std::any_of(node.lastHeartbeats.begin(), node.lastHeartbeats.end(), [&](auto const& item) {
     auto const& [ref, at] = item.second;
     return ref.name == holder.name && ref.id != holder.id && at > last;
   });
@@ -20,7 +20,7 @@
 vector<StoreRef> LotFleet::chooseHolders(Control const& node, string const& lot, std::set<NodeId> const& excluded,
                                          vector<StoreRef> holders) const {
   vector<StoreRef> live;
-  for (auto const& [id, heard] : node.heard)
+  for (auto const& [id, heard] : node.lastHeartbeats)
     if (now_ - heard.second <= inTouch / 4 && !excluded.contains(id)) live.push_back(heard.first);
   std::sort(live.begin(), live.end(), [seed = hash64(lot)](StoreRef const& left, StoreRef const& right) {
     return hash64(left.name, seed) > hash64(right.name, seed);
--- a/tests/lots/lot_fleet_faults.cpp
+++ b/tests/lots/lot_fleet_faults.cpp
@@ -52,7 +52,7 @@
   ++node.incarnation;
   node.upAgainAt = now_ + Ms(300 + static_cast<std::int64_t>(pick(3000)));
   node.epoch.reset();
-  node.heard.clear();
+  node.lastHeartbeats.clear();
   node.lots.clear();
   // Stamps don't repeat after a restart, as a new ownership has a higher epoch.
   note("control " + std::to_string(node.index) + " is down");
--- a/tests/lots/lot_fleet_sim.hpp
+++ b/tests/lots/lot_fleet_sim.hpp
@@ -97,7 +97,7 @@
     std::uint64_t stamps = 0;
     std::map<string, LotRecord> records;  ///< local copy
     std::unique_ptr<LeaseGrants> leases;
-    std::map<NodeId, std::pair<StoreRef, TimePoint>> heard;
+    std::map<NodeId, std::pair<StoreRef, TimePoint>> lastHeartbeats;
     std::map<string, LotStatus> lots;
   };
   /// State that a majority of the control nodes committed.
--- a/tests/lots/lot_fleet_stores.cpp
+++ b/tests/lots/lot_fleet_stores.cpp
@@ -38,7 +38,7 @@
 }
 
 void LotFleet::handleHeartbeat(Store& store, Control& node) {
-  node.heard[store.self.id] = {store.self, now_};
+  node.lastHeartbeats[store.self.id] = {store.self, now_};
   report(store, node);
   LeaseGrants::Decision const decision = node.leases->renew(store.self.id, store.lease, hasMajority(node), now_);
   if (decision == LeaseGrants::Decision::granted) store.grantedAt[node.index] = now_;
