--- a/lots/coordination/lease_grants.hpp
+++ b/lots/coordination/lease_grants.hpp
@@ -26,7 +26,7 @@
     return grant == grants_.end() ? 0 : grant->second.fencedUpTo;
   }
 
-  /// Fences the current lease of a store for good. Returns false without fencing it while a lease granted by this
+  /// Fences the current lease of a store permanently. Returns false without fencing it while a lease granted by this
   /// process or
   /// an earlier one of this node may still be valid.
   bool fence(NodeId store, TimePoint now) {
--- a/lots/coordination/lot_coordinator.hpp
+++ b/lots/coordination/lot_coordinator.hpp
@@ -45,7 +45,7 @@
     bool leaving = false, diskFailing = false;
     StoreLoad load;
   };
-  /// In-memory state of a lot beside its committed record; a restart loses it.
+  /// In-memory state of a lot in addition to its committed record; lost at a restart.
   struct LotStatus {
     std::uint64_t revision = 0;  ///< `revision_` at the last change of the record
     std::uint64_t finishedTokens = 0, listedResults = 0;
--- a/lots/coordination/lot_recovery.cpp
+++ b/lots/coordination/lot_recovery.cpp
@@ -30,7 +30,7 @@
 void LotRecovery::inspected(vector<std::optional<InspectReplicaReply>> const& replies) {
   for (std::size_t i = 0; i < start_.live.size() && i < replies.size(); ++i) addReply(start_.live[i], replies[i]);
   if (survivors_.empty()) return end(RecoveryOutcome::noIntactReplica);
-  // A primary that isn't among the survivors may go on answering reads under its lease.
+  // A primary that isn't among the survivors may continue to answer reads under its lease.
   bool const mayServe = !primaryCannotServe_ && !containsStore(survivors_, primary());
   if (mayServe)
     step_ = recovery_step::FenceStore{primary()};
@@ -75,7 +75,7 @@
 void LotRecovery::settleIfEnoughCopies() {
   std::size_t const reachable = holdersAfterRecovery(survivors_, copies_.holders, start_.neededCopies).size();
   // With fewer, the recovery waits for unreachable holders to come back with their copies. If none can come back, the
-  // lot goes on with the copies left, as no result is listed while there are too few.
+  // lot continues with the copies left, as no result is listed while there are too few.
   bool const enough = reachable >= minHolders() || allHoldersAccountedFor();
   if (!enough) return end(copies_.refused ? RecoveryOutcome::copiesRefused : RecoveryOutcome::tooFewStores);
   checkInvariant(Invariant::freshStampAfterCopies, enough, [this] { return start_.lot.id; });
--- a/lots/coordination/recovery_need.hpp
+++ b/lots/coordination/recovery_need.hpp
@@ -22,7 +22,7 @@
   notOwner,          ///< another control node owns the keyspace
   busy,              ///< the lock for changes of the record wasn't obtained in time
   recordChanged,     ///< the record changed in the meantime
-  noLiveHolder,      ///< no holder sent a heartbeat lately
+  noLiveHolder,      ///< no holder has sent a recent heartbeat
   primaryNotFenced,  ///< the lease of the former primary may still be valid
   noIntactReplica,   ///< no live holder has a replica at or above the recorded stamp
   tooFewStores,      ///< too few live stores have room for the needed copies
--- a/lots/coordination/replica_rules.hpp
+++ b/lots/coordination/replica_rules.hpp
@@ -56,7 +56,7 @@
 
 /// The holders for a recovery: `choose(excluded)` returns the holders that stay or get a copy. Stores that failed the
 /// primary are excluded, unless too few others are available: then they may get a fresh copy, as the lot would
-/// otherwise have no primary for good.
+/// otherwise never have a primary again.
 template <class Choose>
 vector<StoreRef> storesForRecovery(Choose choose, std::set<NodeId> const& failed, std::size_t needed) {
   vector<StoreRef> chosen = choose(failed);
--- a/lots/coordination/store_supervision.cpp
+++ b/lots/coordination/store_supervision.cpp
@@ -24,8 +24,8 @@
 vector<StoreRef> LotCoordinator::liveStores(TimePoint now) const {
   vector<StoreRef> live;
   for (auto const& [id, status] : stores_) {
-    bool const heard = now - status.lastHeartbeatAt <= settings_.bounds.inTouch / 4;
-    if (heard && !status.leaving && !status.diskFailing) live.push_back(status.ref);
+    bool const isRecent = now - status.lastHeartbeatAt <= settings_.bounds.inTouch / 4;
+    if (isRecent && !status.leaving && !status.diskFailing) live.push_back(status.ref);
   }
   return live;
 }
@@ -36,11 +36,11 @@
 }
 
 bool LotCoordinator::isDiskReplaced(StoreRef const& holder) const {
-  auto const heard = stores_.find(holder.id);
-  TimePoint const lastHeard = heard == stores_.end() ? TimePoint() : heard->second.lastHeartbeatAt;
+  auto const status = stores_.find(holder.id);
+  TimePoint const lastHeartbeatAt = status == stores_.end() ? TimePoint() : status->second.lastHeartbeatAt;
   return std::any_of(stores_.begin(), stores_.end(), [&](auto const& item) {
     StoreStatus const& other = item.second;
-    return other.ref.name == holder.name && other.ref.id != holder.id && other.lastHeartbeatAt > lastHeard;
+    return other.ref.name == holder.name && other.ref.id != holder.id && other.lastHeartbeatAt > lastHeartbeatAt;
   });
 }
 
--- a/tests/lots/lot_fleet_coordination.cpp
+++ b/tests/lots/lot_fleet_coordination.cpp
@@ -4,24 +4,24 @@
 namespace tealshelf::sim {
 
 bool LotFleet::isDead(Control const& node, NodeId store) const {
-  auto const heard = node.lastHeartbeats.find(store);
-  return heard == node.lastHeartbeats.end() || now_ - heard->second.second > inTouch * 3 / 10;
+  auto const last = node.lastHeartbeats.find(store);
+  return last == node.lastHeartbeats.end() || now_ - last->second.second > inTouch * 3 / 10;
 }
 
 bool LotFleet::isDiskReplaced(Control const& node, StoreRef const& holder) const {
-  auto const heard = node.lastHeartbeats.find(holder.id);
-  TimePoint const last = heard == node.lastHeartbeats.end() ? TimePoint() : heard->second.second;
+  auto const last = node.lastHeartbeats.find(holder.id);
+  TimePoint const lastAt = last == node.lastHeartbeats.end() ? TimePoint() : last->second.second;
   return std::any_of(node.lastHeartbeats.begin(), node.lastHeartbeats.end(), [&](auto const& item) {
     auto const& [ref, at] = item.second;
-    return ref.name == holder.name && ref.id != holder.id && at > last;
+    return ref.name == holder.name && ref.id != holder.id && at > lastAt;
   });
 }
 
 vector<StoreRef> LotFleet::chooseHolders(Control const& node, string const& lot, std::set<NodeId> const& excluded,
                                          vector<StoreRef> holders) const {
   vector<StoreRef> live;
-  for (auto const& [id, heard] : node.lastHeartbeats)
-    if (now_ - heard.second <= inTouch / 4 && !excluded.contains(id)) live.push_back(heard.first);
+  for (auto const& [id, last] : node.lastHeartbeats)
+    if (now_ - last.second <= inTouch / 4 && !excluded.contains(id)) live.push_back(last.first);
   std::sort(live.begin(), live.end(), [seed = hash64(lot)](StoreRef const& left, StoreRef const& right) {
     return hash64(left.name, seed) > hash64(right.name, seed);
   });
--- a/tests/lots/lot_fleet_sim.hpp
+++ b/tests/lots/lot_fleet_sim.hpp
@@ -23,10 +23,10 @@
   enum class Mutation {
     none,
     staleOwnerWrites,  ///< a recovery commits its record under the node's current epoch, not the one in which it began
-    namesUnsyncedCopies,        ///< a record names copies that their stores haven't synced
-    fencedLeaseIsKept,          ///< a store whose lease was fenced doesn't ask for a higher one
-    skipsFence,                 ///< a former primary outside the recovery isn't fenced and goes on under its lease
-    reportsOutliveStamps,       ///< reports of failed holders are kept when the stamp changes
+    namesUnsyncedCopies,   ///< a record names copies that their stores haven't synced
+    fencedLeaseIsKept,     ///< a store whose lease was fenced doesn't ask for a higher one
+    skipsFence,            ///< a former primary outside the recovery isn't fenced and keeps serving under its lease
+    reportsOutliveStamps,  ///< reports of failed holders are kept when the stamp changes
     failedRecoveryIsNotRetried  ///< a failed recovery isn't retried
   };
   static constexpr Ms step{10}, inTouch{4000}, catchUp{6000};
--- a/tests/lots/two_primaries_test.cpp
+++ b/tests/lots/two_primaries_test.cpp
@@ -127,7 +127,7 @@
 };
 
 enum class Scenario {
-  twoPrimaries,            ///< the second holder is settled and made primary; the first one isn't informed
+  twoPrimaries,            ///< the second holder is settled and made primary; the first one doesn't learn of it
   freshStamp,              ///< both holders are settled under a fresh stamp, and the first one stays primary
   conflictingCoordinators  ///< each holder is settled as the only one, as by two concurrent coordinators
 };
