--- a/tests/lots/lot_fleet_coordination.cpp
+++ b/tests/lots/lot_fleet_coordination.cpp
@@ -107,7 +107,7 @@
 }
 
 void LotFleet::beginNextStep(RecoveryTask& task) {
-  task.at = 0;
+  task.holderIndex = 0;
   task.call.reset();
   task.replies.clear();
   task.settled.clear();
@@ -138,10 +138,10 @@
   if (task.call && !task.call->done) return;
   if (task.call) {
     if (task.call->accepted) task.replies.back() = *task.reply;
-    ++task.at;
+    ++task.holderIndex;
     task.call.reset();
   }
-  if (task.at == step.holders.size()) {
+  if (task.holderIndex == step.holders.size()) {
     task.recovery->inspected(task.replies);
     return beginNextStep(task);
   }
@@ -149,7 +149,7 @@
   task.replies.emplace_back();
   task.reply = std::make_shared<InspectReplicaReply>();
   task.call = callStore(
-      task.node, step.holders[task.at],
+      task.node, step.holders[task.holderIndex],
       [reply = task.reply, key](Store& store) {
         *reply = store.table.inspect(key);
         reply->self = store.self.id;
@@ -199,17 +199,17 @@
 void LotFleet::advanceSettle(RecoveryTask& task, recovery_step::SettleHolders const& step) {
   if (task.call && !task.call->done) return;
   if (task.call) {
-    if (task.call->accepted) task.settled.push_back(step.holders[task.at]);
-    ++task.at;
+    if (task.call->accepted) task.settled.push_back(step.holders[task.holderIndex]);
+    ++task.holderIndex;
     task.call.reset();
   }
-  if (task.at == step.holders.size()) {
+  if (task.holderIndex == step.holders.size()) {
     vector<StoreRef> const settled = task.settled;
     task.recovery->settled(settled);
     return beginNextStep(task);
   }
   task.call = callStore(
-      task.node, step.holders[task.at],
+      task.node, step.holders[task.holderIndex],
       [request = step.request](Store& store) {
         store.table.settle(request.key(), request.oldStamp, request.newStamp, request.length);
         if (store.runs.contains(request.key())) store.runs[request.key()].stalled = true;
@@ -253,9 +253,9 @@
   if (submission.call) submission.synced += submission.call->accepted;
   submission.call.reset();
   LotRecord const& lot = submission.lot;
-  if (submission.at < lot.holders.size()) {
+  if (submission.holderIndex < lot.holders.size()) {
     submission.call = callStore(
-        submission.node, lot.holders[submission.at++],
+        submission.node, lot.holders[submission.holderIndex++],
         [lot](Store& store) {
           store.table.create(lot, "items", {});
           return true;
@@ -296,7 +296,7 @@
   std::optional<std::size_t> const listed = read(reader.lot);
   if (!listed)
     cachedRecords_.erase({reader.edge, reader.lot.id});
-  else if (*listed < reader.mustSee)
+  else if (*listed < reader.seenAtStart)
     fail("a listed result disappeared from " + reader.lot.id);
 }
 
--- a/tests/lots/lot_fleet_sim.hpp
+++ b/tests/lots/lot_fleet_sim.hpp
@@ -55,7 +55,7 @@
   /// The execution of a lot at its primary.
   struct Run {
     LotRecord lot;
-    std::size_t listed = 0, appending = 0;  ///< results listed, and results after the pending append
+    std::size_t listed = 0, listedAfterAppend = 0;  ///< results listed, and results after the pending append
     bool stalled = false;
     std::set<NodeId> failedHolders;
     vector<std::pair<NodeId, CallPtr>> calls;
@@ -113,7 +113,7 @@
     std::uint64_t epoch = 0;
     string lot;
     std::unique_ptr<LotRecovery> recovery;
-    std::size_t at = 0;  ///< index of the holder within the current step
+    std::size_t holderIndex = 0;  ///< within the current step
     TimePoint dueAt;
     CallPtr call;
     std::shared_ptr<InspectReplicaReply> reply;
@@ -127,7 +127,7 @@
   /// A client's submission of a lot.
   struct Submission {
     LotRecord lot;
-    std::size_t node = 0, at = 0, synced = 0;
+    std::size_t node = 0, holderIndex = 0, synced = 0;
     int phase = 0;
     TimePoint dueAt;
     CallPtr call;
@@ -136,7 +136,7 @@
   /// A read through an edge node, which uses its cached record as long as the primary named there answers.
   struct Reader {
     LotRecord lot;
-    std::size_t edge = 0, mustSee = 0;  ///< results that readers had seen when it began
+    std::size_t edge = 0, seenAtStart = 0;  ///< results that readers had seen when it began
     TimePoint dueAt;
   };
 
--- a/tests/lots/lot_fleet_stores.cpp
+++ b/tests/lots/lot_fleet_stores.cpp
@@ -104,7 +104,7 @@
 }
 
 void LotFleet::appendNextResult(Store& store, Run& run) {
-  if (run.appending) {
+  if (run.listedAfterAppend) {
     bool const isPending =
         std::any_of(run.calls.begin(), run.calls.end(), [](auto const& call) { return !call.second->done; });
     if (isPending) return;
@@ -113,9 +113,9 @@
       acceptedByAll = acceptedByAll && call->accepted;
       if (!call->accepted && holder != store.self.id) run.failedHolders.insert(holder);
     }
-    if (acceptedByAll) run.listed = std::max(run.listed, run.appending);
+    if (acceptedByAll) run.listed = std::max(run.listed, run.listedAfterAppend);
     if (!acceptedByAll) run.stalled = true;
-    run.appending = 0;
+    run.listedAfterAppend = 0;
     return;
   }
   Replica const* const replica = store.table.find(run.lot.key());
@@ -124,12 +124,12 @@
   if (!mayList || pick(40)) return;
   std::uint64_t const from = replica->results.size();
   vector<string> const results{"result " + std::to_string(++resultCount_)};
-  run.appending = from + 1;
+  run.listedAfterAppend = from + 1;
   run.calls.clear();
   LotKey const key = run.lot.key();
   for (StoreRef const& holder : run.lot.holders) {
-    auto const append = [key, stamp = run.lot.stamp, from, results](Store& at) {
-      at.table.append(key, stamp, from, results);
+    auto const append = [key, stamp = run.lot.stamp, from, results](Store& target) {
+      target.table.append(key, stamp, from, results);
       return true;
     };
     run.calls.emplace_back(holder.id, callStore(machineOf(store), holder, append, inTouch / 6));
