--- a/consensus/catch_up.cpp
+++ b/consensus/catch_up.cpp
@@ -7,7 +7,7 @@
 constexpr std::size_t chunkBytes = 64u << 10;
 constexpr std::size_t maxRecentBytes = 256u << 10;
 /// A member lags if it hasn't reached its target after so many resend timeouts.
-constexpr int lagResends = 2;
+constexpr int maxLagResends = 2;
 /// A chunk is sent again after so many resend timeouts.
 constexpr int chunkResends = 4;
 }  // namespace
@@ -23,7 +23,7 @@
     keyspace.transfers.erase(member);
     return;
   }
-  if (now - lag.since < lagResends * timeouts_.resend) return;
+  if (now - lag.since < maxLagResends * timeouts_.resend) return;
   auto const transfer = keyspace.transfers.find(member);
   if (transfer == keyspace.transfers.end())
     startTransfer(progress, member, keyspace, now);
--- a/consensus/consensus.cpp
+++ b/consensus/consensus.cpp
@@ -18,7 +18,7 @@
   keyspace.highestSeenEpoch = std::max(keyspace.highestSeenEpoch, record.epoch);
   if (record.kind == RecordKind::append) {
     keyspace.replica.store(record.epoch, WriteRange{record.previous, record.last, record.full, record.entries});
-    keyspace.replica.joinRanges();
+    keyspace.replica.mergeAdjacentRanges();
   }
   if (record.kind == RecordKind::keyspace)
     keyspace.replica.reset(Position{record.appliedEpoch, record.last}, record.entries);
@@ -48,7 +48,7 @@
 }
 
 void Consensus::tick(TimePoint now) {
-  contacts_.noteRunning(now);
+  contacts_.recordTick(now);
   if (!mayVote()) return;
   TimePoint const contact = majorityContact(now);
   bool const contactLost = contact == TimePoint() || now - contact > timeouts_.stepDown;
@@ -92,7 +92,7 @@
   Heartbeat heartbeat;
   heartbeat.sender = self_;
   heartbeat.membership = membership_.number;
-  heartbeat.holdsAllKeys = holdsAllKeys_ && !abstains_;
+  heartbeat.holdsAllKeys = holdsAllKeys_ && !ineligibleAsOwner_;
   heartbeat.sentAt = contacts_.clockReading(now);
   heartbeat.echoes = contacts_.echoes(now);
   for (auto const& [name, keyspace] : keyspaces_) {
@@ -147,10 +147,11 @@
   for (Member const& member : membership_.members) {
     if (!isAlive(member.id, now)) continue;
     Heartbeat const* const heartbeat = contacts_.lastHeartbeat(member.id);
-    bool const eligible = member.id == self_.id ? holdsAllKeys_ && !abstains_ : heartbeat && heartbeat->holdsAllKeys;
+    bool const eligible =
+        member.id == self_.id ? holdsAllKeys_ && !ineligibleAsOwner_ : heartbeat && heartbeat->holdsAllKeys;
     if (!eligible) continue;
     // One without a disk owns nothing while one with a disk can.
-    std::tuple<bool, bool, std::uint64_t> const rank(member.hasDisk, !isPassedOver(keyspace, member.id),
+    std::tuple<bool, bool, std::uint64_t> const rank(member.hasDisk, !isDeprioritizedOwner(keyspace, member.id),
                                                      hash64(hex(member.id.value), hash64(keyspace)));
     if (best && rank <= bestRank) continue;
     best = &member;
@@ -159,9 +160,9 @@
   return best;
 }
 
-bool Consensus::isPassedOver(string const& keyspace, NodeId node) const {
-  auto const found = passedOver_.find(keyspace);
-  return found != passedOver_.end() && found->second.contains(node);
+bool Consensus::isDeprioritizedOwner(string const& keyspace, NodeId node) const {
+  auto const found = deprioritizedOwners_.find(keyspace);
+  return found != deprioritizedOwners_.end() && found->second.contains(node);
 }
 
 bool Consensus::owns(string const& keyspace) const {
--- a/consensus/consensus.hpp
+++ b/consensus/consensus.hpp
@@ -103,10 +103,12 @@
   void relinquish(string const& keyspace);
   /// Members that shall not own a keyspace while another one can. What nodes know of it may differ for a while: only
   /// who is preferred depends on it, never who owns.
-  void passOver(string const& keyspace, std::set<NodeId> members) { passedOver_[keyspace] = std::move(members); }
+  void setDeprioritizedOwners(string const& keyspace, std::set<NodeId> members) {
+    deprioritizedOwners_[keyspace] = std::move(members);
+  }
   /// While it abstains, as its disk takes no writes, this node gives its keyspaces up and takes none. True if that
   /// is new.
-  bool setAbstaining(bool abstains);
+  bool setIneligibleAsOwner(bool ineligible);
 
   // Membership.
 
@@ -118,7 +120,7 @@
   /// Gives up the vote, durably, for example because the disk lost a record and can't tell what it acknowledged. The
   /// node is a member again only under the new incarnation (one not used before), as a newcomer that copied all keys
   /// from a majority.
-  void surrenderVote(std::uint64_t newIncarnation);
+  void giveUpVote(std::uint64_t newIncarnation);
   /// Lets a retired disk ask to become a member again, under an incarnation not used before.
   void rejoin(std::uint64_t newIncarnation);
   Membership const& membership() const { return membership_; }
@@ -166,7 +168,7 @@
   void stepDownEverywhere();
   void onRefusal(Epoch votedEpoch, KeyspaceState& keyspace, TimePoint now);
   /// Leaves another node's takeover the time to end.
-  void yield(KeyspaceState& keyspace, Epoch other, TimePoint now) const;
+  void deferTakeover(KeyspaceState& keyspace, Epoch other, TimePoint now) const;
   void handle(Message const& message, VoteRequest const& request, KeyspaceState& keyspace, TimePoint now);
   void handle(Message const& message, VoteReply const& reply, KeyspaceState& keyspace, TimePoint now);
 
@@ -197,7 +199,7 @@
   void handle(Message const&, UnknownMessage const&, KeyspaceState&, TimePoint) {}
 
   /// True if a node is passed over as owner of a keyspace.
-  bool isPassedOver(string const& keyspace, NodeId node) const;
+  bool isDeprioritizedOwner(string const& keyspace, NodeId node) const;
   bool mayVote() const { return holdsAllKeys_ && isMember(); }
   MembershipRecord membershipRecord() const;
   void record(LogRecord const& record);
@@ -209,11 +211,11 @@
   ContactTracker contacts_;
   Membership membership_;
   bool holdsAllKeys_ = false;
-  bool abstains_ = false;
+  bool ineligibleAsOwner_ = false;
   bool retired_ = false;
   vector<Member> formerVoter_;  ///< this node as it voted in the membership before: one or none
   std::map<string, KeyspaceState> keyspaces_;
-  std::map<string, std::set<NodeId>> passedOver_;  ///< by keyspace
+  std::map<string, std::set<NodeId>> deprioritizedOwners_;  ///< by keyspace
   OperationId lastOperation_ = 0;
   std::uint64_t lastRound_ = 0;  ///< of ownership checks and transfers
   Output output_;
--- a/consensus/consensus_driver.cpp
+++ b/consensus/consensus_driver.cpp
@@ -41,7 +41,7 @@
   if (recovered.tornBytes)
     logWarning("consensus", "a torn tail of " + std::to_string(recovered.tornBytes) + " bytes was cut");
   for (string const& place : recovered.corruptions) logWarning("consensus", "synced records are lost: " + place);
-  if (!recovered.corruptions.empty()) consensus_.surrenderVote(randomId());
+  if (!recovered.corruptions.empty()) consensus_.giveUpVote(randomId());
   log_->releaseRecovered();
 }
 
@@ -68,16 +68,16 @@
   if (onHeartbeat) onHeartbeat(message);
   consensus_.tick(now);
   flush();
-  answerUnheardPeer(heartbeat, now);
+  replyToNewPeer(heartbeat, now);
   if (onChange) onChange();
   return HeartbeatReply{self_, heartbeat.sentAt};
 }
 
 /// One that doesn't hear this node yet gets a heartbeat at once, so that a start takes no whole period.
-void ConsensusDriver::answerUnheardPeer(Heartbeat const& heartbeat, TimePoint now) {
-  TimePoint& answeredAt = links_[heartbeat.sender.ip].answeredAt;
-  if (heartbeat.hears(self_) || now - answeredAt <= heartbeatPeriod_ / 5) return;
-  answeredAt = now;
+void ConsensusDriver::replyToNewPeer(Heartbeat const& heartbeat, TimePoint now) {
+  TimePoint& extraHeartbeatSentAt = links_[heartbeat.sender.ip].extraHeartbeatSentAt;
+  if (heartbeat.hears(self_) || now - extraHeartbeatSentAt <= heartbeatPeriod_ / 5) return;
+  extraHeartbeatSentAt = now;
   rpc_.send(settings_.controlAddress(heartbeat.sender.ip), makeHeartbeat(heartbeat.membership, true));
 }
 
@@ -154,8 +154,8 @@
   // Where a stalled disk or a freeze kept the consensus from ending it, the keyspace is given up here.
   if (!end && consensus_.epochOf(keyspace) == epoch) consensus_.relinquish(keyspace);
   flush();
-  bool const awaitedByAll = keyspace == configurationKeyspace || keyspace == membersKeyspace;
-  if (result == OperationResult::committed && awaitedByAll) sendHeartbeats();
+  bool const announceAtOnce = keyspace == configurationKeyspace || keyspace == membersKeyspace;
+  if (result == OperationResult::committed && announceAtOnce) sendHeartbeats();
   co_return result;
 }
 
@@ -229,7 +229,7 @@
 Task<void> ConsensusDriver::tickLoop() {
   for (;;) {
     co_await sleepFor(settings_.bounds.inTouch / 60);
-    if (consensus_.setAbstaining(log_ && !log_->healthy())) sendHeartbeats();
+    if (consensus_.setIneligibleAsOwner(log_ && !log_->healthy())) sendHeartbeats();
     consensus_.tick(Clock::now());
     flush();
   }
--- a/consensus/consensus_driver.hpp
+++ b/consensus/consensus_driver.hpp
@@ -62,12 +62,12 @@
   /// What is known of the exchange of heartbeats with an address.
   struct HeartbeatLink {
     bool awaitsReply = false;
-    TimePoint answeredAt;  ///< when a heartbeat was last sent back at once
+    TimePoint extraHeartbeatSentAt;  ///< when a heartbeat was last sent back at once
   };
 
   void replayLog();
   HeartbeatReply receiveHeartbeat(HeartbeatMessage const& message);
-  void answerUnheardPeer(Heartbeat const& heartbeat, TimePoint now);
+  void replyToNewPeer(Heartbeat const& heartbeat, TimePoint now);
   HeartbeatMessage makeHeartbeat(MembershipNumber known, bool isExtra);
   /// The addresses of heartbeats, and the membership that each is known to have.
   std::map<string, MembershipNumber> heartbeatReceivers(TimePoint now) const;
--- a/consensus/contact_tracker.cpp
+++ b/consensus/contact_tracker.cpp
@@ -27,9 +27,9 @@
   peer.lastContact = std::max(peer.lastContact, at);
 }
 
-void ContactTracker::noteRunning(TimePoint now) {
-  if (awakeSince_ == TimePoint() || now - lastRunning_ > expiry_) awakeSince_ = now;
-  lastRunning_ = now;
+void ContactTracker::recordTick(TimePoint now) {
+  if (runningSince_ == TimePoint() || now - lastTick_ > expiry_) runningSince_ = now;
+  lastTick_ = now;
 }
 
 bool ContactTracker::isAlive(NodeId node, Membership const& membership, TimePoint now) const {
@@ -59,10 +59,10 @@
 }
 
 Ms ContactTracker::silentFor(NodeId node, TimePoint now) const {
-  bool const slept = awakeSince_ == TimePoint() || now - lastRunning_ > expiry_;
+  bool const slept = runningSince_ == TimePoint() || now - lastTick_ > expiry_;
   if (node == self_ || slept) return Ms(0);
   auto const heard = lastHeard_.find(node);
-  TimePoint const last = heard == lastHeard_.end() ? awakeSince_ : std::max(awakeSince_, heard->second);
+  TimePoint const last = heard == lastHeard_.end() ? runningSince_ : std::max(runningSince_, heard->second);
   return std::chrono::duration_cast<Ms>(now - last);
 }
 
@@ -78,11 +78,11 @@
   return peer == peers_.end() ? nullptr : &peer->second.heartbeat;
 }
 
-void ContactTracker::reset(TimePoint awakeSince, TimePoint now) {
+void ContactTracker::reset(TimePoint runningSince, TimePoint now) {
   peers_.clear();
   lastHeard_.clear();
-  awakeSince_ = awakeSince;
-  lastRunning_ = now;
+  runningSince_ = runningSince;
+  lastTick_ = now;
 }
 
 }  // namespace tealshelf
--- a/consensus/contact_tracker.hpp
+++ b/consensus/contact_tracker.hpp
@@ -19,7 +19,7 @@
   /// Takes a clock reading of this node that a peer sent back.
   void receiveEcho(NodeId from, ProcessTime const& sentAt, TimePoint now);
   /// Notes that this process runs; one that slept can't tell who was silent meanwhile.
-  void noteRunning(TimePoint now);
+  void recordTick(TimePoint now);
 
   /// True if a node is in contact with this one and with a majority of the members.
   bool isAlive(NodeId node, Membership const& membership, TimePoint now) const;
@@ -35,7 +35,7 @@
   /// The last heartbeat of a node, or null.
   Heartbeat const* lastHeartbeat(NodeId node) const;
   /// Forgets all contacts, for tests that decide who hears whom.
-  void reset(TimePoint awakeSince, TimePoint now);
+  void reset(TimePoint runningSince, TimePoint now);
 
  private:
   struct Peer {
@@ -49,7 +49,7 @@
   Ms expiry_;
   std::map<NodeId, Peer> peers_;
   std::map<NodeId, TimePoint> lastHeard_;  ///< when a node was last heard, here or by a peer
-  TimePoint awakeSince_, lastRunning_;
+  TimePoint runningSince_, lastTick_;
 };
 
 }  // namespace tealshelf
--- a/consensus/control_messages.hpp
+++ b/consensus/control_messages.hpp
@@ -49,8 +49,8 @@
 struct HelloReply {
   Member self;
   Membership membership;
-  bool mayFound = false, hasDisk = false, holdsAllKeys = false;
-  MSGPACK_DEFINE(self, membership, mayFound, hasDisk, holdsAllKeys)
+  bool mayBootstrap = false, hasDisk = false, holdsAllKeys = false;
+  MSGPACK_DEFINE(self, membership, mayBootstrap, hasDisk, holdsAllKeys)
 };
 
 /// Asks a seed who it is, before the first membership.
@@ -68,7 +68,7 @@
 };
 
 /// Asks for all keys; what the asker holds of them already, by digest, is left out.
-struct CopyAll {
+struct CopyRequest {
   using Reply = CopyReply;
   static constexpr RpcMethod method = RpcMethod::copyAll;
   MembershipNumber membership;
@@ -77,7 +77,7 @@
 };
 
 /// Asks for a change of the membership; handed on to the owner of its keyspace.
-struct JoinRequest {
+struct MembershipChangeRequest {
   using Reply = Acknowledgement;
   static constexpr RpcMethod method = RpcMethod::join;
   Member who;
--- a/consensus/keyspace_replica.cpp
+++ b/consensus/keyspace_replica.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t maxRanges = 1024;
 
 /// Two values at one place of a sequence of writes: an epoch was used by two owners, or by two lives of one.
-void checkSamePlaceSameValue(Entries const& present, Entries const& arriving) {
+void checkOneValuePerPosition(Entries const& present, Entries const& arriving) {
   for (auto const& [key, entry] : arriving) {
     auto const known = present.find(key);
     if (known == present.end() || known->second.position() != entry.position()) continue;
@@ -19,7 +19,7 @@
 }  // namespace
 
 void KeyspaceReplica::store(Epoch epoch, WriteRange const& writes) {
-  checkSamePlaceSameValue(entries_, writes.entries);
+  checkOneValuePerPosition(entries_, writes.entries);
   if (storedEpoch_ != epoch) {
     storedEpoch_ = epoch;
     ranges_.clear();
@@ -39,7 +39,7 @@
   }
   insertRange(WriteRange{writes.full ? 0 : writes.previous, writes.last, writes.full, writes.entries});
   advanceApplied();
-  if (ranges_.size() > maxRanges) joinRanges();
+  if (ranges_.size() > maxRanges) mergeAdjacentRanges();
 }
 
 /// A whole state or joined ranges replace the ranges that they contain. A range that arrives again must not replace
@@ -75,7 +75,7 @@
   if (at.sequence) ranges_[at.sequence] = WriteRange{0, at.sequence, true, entries};
 }
 
-void KeyspaceReplica::joinRanges() {
+void KeyspaceReplica::mergeAdjacentRanges() {
   for (auto range = ranges_.begin(); range != ranges_.end();) {
     auto const next = std::next(range);
     if (next == ranges_.end()) return;
--- a/consensus/keyspace_replica.hpp
+++ b/consensus/keyspace_replica.hpp
@@ -19,7 +19,7 @@
   /// ownerships if the position is Position().
   void reset(Position at, Entries const& entries);
   /// Joins stored ranges that follow each other, so that their number stays bounded.
-  void joinRanges();
+  void mergeAdjacentRanges();
 
   /// True if the entries are exactly what one ownership wrote up to applied().
   bool isComplete() const;
--- a/consensus/keyspace_state.hpp
+++ b/consensus/keyspace_state.hpp
@@ -70,7 +70,7 @@
   OwnershipPhase phase = OwnershipPhase::notOwner;
   Epoch epoch;  ///< of this node's own, present or last, ownership
   TimePoint takeoverStartedAt, voteRequestsSentAt;
-  TimePoint yieldsUntil;  ///< no takeover begins here before, as another node's is under way
+  TimePoint noTakeoverBefore;  ///< no takeover begins here before, as another node's is under way
   std::set<NodeId> votes;
   Entries votedEntries;  ///< the newest entry of each key that the voters brought
 
--- a/consensus/membership_manager.cpp
+++ b/consensus/membership_manager.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 /// A request to join is handed on so often at the most.
-constexpr int maxJoinHops = 2;
+constexpr int maxChangeRequestHops = 2;
 /// Pauses of the join loop, as parts of inTouch: right after a promotion, since the membership comes at once and this
 /// node has no vote until it copied what is missing; as a voting member; otherwise.
-constexpr int pausePartPromoted = 300, pausePartVoter = 10, pausePartOther = 30;
+constexpr int promotedPauseDivisor = 300, voterPauseDivisor = 10, otherPauseDivisor = 30;
 
 /// Adds to a copy the keyspaces that the asker held already.
-DiskCopy completed(DiskCopy copy, DiskCopy const& held) {
+DiskCopy fillUnchanged(DiskCopy copy, DiskCopy const& held) {
   for (KeyspaceCopy& keyspace : copy) {
     if (!keyspace.unchanged) continue;
     for (KeyspaceCopy const& known : held)
@@ -32,9 +32,9 @@
     co_return HelloReply{consensus_.self(), consensus_.membership(), settings_.firstBoot, !settings_.dataFolder.empty(),
                          consensus_.holdsAllKeys()};
   });
-  server.on<CopyAll>([this](CopyAll request) -> Task<CopyReply> { co_return co_await answerCopy(request); });
-  server.on<JoinRequest>([this](JoinRequest request) -> Task<Acknowledgement> {
-    co_return Acknowledgement{co_await handleJoin(request)};
+  server.on<CopyRequest>([this](CopyRequest request) -> Task<CopyReply> { co_return co_await answerCopy(request); });
+  server.on<MembershipChangeRequest>([this](MembershipChangeRequest request) -> Task<Acknowledgement> {
+    co_return Acknowledgement{co_await handleChangeRequest(request)};
   });
   spawnTask(io_, "membership join", joinLoop());
   spawnTask(io_, "membership maintenance", maintenanceLoop());
@@ -54,7 +54,7 @@
     bool const promoted = co_await joinStep();
     warnIfTooSmall();
     bool const voter = consensus_.isMember() && consensus_.holdsAllKeys();
-    int const part = promoted ? pausePartPromoted : voter ? pausePartVoter : pausePartOther;
+    int const part = promoted ? promotedPauseDivisor : voter ? voterPauseDivisor : otherPauseDivisor;
     co_await sleepFor(settings_.bounds.inTouch / part);
   }
 }
@@ -63,7 +63,7 @@
   bool const member = consensus_.isMember();
   bool promoted = false;
   if (!consensus_.membership().exists()) {
-    co_await findOrFound();
+    co_await discoverOrBootstrap();
     publish();
   } else if (!member && !driver_.isLeaving() && mayJoin()) {
     promoted = co_await askToJoin();
@@ -77,7 +77,7 @@
   co_return promoted;
 }
 
-Task<void> MembershipManager::findOrFound() {
+Task<void> MembershipManager::discoverOrBootstrap() {
   Ms const limit = settings_.bounds.inTouch / 6;
   Membership founded;
   founded.number = MembershipNumber(1);
@@ -100,7 +100,7 @@
       consensus_.installMembership(answer.membership, false);
       co_return;
     }
-    if (!answer.mayFound) co_return;
+    if (!answer.mayBootstrap) co_return;
     founded.members.push_back(answer.self);
   }
   if (!isSeed || !settings_.firstBoot) co_return;
@@ -121,10 +121,10 @@
 
 Task<bool> MembershipManager::askToJoin() {
   if (consensus_.isRetired()) consensus_.rejoin(randomId());
-  if (prefetchedUnder_ != consensus_.membership().number) co_await copyAll();
-  JoinRequest request;
+  if (learnerCopiedUnder_ != consensus_.membership().number) co_await copyAll();
+  MembershipChangeRequest request;
   request.who = consensus_.self();
-  request.copiedUnder = prefetchedUnder_;
+  request.copiedUnder = learnerCopiedUnder_;
   vector<string> ips;
   for (Member const& member : consensus_.membership().members) ips.push_back(member.ip);
   for (Address const& seed : settings_.seeds) ips.push_back(seed.ip);
@@ -144,10 +144,10 @@
 Task<void> MembershipManager::askToLeave() {
   if (consensus_.membership().members.size() <= minMembers()) co_return;
   NodeId const self = consensus_.self().id;
-  if (!MembershipPolicy::isTight(consensus_, self, settings_.surviveMachines, Clock::now())) co_return;
+  if (!MembershipPolicy::lacksFaultTolerance(consensus_, self, settings_.surviveMachines, Clock::now())) co_return;
   std::optional<Address> const owner = driver_.ownerAddress(membersKeyspace);
   if (!owner || owner->ip == settings_.ip) co_return;
-  JoinRequest request;
+  MembershipChangeRequest request;
   request.who = consensus_.self();
   request.leaves = true;
   try {
@@ -159,15 +159,15 @@
 
 void MembershipManager::warnIfTooSmall() {
   bool const due = consensus_.membership().exists() && Clock::now() - startedAt_ > settings_.bounds.confirmWithin;
-  if (checkedSize_ || !due) return;
-  checkedSize_ = true;
+  if (sizeChecked_ || !due) return;
+  sizeChecked_ = true;
   if (driver_.survivesRequiredLosses()) return;
   logWarning("membership", "the membership of " + std::to_string(consensus_.membership().members.size()) +
                                " is too small to survive the loss of " + std::to_string(settings_.surviveMachines) +
                                " machines");
 }
 
-Task<CopyReply> MembershipManager::answerCopy(CopyAll const& request) {
+Task<CopyReply> MembershipManager::answerCopy(CopyRequest const& request) {
   std::optional<Member> const source = consensus_.copySource();
   if (request.membership != consensus_.membership().number || !source) throw Error(ErrorCode::notMember);
   CopyReply answer;
@@ -186,9 +186,9 @@
 
 void MembershipManager::requestCopy(Member const& source, MembershipNumber membership,
                                     std::shared_ptr<PendingCopies> copies, std::size_t needed) {
-  CopyAll request;
+  CopyRequest request;
   request.membership = membership;
-  for (KeyspaceCopy const& held : prefetched_[source.id]) request.digests[held.keyspace] = held.digest();
+  for (KeyspaceCopy const& held : learnerCopies_[source.id]) request.digests[held.keyspace] = held.digest();
   ++copies->outstanding;
   asio::co_spawn(io_, rpc_.call(settings_.controlAddress(source.ip), request, settings_.bounds.inTouch / 2),
                  [copies, needed, source](std::exception_ptr failure, CopyReply answer) {
@@ -215,12 +215,12 @@
   bool const unchanged = consensus_.membership().number == membership.number && consensus_.isMember() == member;
   if (received.size() < needed || !unchanged) co_return;
   std::map<NodeId, DiskCopy> whole;
-  for (auto const& [source, copy] : received) whole[source] = completed(copy, prefetched_[source]);
+  for (auto const& [source, copy] : received) whole[source] = fillUnchanged(copy, learnerCopies_[source]);
   if (member) {
     installCopies(std::move(whole));
   } else {
-    prefetched_ = std::move(whole);
-    prefetchedUnder_ = membership.number;
+    learnerCopies_ = std::move(whole);
+    learnerCopiedUnder_ = membership.number;
   }
 }
 
@@ -228,16 +228,16 @@
   vector<DiskCopy> disks;
   for (auto& [source, copy] : copies) disks.push_back(std::move(copy));
   consensus_.installCopies(disks);
-  prefetched_.clear();
+  learnerCopies_.clear();
   logInfo("membership", "all keys are copied from " + std::to_string(disks.size()) + " nodes");
 }
 
-Task<bool> MembershipManager::handleJoin(JoinRequest request) {
+Task<bool> MembershipManager::handleChangeRequest(MembershipChangeRequest request) {
   Member const* const known = consensus_.membership().find(request.who.id);
   if (!request.leaves && known && known->incarnation == request.who.incarnation) co_return true;
   if (!consensus_.owns(membersKeyspace)) {
     std::optional<Address> const owner = driver_.ownerAddress(membersKeyspace);
-    if (!owner || request.hops >= maxJoinHops || owner->ip == settings_.ip) co_return false;
+    if (!owner || request.hops >= maxChangeRequestHops || owner->ip == settings_.ip) co_return false;
     ++request.hops;
     Acknowledgement const answer = co_await rpc_.call(*owner, request, settings_.bounds.inTouch / 2);
     co_return answer.ok;
@@ -255,7 +255,7 @@
   co_return changed;
 }
 
-Task<bool> MembershipManager::changeMembership(JoinRequest const& request) {
+Task<bool> MembershipManager::changeMembership(MembershipChangeRequest const& request) {
   MembershipNumber const previous = consensus_.membership().number;
   MembershipPolicy const policy{MembershipPolicy::deadAfterFor(settings_.bounds), minMembers()};
   MembershipChange const change{request.who, request.leaves, request.copiedUnder};
@@ -281,23 +281,23 @@
       publish();
       continue;
     }
-    co_await removeSilent();
+    co_await removeSilentMember();
   }
 }
 
-Task<void> MembershipManager::removeSilent() {
+Task<void> MembershipManager::removeSilentMember() {
   TimePoint const now = Clock::now();
   if (consensus_.membership().members.size() <= minMembers() || changing_) co_return;
   vector<Member> const members = consensus_.membership().members;
   for (Member const& member : members) {
-    bool const tight = MembershipPolicy::isTight(consensus_, member.id, settings_.surviveMachines, now);
+    bool const tight = MembershipPolicy::lacksFaultTolerance(consensus_, member.id, settings_.surviveMachines, now);
     Ms const limit = tight ? MembershipPolicy::deadAfterFor(settings_.bounds) : Ms(2 * settings_.bounds.catchUp);
     if (consensus_.silentFor(member.id, now) <= limit) continue;
-    JoinRequest request;
+    MembershipChangeRequest request;
     request.who = member;
-    request.hops = maxJoinHops;  // not handed on if this node has lost the keyspace meanwhile
+    request.hops = maxChangeRequestHops;  // not handed on if this node has lost the keyspace meanwhile
     request.leaves = true;
-    co_await handleJoin(request);
+    co_await handleChangeRequest(request);
     co_return;
   }
 }
--- a/consensus/membership_manager.hpp
+++ b/consensus/membership_manager.hpp
@@ -28,7 +28,7 @@
   /// Does the next thing that this node needs to become a voting member, or to leave. True if it was promoted.
   Task<bool> joinStep();
   /// Installs the membership that the seeds know. If none knows one and all may found one, founds the first.
-  Task<void> findOrFound();
+  Task<void> discoverOrBootstrap();
   bool mayJoin() const;
   /// Asks the members, and the seeds, for a place as a member; first copies all keys as a learner. True if this node
   /// was promoted.
@@ -43,15 +43,15 @@
   void requestCopy(Member const& source, MembershipNumber membership, std::shared_ptr<PendingCopies> copies,
                    std::size_t needed);
   void installCopies(std::map<NodeId, DiskCopy> copies);
-  Task<CopyReply> answerCopy(CopyAll const& request);
+  Task<CopyReply> answerCopy(CopyRequest const& request);
 
   /// Changes the membership, or hands the request on to the owner of its keyspace. True if it was changed so.
-  Task<bool> handleJoin(JoinRequest request);
-  Task<bool> changeMembership(JoinRequest const& request);
+  Task<bool> handleChangeRequest(MembershipChangeRequest request);
+  Task<bool> changeMembership(MembershipChangeRequest const& request);
   Task<void> maintenanceLoop();
   /// Removes a member that is gone for good, where the membership is larger than it must be; sooner if those who are
   /// left survive too few losses while it counts.
-  Task<void> removeSilent();
+  Task<void> removeSilentMember();
   std::size_t minMembers() const;
   /// Writes records, sends messages, and tells everybody of the present membership.
   void publish();
@@ -62,10 +62,10 @@
   ConsensusDriver& driver_;
   Consensus& consensus_;
   /// What a learner copied before its promotion, by source, and under which membership.
-  std::map<NodeId, DiskCopy> prefetched_;
-  MembershipNumber prefetchedUnder_;
+  std::map<NodeId, DiskCopy> learnerCopies_;
+  MembershipNumber learnerCopiedUnder_;
   bool changing_ = false;
-  bool checkedSize_ = false;
+  bool sizeChecked_ = false;
   TimePoint startedAt_ = Clock::now();
 };
 
--- a/consensus/membership_policy.cpp
+++ b/consensus/membership_policy.cpp
@@ -12,7 +12,7 @@
 }
 
 /// The last change is open while its newcomer is alive and has no vote yet.
-bool lastChangeIsOpen(Consensus const& consensus, TimePoint now) {
+bool lastChangeIsInProgress(Consensus const& consensus, TimePoint now) {
   Membership const& membership = consensus.membership();
   return std::any_of(membership.members.begin(), membership.members.end(), [&](Member const& member) {
     return isNewcomer(membership, member) && consensus.isAlive(member.id, now) && !consensus.isReady(member.id, now);
@@ -52,7 +52,7 @@
 }
 
 /// True if those who stay and vote are a majority of the next membership.
-bool stayingVotersSuffice(Consensus const& consensus, Membership const& next, TimePoint now) {
+bool remainingVotersAreQuorum(Consensus const& consensus, Membership const& next, TimePoint now) {
   std::size_t voters = 0;
   for (Member const& member : next.members) {
     Member const* const present = consensus.membership().find(member.id);
@@ -98,7 +98,8 @@
   return disks == membership.members.size() && disks >= membersToSurvive(losses);
 }
 
-bool MembershipPolicy::isTight(Consensus const& consensus, NodeId without, std::int64_t losses, TimePoint now) {
+bool MembershipPolicy::lacksFaultTolerance(Consensus const& consensus, NodeId without, std::int64_t losses,
+                                           TimePoint now) {
   Membership const& membership = consensus.membership();
   std::size_t alive = 0;
   for (Member const& member : membership.members) alive += member.id != without && consensus.isAlive(member.id, now);
@@ -111,14 +112,14 @@
   if (!present.exists() || !consensus.owns(membersKeyspace)) return std::nullopt;
   // One that is committed and not installed yet comes first: two memberships must not share a number.
   if (committedMembership(consensus).number > present.number) return std::nullopt;
-  if (lastChangeIsOpen(consensus, now)) return std::nullopt;
+  if (lastChangeIsInProgress(consensus, now)) return std::nullopt;
   Membership next;
   next.number = MembershipNumber(present.number.value + 1);
   next.members = present.members;
   next.formerMembers = present.members;
   bool const changed =
       change.leaves ? remove(next, *this, consensus, change.who, now) : promote(next, *this, consensus, change, now);
-  if (!changed || !stayingVotersSuffice(consensus, next, now)) return std::nullopt;
+  if (!changed || !remainingVotersAreQuorum(consensus, next, now)) return std::nullopt;
   return next;
 }
 
--- a/consensus/membership_policy.hpp
+++ b/consensus/membership_policy.hpp
@@ -35,7 +35,7 @@
   /// True if a membership survives so many losses: enough members, all with disks.
   static bool survives(Membership const& membership, std::int64_t losses);
   /// True if the members that are alive, without one, don't survive so many losses as long as that one counts.
-  static bool isTight(Consensus const& consensus, NodeId without, std::int64_t losses, TimePoint now);
+  static bool lacksFaultTolerance(Consensus const& consensus, NodeId without, std::int64_t losses, TimePoint now);
   /// For how long a member must be silent before another may have its place: as long as the deployment gives a
   /// successor to catch up, less what it takes to promote one.
   static Ms deadAfterFor(Bounds const& bounds) {
--- a/consensus/ownership.cpp
+++ b/consensus/ownership.cpp
@@ -11,7 +11,7 @@
 }
 
 /// The newest entry that a majority of the voters brought can't be older than what this node knows as committed.
-void checkVotesHoldCommitted(string const& name, KeyspaceState const& keyspace) {
+void checkVotesIncludeCommitted(string const& name, KeyspaceState const& keyspace) {
   if (keyspace.replica.committedValues().empty()) return;
   Position newest;
   for (auto const& [key, entry] : keyspace.votedEntries) newest = std::max(newest, entry.position());
@@ -21,10 +21,10 @@
 }
 
 /// After so many resends a takeover is given up if another node should own the keyspace, or has a higher epoch.
-constexpr int takeoverResends = 20;
+constexpr int maxTakeoverResends = 20;
 /// A takeover under way elsewhere is left alone for one to two resends, as it takes a few round trips and syncs.
-constexpr int yieldedResends = 1;
-constexpr std::uint64_t yieldSteps = 16;
+constexpr int takeoverDelayResends = 1;
+constexpr std::uint64_t takeoverDelaySteps = 16;
 }  // namespace
 
 void Consensus::updateOwnership(string const& name, KeyspaceState& keyspace, TimePoint now) {
@@ -32,10 +32,10 @@
   Member const* const preferred = preferredOwner(name, now);
   bool const shouldOwn = preferred && preferred->id == self_.id && inContactWithMajority(now);
   if (keyspace.phase == OwnershipPhase::notOwner) {
-    if (shouldOwn && now >= keyspace.yieldsUntil) startTakeover(name, keyspace, now);
+    if (shouldOwn && now >= keyspace.noTakeoverBefore) startTakeover(name, keyspace, now);
     return;
   }
-  bool const overdue = now - keyspace.takeoverStartedAt > takeoverResends * timeouts_.resend;
+  bool const overdue = now - keyspace.takeoverStartedAt > maxTakeoverResends * timeouts_.resend;
   bool const overtaken = !shouldOwn || keyspace.highestSeenEpoch > keyspace.epoch;
   if (overdue && overtaken)
     stepDown(keyspace);
@@ -70,7 +70,7 @@
       keyspace.votedEpoch = message.epoch;
       record(LogRecord::vote(message.keyspace, message.epoch));
       if (keyspace.epoch < message.epoch) stepDown(keyspace);
-      if (message.from != self_.id) yield(keyspace, message.epoch, now);
+      if (message.from != self_.id) deferTakeover(keyspace, message.epoch, now);
     }
     output_.needsSync = true;
     answer.granted = true;
@@ -95,7 +95,7 @@
 /// Writes the newest entry of each key again, under the new epoch. Once a majority has stored that, this node owns
 /// the keyspace.
 void Consensus::rewriteUnderOwnEpoch(string const& name, KeyspaceState& keyspace, TimePoint now) {
-  checkVotesHoldCommitted(name, keyspace);
+  checkVotesIncludeCommitted(name, keyspace);
   keyspace.phase = OwnershipPhase::rewriting;
   keyspace.nextSequence = 1;
   keyspace.committedSequence = 0;
@@ -133,10 +133,10 @@
   stepDown(keyspaces_[keyspace]);
 }
 
-bool Consensus::setAbstaining(bool abstains) {
-  if (abstains_ == abstains) return false;
-  abstains_ = abstains;
-  if (abstains_) stepDownEverywhere();
+bool Consensus::setIneligibleAsOwner(bool ineligible) {
+  if (ineligibleAsOwner_ == ineligible) return false;
+  ineligibleAsOwner_ = ineligible;
+  if (ineligibleAsOwner_) stepDownEverywhere();
   return true;
 }
 
@@ -146,15 +146,15 @@
   bool const overtaken = votedEpoch != keyspace.epoch && votedEpoch.number >= keyspace.epoch.number;
   if (!overtaken || keyspace.phase == OwnershipPhase::notOwner) return;
   stepDown(keyspace);
-  yield(keyspace, votedEpoch, now);
+  deferTakeover(keyspace, votedEpoch, now);
 }
 
 /// Nodes that start together each take themselves for the preferred owner until they know all others. Without a pause
 /// that differs from node to node they would overtake each other again and again.
-void Consensus::yield(KeyspaceState& keyspace, Epoch other, TimePoint now) const {
-  std::uint64_t const step = hash64(hex(self_.id.value), other.number) % yieldSteps;
-  Ms const pause = yieldedResends * timeouts_.resend;
-  keyspace.yieldsUntil = now + pause + pause * static_cast<int>(step) / static_cast<int>(yieldSteps);
+void Consensus::deferTakeover(KeyspaceState& keyspace, Epoch other, TimePoint now) const {
+  std::uint64_t const step = hash64(hex(self_.id.value), other.number) % takeoverDelaySteps;
+  Ms const pause = takeoverDelayResends * timeouts_.resend;
+  keyspace.noTakeoverBefore = now + pause + pause * static_cast<int>(step) / static_cast<int>(takeoverDelaySteps);
 }
 
 }  // namespace tealshelf
--- a/consensus/voting_rights.cpp
+++ b/consensus/voting_rights.cpp
@@ -63,7 +63,7 @@
   stepDownEverywhere();
 }
 
-void Consensus::surrenderVote(std::uint64_t newIncarnation) {
+void Consensus::giveUpVote(std::uint64_t newIncarnation) {
   self_.incarnation = newIncarnation;
   self_.founder = false;
   holdsAllKeys_ = false;
--- a/control/duty_holder.cpp
+++ b/control/duty_holder.cpp
@@ -135,8 +135,8 @@
   std::optional<DutyRecord> const known = record();
   std::optional<DutyPreference::Incumbent> incumbent;
   if (known) incumbent = DutyPreference::Incumbent{known->holder, consensus.isAlive(known->holder, now)};
-  consensus.passOver(dutiesKeyspace,
-                     preference_.passedOver(std::move(unfit), incumbent, consensus.membership().members, now));
+  consensus.setDeprioritizedOwners(
+      dutiesKeyspace, preference_.passedOver(std::move(unfit), incumbent, consensus.membership().members, now));
 }
 
 void DutyHolder::receive(HeartbeatMessage const& message) {
--- a/tests/consensus/consensus_sim.cpp
+++ b/tests/consensus/consensus_sim.cpp
@@ -8,7 +8,7 @@
   x.disk.erase(x.disk.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(1, x.disk.size())), x.disk.end());
   start(i);
   if (votesOn) return;
-  x.consensus->surrenderVote(++lastIdentity_);
+  x.consensus->giveUpVote(++lastIdentity_);
   x.whole = false;
   pump(x);
 }
@@ -67,7 +67,7 @@
   vector<string>& disk = nodes_[i].disk;
   disk.resize(disk.size() - std::min(disk.size(), 1 + dice(4)));
   start(i);
-  if (!votesOn) nodes_[i].consensus->surrenderVote(++lastIdentity_);
+  if (!votesOn) nodes_[i].consensus->giveUpVote(++lastIdentity_);
   pump(nodes_[i]);
 }
 
--- a/tests/consensus/failing_disk_test.cpp
+++ b/tests/consensus/failing_disk_test.cpp
@@ -18,7 +18,7 @@
   std::size_t nextOwner = 0, lastOwner = 0, first = 0;
   string broken;
 };
-Refusal playWithFailingDisk(std::uint64_t seed, bool abstains, std::size_t nodes) {
+Refusal playWithFailingDisk(std::uint64_t seed, bool ineligible, std::size_t nodes) {
   sim::Cluster c(seed, nodes);
   c.run(400);
   Refusal o;
@@ -35,7 +35,7 @@
     return c.writes - before;
   };
   x.refuses = true;
-  x.consensus->setAbstaining(abstains);
+  x.consensus->setIneligibleAsOwner(ineligible);
   load(400);
   o.during = load(400);
   o.nextOwner = owner(c);
@@ -46,7 +46,7 @@
     c.start(o.first);
   }
   x.refuses = false;
-  x.consensus->setAbstaining(false);
+  x.consensus->setIneligibleAsOwner(false);
   load(400);
   o.after = load(400);
   o.lastOwner = owner(c);
@@ -75,7 +75,7 @@
       c.power(i);
     else
       x.refuses = !x.refuses;
-    if (x.up) x.consensus->setAbstaining(x.refuses);
+    if (x.up) x.consensus->setIneligibleAsOwner(x.refuses);
   }
   return c.broken;
 }
@@ -159,7 +159,7 @@
   third.members[0].founder = false;  // as the disk itself says from then on
   Consensus x(first.members[0], Consensus::Timeouts{Ms(750), Ms(100), Ms(1500), Ms(600)}, 1), y = x;
   x.installMembership(first, true);
-  x.surrenderVote(7);
+  x.giveUpVote(7);
   for (string const& record : x.snapshot()) y.replay(record);
   for (Consensus* const c : {&x, &y}) {
     // Neither a membership that still names its former stay nor one that takes it in again makes it vote.
--- a/tests/consensus/learner_test.cpp
+++ b/tests/consensus/learner_test.cpp
@@ -119,8 +119,8 @@
     cluster.run(400);
     cluster.kill(1);
     cluster.run(400);
-    bool const tight =
-        MembershipPolicy::isTight(*cluster.nodes()[0].consensus, cluster.nodes()[1].self.id, c.survive, cluster.now());
+    bool const tight = MembershipPolicy::lacksFaultTolerance(*cluster.nodes()[0].consensus, cluster.nodes()[1].self.id,
+                                                             c.survive, cluster.now());
     CHECK_EQUAL_TEXT(c.tight, tight, std::to_string(c.disks).c_str());
   }
 }
--- a/tests/consensus/membership_search.hpp
+++ b/tests/consensus/membership_search.hpp
@@ -210,7 +210,7 @@
     if (!spend(budget_.corruptions) || disks_[i].durable->empty()) return false;
     Consensus c = fresh(at(i).self());
     c.replay(disks_[i].durable->front());
-    if (broken_ != Broken::corruptDiskVotes) c.surrenderVote(++disks_[i].stays + 50);
+    if (broken_ != Broken::corruptDiskVotes) c.giveUpVote(++disks_[i].stays + 50);
     restart(i, std::move(c));
     return true;
   }
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -38,7 +38,8 @@
       membership());
   expectBytes("969701a26e31a831302e302e302e31a27a31c3c30002c39205cd02589192029206cd02bc9195a16b9203010605c3",
               heartbeat());
-  expectBytes("949701a26e31a831302e302e302e31a27a31c3c30001c302", JoinRequest{founder, 1, true, MembershipNumber(2)});
+  expectBytes("949701a26e31a831302e302e302e31a27a31c3c30001c302",
+              MembershipChangeRequest{founder, 1, true, MembershipNumber(2)});
   expectBytes(
       "9d969701a26e31a831302e302e302e31a27a31c3c30002c39205cd02589192029206cd02bc9195a16b9203010605c393"
       "02929701a26e31a831302e302e302e31a27a31c3c3009702a26e32a831302e302e302e32a27a32c2c32c919701a26e31"
