--- a/tests/configuration/change_simulation_test.cpp
+++ b/tests/configuration/change_simulation_test.cpp
@@ -217,7 +217,7 @@
       // A call that waited at the frozen node is served before the node has looked at its clock.
       x.frozen = false;
       read(i);
-      cluster_.thaw(i);
+      cluster_.unfreeze(i);
     } else if (dice(2))
       cluster_.cuts.clear();
   }
--- a/tests/consensus/consensus_sim.cpp
+++ b/tests/consensus/consensus_sim.cpp
@@ -2,15 +2,15 @@
 
 namespace tealshelf::sim {
 
-void Cluster::corrupt(std::size_t i, bool votesOn) {
+void Cluster::corrupt(std::size_t i, bool keepsVoting) {
   Node& x = nodes_[i];
   if (x.up) power(i);
   x.disk.erase(x.disk.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(1, x.disk.size())), x.disk.end());
   start(i);
-  if (votesOn) return;
+  if (keepsVoting) return;
   x.consensus->giveUpVote(++lastIdentity_);
   x.whole = false;
-  pump(x);
+  flushOutput(x);
 }
 
 void Cluster::wipe(std::size_t i) {
@@ -32,7 +32,7 @@
     if (!x.up || x.frozen) continue;
     if (turn_ % 10 == i % 10) {
       x.consensus->tick(now_);
-      pump(x);
+      flushOutput(x);
     }
     if (turn_ % 30 == i % 30)
       for (std::size_t j = 0; j < nodes_.size(); ++j)
@@ -63,12 +63,12 @@
   stop(x);
 }
 
-void Cluster::startDamaged(std::size_t i) {
+void Cluster::startWithLostRecords(std::size_t i) {
   vector<string>& disk = nodes_[i].disk;
   disk.resize(disk.size() - std::min(disk.size(), 1 + dice(4)));
   start(i);
-  if (!votesOn) nodes_[i].consensus->giveUpVote(++lastIdentity_);
-  pump(nodes_[i]);
+  if (!keepsVoting) nodes_[i].consensus->giveUpVote(++lastIdentity_);
+  flushOutput(nodes_[i]);
 }
 
 void Cluster::start(std::size_t i) {
@@ -98,18 +98,19 @@
   string const mark = std::to_string(++lastMark_);
   vector<KeyChange> const changes{{"current", std::to_string(value), false},
                                   {"k" + std::to_string(value % 7), mark, false}};
-  Op const o{true, value, acked, i, x.life, x.consensus->propose("configuration", changes, now_), lastMark_};
+  Op const o{true,     value, highestAcknowledged, i, x.life, x.consensus->propose("configuration", changes, now_),
+             lastMark_};
   writing_.insert(i);
   ops_.push_back(o);
-  pump(x);
+  flushOutput(x);
 }
 
 void Cluster::read() {
   std::size_t const i = dice(nodes_.size());
   Node& x = nodes_[i];
   if (!x.up || x.frozen || !x.consensus->owns("configuration")) return;
-  ops_.push_back(Op{false, 0, acked, i, x.life, x.consensus->confirmOwnership("configuration", now_)});
-  pump(x);
+  ops_.push_back(Op{false, 0, highestAcknowledged, i, x.life, x.consensus->confirmOwnership("configuration", now_)});
+  flushOutput(x);
 }
 
 void Cluster::check() {
@@ -123,8 +124,8 @@
     for (std::pair<string const, string> const& p : *v)
       if (p.first != "current" && refused_.count(std::strtoull(p.second.c_str(), nullptr, 10)))
         fail("a write that was refused is in force at " + x.self.name);
-    if (n < x.seenVersion) fail("a settled view went back at " + x.self.name);
-    x.seenVersion = n;
+    if (n < x.highestValueSeen) fail("a settled view went back at " + x.self.name);
+    x.highestValueSeen = n;
   }
 }
 
@@ -141,7 +142,7 @@
             msgpack::unpack(c->second.data(), c->second.size()).get().as<tealshelf::Membership>();
         if (y.number > g.number) {
           x.consensus->installMembership(y, false);
-          pump(x);
+          flushOutput(x);
         }
       }
     }
@@ -155,28 +156,28 @@
   }
   if (g.number.value && x.consensus->isRetired()) {
     x.consensus->rejoin(++lastIdentity_);
-    pump(x);
+    flushOutput(x);
   }
-  if (!g.number.value || x.learnedUnder != g.number) return copy(x, i);
+  if (!g.number.value || x.learnerCopiedUnder != g.number) return copy(x, i);
   std::size_t const j = dice(nodes_.size());
   Node& y = nodes_[j];
   if (!reaches(i, j) || !y.consensus->owns("members") || !y.changes.empty()) return;
   MembershipPolicy const rule{deadAfter, std::max<std::size_t>(3, MembershipPolicy::membersToSurvive(survive))};
-  MembershipChange const wish{x.consensus->self(), false, x.learnedUnder};
+  MembershipChange const wish{x.consensus->self(), false, x.learnerCopiedUnder};
   std::optional<tealshelf::Membership> const n = rule.next(*y.consensus, wish, now_);
   if (!n) return;
   msgpack::sbuffer b;
   msgpack::pack(b, *n);
   std::uint64_t const op = y.consensus->propose("members", {{"membership", string(b.data(), b.size()), false}}, now_);
   y.changes[op] = *n;
-  pump(y);
+  flushOutput(y);
 }
 
 void Cluster::copy(Node& x, std::size_t i) {
   tealshelf::Membership const g = x.consensus->membership();
   bool const member = x.consensus->isMember();
-  if (x.copyNo != g.number || x.copiesAsMember != member) {
-    x.copyNo = g.number;
+  if (x.copiedMembership != g.number || x.copiesAsMember != member) {
+    x.copiedMembership = g.number;
     x.copiesAsMember = member;
     x.copies.clear();
     x.copied.clear();
@@ -193,14 +194,14 @@
     x.copies.insert(j);
     x.copied.push_back(y.consensus->exportKeyspaces());
   }
-  bool const trusted = member && trustLearner && !x.learned.empty();
+  bool const trusted = member && installsLearnerCopies && !x.learned.empty();
   if (!trusted && (!g.number.value || x.copies.size() < need)) return;
   if (member) {
     x.consensus->installCopies(trusted ? x.learned : x.copied);
-    pump(x);
+    flushOutput(x);
   } else {
     x.learned = x.copied;
-    x.learnedUnder = g.number;
+    x.learnerCopiedUnder = g.number;
   }
   x.copies.clear();
   x.copied.clear();
@@ -208,7 +209,7 @@
 
 void Cluster::outcome(std::size_t node, OperationOutcome const& o) {
   Node& m = nodes_[node];
-  if (std::function<void(bool)> const end = std::exchange(begun_[{node, m.life, o.operation}], nullptr))
+  if (std::function<void(bool)> const end = std::exchange(testOperations_[{node, m.life, o.operation}], nullptr))
     return end(o.result == OperationResult::committed);
   if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.operation);
       c != m.changes.end()) {
@@ -216,7 +217,7 @@
     m.changes.erase(c);
     if (o.result == OperationResult::committed && m.consensus->membership().number.value + 1 == g.number.value) {
       m.consensus->installMembership(g, false);
-      pump(m);
+      flushOutput(m);
     }
     return;
   }
@@ -225,14 +226,14 @@
     Op const op = *i;
     ops_.erase(i);
     if (op.write) writing_.erase(node);
-    if (o.result == OperationResult::notOwner || (unknownIsRefused && o.result == OperationResult::unknown))
+    if (o.result == OperationResult::notOwner || (countsUnknownAsRefused && o.result == OperationResult::unknown))
       refused_.insert(op.mark);
     if (op.write) unknown += o.result == OperationResult::unknown;
     if (o.result != OperationResult::committed) return;
     if (op.write) {
       ++writes;
       if (op.value <= op.floor) fail("a write was acknowledged over an older value");
-      acked = std::max(acked, op.value);
+      highestAcknowledged = std::max(highestAcknowledged, op.value);
       ackedAt_ = now_;
       ackedBy_ = node;
     } else {
@@ -243,13 +244,13 @@
   }
 }
 
-void Cluster::thaw(std::size_t i) {
+void Cluster::unfreeze(std::size_t i) {
   nodes_[i].frozen = false;
   vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> l;
-  l.swap(late_);
+  l.swap(heldMessages_);
   for (std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>& p : l) {
     if (p.first != i) {
-      late_.push_back(std::move(p));
+      heldMessages_.push_back(std::move(p));
       continue;
     }
     std::visit([&](auto const& m) { take(nodes_[i], m); }, p.second);
@@ -263,7 +264,7 @@
     if (!nodes_[i].up)
       start(i);
     else if (nodes_[i].frozen)
-      thaw(i);
+      unfreeze(i);
   }
 }
 
@@ -273,7 +274,7 @@
   for (std::size_t k = 0; k < founders_; ++k) first.members.push_back(nodes_[k].self);
   first.formerMembers = first.members;
   nodes_[i].consensus->installMembership(first, true);
-  pump(nodes_[i]);
+  flushOutput(nodes_[i]);
 }
 
 void Cluster::stop(Node& x) {
@@ -283,7 +284,7 @@
   x.changes.clear();
   x.copies.clear();
   x.copied.clear();
-  x.learnedUnder = MembershipNumber();
+  x.learnerCopiedUnder = MembershipNumber();
   x.learned.clear();
   writing_.erase(static_cast<std::size_t>(&x - nodes_.data()));
   x.consensus = std::make_unique<Consensus>(x.self, times_, x.life);
@@ -295,7 +296,7 @@
   x.consensus->addKeyspace("members");
   x.up = true;
   x.frozen = false;
-  x.seenVersion = 0;
+  x.highestValueSeen = 0;
   ++x.life;
 }
 
--- a/tests/consensus/consensus_sim.hpp
+++ b/tests/consensus/consensus_sim.hpp
@@ -19,16 +19,16 @@
     std::uint64_t life = 0;
     TimePoint syncAt;
     Ms syncTakes = Ms(5);                                    ///< how long a write and its sync take
-    std::uint64_t seenVersion = 0;                           ///< highest settled version in this life
+    std::uint64_t highestValueSeen = 0;                      ///< highest settled version in this life
     bool lasting = true;                                     ///< without a disk its state ends with its process
     std::map<std::uint64_t, tealshelf::Membership> changes;  ///< memberships proposed by this life, by operation
-    std::set<std::size_t> copies;                            ///< members copied from under the membership in copyNo
-    MembershipNumber copyNo;
+    std::set<std::size_t> copies;  ///< members copied from under the membership in copiedMembership
+    MembershipNumber copiedMembership;
     Position known;      ///< how far the owner of the configuration has committed, by its last heartbeat
     bool whole = false;  ///< its disk is known to hold all keys
     vector<DiskCopy> copied;
-    bool copiesAsMember = false;    ///< copies are for a vote, not a learner's
-    MembershipNumber learnedUnder;  ///< as a learner it copied from a majority under this number
+    bool copiesAsMember = false;          ///< copies are for a vote, not a learner's
+    MembershipNumber learnerCopiedUnder;  ///< as a learner it copied from a majority under this number
     vector<DiskCopy> learned;
   };
   struct Op {
@@ -37,8 +37,8 @@
   };
 
   /// Some nodes found the membership; the others, if any, join it.
-  Cluster(std::uint64_t seed, std::size_t n, bool breakSync = false, std::size_t founders = 0)
-      : g_(seed), breakSync_(breakSync), nodes_(n), founders_(founders ? founders : n) {
+  Cluster(std::uint64_t seed, std::size_t n, bool skipsSync = false, std::size_t founders = 0)
+      : g_(seed), skipsSync_(skipsSync), nodes_(n), founders_(founders ? founders : n) {
     for (std::size_t i = 0; i < n; ++i)
       nodes_[i].self =
           Member{NodeId(100 + i), "n" + std::to_string(i), "10.0.0." + std::to_string(i), "z", i < founders_, true};
@@ -48,17 +48,17 @@
   }
   /// A founder that reaches all others installs the first membership.
   void found(std::size_t i);
-  bool joins = false;           ///< nodes outside the membership ask to join, new members copy
-  bool keepIdentity = false;    ///< the broken variant: a wiped disk comes back under its old identity, and votes
-  bool speaksUnsynced = false;  ///< the broken variant: what a refusing disk should back is said all the same
-  bool trustLearner = false;    ///< the broken variant: a promoted learner votes with what it copied before
+  bool joins = false;          ///< nodes outside the membership ask to join, new members copy
+  bool keepIdentity = false;   ///< the broken variant: a wiped disk comes back under its old identity, and votes
+  bool sendsUnsynced = false;  ///< the broken variant: what a refusing disk should back is said all the same
+  bool installsLearnerCopies = false;  ///< the broken variant: a promoted learner votes with what it copied before
   Ms deadAfter = Ms(3600);
   std::int64_t survive = 0;
   /// The disk is lost: the node starts again empty, with a new identity.
   void wipe(std::size_t i);
   /// Records in the middle of the log are lost; the disk knows, and gives up its vote unless it is broken.
-  void corrupt(std::size_t i, bool votesOn = false);
-  void noDisk(std::size_t i) {
+  void corrupt(std::size_t i, bool keepsVoting = false);
+  void makeDiskless(std::size_t i) {
     nodes_[i].lasting = false;
     nodes_[i].self.hasDisk = false;
     make(nodes_[i]);
@@ -96,8 +96,8 @@
   vector<Node>& nodes() { return nodes_; }
   double loss = 0;
   std::uint64_t delay = 0;                             ///< packets come up to so many ms later
-  bool unknownIsRefused = false;                       ///< the broken variant: an unknown end counts as a refusal
-  bool datedByArrival = false;                         ///< the broken variant: contact counts from the arrival
+  bool countsUnknownAsRefused = false;                 ///< the broken variant: an unknown end counts as a refusal
+  bool datesContactByArrival = false;                  ///< the broken variant: contact counts from the arrival
   bool syncAtStart = true;                             ///< a start syncs what a killed process left unsynced
   std::set<std::pair<std::size_t, std::size_t>> cuts;  ///< one-way
 
@@ -109,9 +109,9 @@
   /// Loses power: what was not synced is gone, or partly there.
   void power(std::size_t i);
   void kill(std::size_t i);
-  bool votesOn = false;  ///< the broken variant: a disk with lost records goes on voting
+  bool keepsVoting = false;  ///< the broken variant: a disk with lost records goes on voting
   /// Starts a node of whose disk the newest synced records are lost.
-  void startDamaged(std::size_t i);
+  void startWithLostRecords(std::size_t i);
   void start(std::size_t i);
 
   /// The configuration keyspace as a counter: each write adds one to what the owner holds.
@@ -120,8 +120,8 @@
   /// Starts an operation of a test's own at a node; its end is told unless the node's life ends first.
   void begin(std::size_t i, std::function<std::uint64_t(Consensus&)> const& start, std::function<void(bool)> end) {
     Node& x = nodes_[i];
-    begun_[{i, x.life, start(*x.consensus)}] = std::move(end);
-    pump(x);
+    testOperations_[{i, x.life, start(*x.consensus)}] = std::move(end);
+    flushOutput(x);
   }
   std::uint64_t value(Node const& x) const {
     std::map<string, string> const& v = x.consensus->committedValues("configuration");
@@ -133,11 +133,11 @@
     vector<KeyChange> cs;
     for (std::size_t k = 0; k < keys; ++k) cs.push_back({"f" + std::to_string(k), string(bytes, 'x'), false});
     nodes_[i].consensus->propose("configuration", cs, now_);
-    pump(nodes_[i]);
+    flushOutput(nodes_[i]);
   }
-  std::size_t pieces = 0, largestPiece = 0;
+  std::size_t pieces = 0, largestChunkBytes = 0;
   bool writing(std::size_t i) const { return writing_.count(i) != 0; }
-  std::uint64_t acked = 0, reads = 0, writes = 0, unknown = 0;
+  std::uint64_t highestAcknowledged = 0, reads = 0, writes = 0, unknown = 0;
   string broken;
 
   /// Nobody's settled view goes back within a life, nor is ahead of what was ever proposed.
@@ -163,12 +163,12 @@
   }
   void make(Node& x);
   void stop(Node& x);
-  void pump(Node& x) {
+  void flushOutput(Node& x) {
     Output b = x.consensus->takeOutput();
     for (string& r : b.records) x.unsynced.push_back(std::move(r));
-    if (x.refuses && b.needsSync && !speaksUnsynced) b.messages.clear();
+    if (x.refuses && b.needsSync && !sendsUnsynced) b.messages.clear();
     if (x.refuses) return send(x, std::move(b));
-    if (b.needsSync && !breakSync_) {
+    if (b.needsSync && !skipsSync_) {
       x.waiting.emplace_back(x.disk.size() + x.unsynced.size(), std::move(b));
       if (x.syncAt < now_) x.syncAt = now_ + x.syncTakes;
     } else {
@@ -191,7 +191,7 @@
       msgpack::sbuffer packed;
       msgpack::pack(packed, m);
       ++pieces;
-      largestPiece = std::max(largestPiece, packed.size());
+      largestChunkBytes = std::max(largestChunkBytes, packed.size());
     }
     for (Message& m : b.messages)
       for (std::size_t j = 0; j < nodes_.size(); ++j)
@@ -208,7 +208,7 @@
       Node& y = nodes_[to];
       if (!y.up || y.life != life) return;
       if (y.frozen) {
-        late_.emplace_back(to, m);
+        heldMessages_.emplace_back(to, m);
         return;
       }
       take(y, m);
@@ -216,7 +216,7 @@
   }
   void take(Node& y, Message const& m) {
     y.consensus->receive(m, now_);
-    pump(y);
+    flushOutput(y);
   }
   struct HeartbeatAnswer {
     NodeId from;
@@ -227,18 +227,18 @@
     TimePoint& received = received_[{p.sender.id, y.self.id}];
     received = std::max(received, TimePoint(TimePoint::duration(p.sentAt.ticks)));
     for (std::size_t i = 0; i < nodes_.size(); ++i)
-      if (nodes_[i].self.id == p.sender.id && !datedByArrival)
+      if (nodes_[i].self.id == p.sender.id && !datesContactByArrival)
         deliver(static_cast<std::size_t>(&y - nodes_.data()), i, HeartbeatAnswer{y.self.id, p.sentAt});
     for (KeyspaceProgress const& k : p.keyspaces)
       if (k.owned && k.keyspace == "configuration") y.known = std::max(y.known, Position{k.epoch, k.committed});
     for (Echo& e : p.echoes)
-      if (datedByArrival && e.node == y.self.id) e.sentAt = y.consensus->heartbeat(now_).sentAt;
+      if (datesContactByArrival && e.node == y.self.id) e.sentAt = y.consensus->heartbeat(now_).sentAt;
     for (Node& x : nodes_)
       if (x.self.id == p.sender.id && x.consensus &&
           x.consensus->membership().number > y.consensus->membership().number)
         y.consensus->installMembership(x.consensus->membership(), false);
     y.consensus->receiveHeartbeat(p, now_);
-    pump(y);
+    flushOutput(y);
   }
   /// What the driver does: join, change the membership, copy.
   void join(std::size_t i);
@@ -250,13 +250,13 @@
   void outcome(std::size_t node, OperationOutcome const& o);
 
  public:
-  void thaw(std::size_t i);
+  void unfreeze(std::size_t i);
   /// Ends every cut, loss, stop and freeze.
   void heal();
 
  private:
   std::mt19937_64 g_;
-  bool breakSync_;
+  bool skipsSync_;
   vector<Node> nodes_;
   std::size_t founders_ = 0;
   TimePoint now_ = TimePoint() + std::chrono::hours(1);
@@ -265,13 +265,13 @@
   std::deque<Op> ops_;
   Consensus::Timeouts times_{Ms(750), Ms(100), Ms(1500), Ms(600)};
   std::set<std::size_t> writing_;
-  std::map<std::tuple<std::size_t, std::uint64_t, std::uint64_t>, std::function<void(bool)>> begun_;
+  std::map<std::tuple<std::size_t, std::uint64_t, std::uint64_t>, std::function<void(bool)>> testOperations_;
   std::uint64_t lastMark_ = 0;
   std::set<std::uint64_t> refused_;  ///< marks of writes that were said never to come into force
   std::map<std::pair<NodeId, NodeId>, TimePoint> received_;  ///< when the latest heartbeat that arrived was sent
   TimePoint ackedAt_;
   std::size_t ackedBy_ = 0;
-  vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> late_;
+  vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> heldMessages_;
 };
 
 }  // namespace tealshelf::sim
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -27,7 +27,7 @@
       if (cluster.nodes()[i].up && down < 2) cluster.nodes()[i].frozen = true;
       break;
     case 5:
-      if (cluster.nodes()[i].frozen) cluster.thaw(i);
+      if (cluster.nodes()[i].frozen) cluster.unfreeze(i);
       break;
     case 6:
       cluster.cuts.insert({i, cluster.dice(n)});
@@ -42,9 +42,9 @@
       break;
   }
 }
-static string play(std::uint64_t seed, std::size_t n, bool breakSync, std::uint64_t& writes, std::uint64_t& reads,
+static string play(std::uint64_t seed, std::size_t n, bool skipsSync, std::uint64_t& writes, std::uint64_t& reads,
                    bool syncAtStart = true) {
-  sim::Cluster cluster(seed, n, breakSync);
+  sim::Cluster cluster(seed, n, skipsSync);
   cluster.syncAtStart = syncAtStart;
   cluster.run(400);
   std::uint64_t last = 0;
@@ -53,10 +53,10 @@
     if (cluster.dice(3) == 0) cluster.write();
     if (cluster.dice(5) == 0) cluster.read();
     if (cluster.dice(60) == 0) trouble(cluster);
-    if (cluster.acked > last && cluster.dice(40) == 0)
+    if (cluster.highestAcknowledged > last && cluster.dice(40) == 0)
       for (std::size_t i = 0; i < n; ++i)
         if (cluster.nodes()[i].up) cluster.power(i);
-    last = cluster.acked;
+    last = cluster.highestAcknowledged;
     cluster.check();
   }
   cluster.heal();
@@ -70,11 +70,11 @@
   std::size_t owners = 0;
   for (sim::Cluster::Node const& node : cluster.nodes()) {
     owners += node.consensus->owns("configuration");
-    if (node.consensus->owns("configuration") && cluster.value(node) < cluster.acked)
+    if (node.consensus->owns("configuration") && cluster.value(node) < cluster.highestAcknowledged)
       return "the owner lost an acknowledged write";
     std::optional<std::map<string, string>> const v = node.consensus->lastKnownValues("configuration");
     if (!v) return node.self.name + " has no settled view after all was healed";
-    if (std::strtoull(v->at("current").c_str(), nullptr, 10) < cluster.acked)
+    if (std::strtoull(v->at("current").c_str(), nullptr, 10) < cluster.highestAcknowledged)
       return node.self.name + " lags after all was healed";
   }
   return owners == 1 ? "" : std::to_string(owners) + " owners after all was healed";
@@ -82,7 +82,7 @@
 }
 ;
 
-TEST(consensus, threeKeepEveryPromise) {
+TEST(consensus, threeNodesKeepAllGuarantees) {
   std::uint64_t w = 0, r = 0;
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     string const b = play(s, 3, false, w, r);
@@ -91,7 +91,7 @@
   CHECK(w > 100 && r > 100);
 }
 
-TEST(consensus, fourKeepEveryPromise) {
+TEST(consensus, fourNodesKeepAllGuarantees) {
   std::uint64_t w = 0, r = 0;
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     string const b = play(1000 + s, 4, false, w, r);
@@ -100,14 +100,14 @@
   CHECK(w > 100 && r > 100);
 }
 
-TEST(consensus, anAnswerBeforeItsSyncIsCaught) {
+TEST(consensus, aReplyBeforeItsSyncIsDetected) {
   std::uint64_t w = 0, r = 0;
   bool caught = false;
   for (std::uint64_t s = 1; s <= 3000 && !caught; ++s) caught = !play(s, 3, true, w, r).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 
-TEST(consensus, aStartThatDoesNotSyncIsCaught) {
+TEST(consensus, aRestartThatDoesNotSyncIsDetected) {
   std::uint64_t w = 0, r = 0;
   bool caught = false;
   for (std::uint64_t s = 1; s <= 3000 && !caught; ++s) caught = !play(s, 3, false, w, r, false).empty();
@@ -126,22 +126,22 @@
     cluster.run(100);
     cluster.start(i);
     cluster.run(400);
-    std::uint64_t const before = cluster.acked;
+    std::uint64_t const before = cluster.highestAcknowledged;
     for (int k = 0; k < 40; ++k) {
       cluster.write();
       cluster.run(3);
     }
-    CHECK(cluster.acked > before);
+    CHECK(cluster.highestAcknowledged > before);
     cluster.run(200);
     for (sim::Cluster::Node const& node : cluster.nodes()) {
       std::optional<std::map<string, string>> const v = node.consensus->lastKnownValues("configuration");
       CHECK_TEXT(v.has_value(), (node.self.name + " is not settled").c_str());
-      CHECK(std::strtoull(v->at("current").c_str(), nullptr, 10) >= cluster.acked);
+      CHECK(std::strtoull(v->at("current").c_str(), nullptr, 10) >= cluster.highestAcknowledged);
     }
   }
 }
 
-TEST(consensus, wipedAfterAckWithStaleThird) {
+TEST(consensus, aWipedOwnerAndAStaleMemberLoseNoAcknowledgedWrite) {
   sim::Cluster cluster(11, 3);
   cluster.run(600);
   for (int k = 0; k < 40; ++k) {
@@ -154,12 +154,12 @@
   CHECK(owner < 3);
   std::size_t const stale = (owner + 1) % 3, other = (owner + 2) % 3;
   cluster.kill(stale);
-  std::uint64_t const before = cluster.acked;
+  std::uint64_t const before = cluster.highestAcknowledged;
   for (int k = 0; k < 60; ++k) {
     cluster.write();
     cluster.run(3);
   }
-  CHECK(cluster.acked > before);
+  CHECK(cluster.highestAcknowledged > before);
   cluster.power(other);
   cluster.power(owner);
   // The owner's disk is gone; its new identity has no vote, so the stale one and the other decide.
@@ -175,7 +175,7 @@
   cluster.run(600);
   for (std::size_t i : {stale, other}) {
     if (!cluster.nodes()[i].consensus->owns("configuration")) continue;
-    CHECK(cluster.value(cluster.nodes()[i]) >= cluster.acked);
+    CHECK(cluster.value(cluster.nodes()[i]) >= cluster.highestAcknowledged);
     return;
   }
   FAIL("nobody owns the configuration");
@@ -183,9 +183,9 @@
 
 namespace {
 /// Cuts a node off, in one direction or both, freezes it or delays all packets; all heal in between.
-string isolate(std::uint64_t seed, bool datedByArrival, std::uint64_t& writes) {
+string playIsolation(std::uint64_t seed, bool datesContactByArrival, std::uint64_t& writes) {
   sim::Cluster cluster(seed, 3 + seed % 2);
-  cluster.datedByArrival = datedByArrival;
+  cluster.datesContactByArrival = datesContactByArrival;
   cluster.run(400);
   for (std::uint64_t round = 0; round < 10; ++round) {
     std::size_t const n = cluster.nodes().size(), i = cluster.dice(n), kind = (seed + round) % 5;
@@ -200,7 +200,7 @@
       if (k == 800) {
         cluster.cuts.clear();
         cluster.delay = 0;
-        if (thaws) cluster.thaw(i);
+        if (thaws) cluster.unfreeze(i);
         cluster.check();
       }
       cluster.step();
@@ -217,20 +217,20 @@
 }
 }  // namespace
 
-TEST(consensus, contactIsDatedByOwnQuestions) {
+TEST(consensus, contactIsDatedByOwnClockReadings) {
   std::uint64_t writes = 0;
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    string const b = isolate(s, false, writes);
+    string const b = playIsolation(s, false, writes);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
   CHECK(writes > 100);
 }
 
-TEST(consensus, contactDatedByArrivalIsCaught) {
+TEST(consensus, contactDatedByArrivalIsDetected) {
   bool caught = false;
   std::uint64_t writes = 0;
   for (std::uint64_t s = 1; s <= 60 && !caught; ++s)
-    caught = isolate(s, true, writes).find("acknowledged a newer write") != string::npos;
+    caught = playIsolation(s, true, writes).find("acknowledged a newer write") != string::npos;
   CHECK_TEXT(caught, "the old dating was never caught");
 }
 
@@ -242,7 +242,7 @@
 }
 }  // namespace
 
-TEST(consensus, anOwnerCutOffStepsDownAndItsOpenWriteIsUnknown) {
+TEST(consensus, anIsolatedOwnerStepsDownAndItsPendingWriteEndsAsUnknown) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     sim::Cluster cluster(s, 3);
     cluster.run(400);
@@ -270,11 +270,11 @@
   }
 }
 
-TEST(consensus, anUnknownEndTakenForARefusalIsCaught) {
+TEST(consensus, anUnknownOutcomeTakenForARefusalIsDetected) {
   bool caught = false;
   for (std::uint64_t s = 1; s <= 60 && !caught; ++s) {
     sim::Cluster cluster(s, 3);
-    cluster.unknownIsRefused = true;
+    cluster.countsUnknownAsRefused = true;
     cluster.run(400);
     for (int k = 0; k < 6000 && cluster.broken.empty(); ++k) {
       cluster.step();
@@ -289,7 +289,7 @@
 
 namespace {
 /// What a node would have shown by the old rule, which wanted that nothing was under way.
-std::optional<std::map<string, string>> viewWhenQuiet(sim::Cluster::Node const& node, TimePoint now) {
+std::optional<std::map<string, string>> valuesWhenIdle(sim::Cluster::Node const& node, TimePoint now) {
   Position applied;
   for (KeyspaceProgress const& k : node.consensus->heartbeat(now).keyspaces)
     if (k.keyspace == "configuration") applied = Position{k.epoch, k.applied};
@@ -305,7 +305,7 @@
   return v;
 }
 /// Four members under unbroken writes, one of them restarted midway; says where a view is missing or lags.
-string underWrites(std::uint64_t seed, bool oldRule, std::uint64_t& writes) {
+string playConstantWrites(std::uint64_t seed, bool onlyWhenIdle, std::uint64_t& writes) {
   sim::Cluster cluster(seed, 4);
   cluster.run(600);
   std::size_t const restarted = (ownerOf(cluster) + 1) % 4;
@@ -320,9 +320,9 @@
       sim::Cluster::Node const& node = cluster.nodes()[i];
       if (node.consensus->owns("configuration") || (i == restarted && k >= 2500 && k < 3200)) continue;
       std::optional<std::map<string, string>> const v =
-          oldRule ? viewWhenQuiet(node, cluster.now()) : node.consensus->lastKnownValues("configuration");
+          onlyWhenIdle ? valuesWhenIdle(node, cluster.now()) : node.consensus->lastKnownValues("configuration");
       if (!v) return node.self.name + " has no view at step " + std::to_string(k);
-      if (std::strtoull(v->at("current").c_str(), nullptr, 10) + 12 < cluster.acked)
+      if (std::strtoull(v->at("current").c_str(), nullptr, 10) + 12 < cluster.highestAcknowledged)
         return node.self.name + " lags at step " + std::to_string(k);
     }
   }
@@ -331,21 +331,21 @@
 }
 }  // namespace
 
-TEST(consensus, allMembersSeeCommittedValuesUnderUnbrokenWrites) {
+TEST(consensus, allMembersSeeCommittedValuesUnderConstantWrites) {
   std::uint64_t writes = 0;
   for (std::uint64_t s = 1; s <= seeds() / 2; ++s) {
-    string const b = underWrites(s, false, writes);
+    string const b = playConstantWrites(s, false, writes);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
   CHECK(writes > 1000 * seeds() / 2);
 }
 
-TEST(consensus, aViewThatWaitsForQuietIsCaught) {
+TEST(consensus, readsOnlyFromAnIdleKeyspaceAreDetected) {
   std::uint64_t writes = 0;
-  for (std::uint64_t s = 1; s <= 6; ++s) CHECK(underWrites(s, true, writes).find("no view") != string::npos);
+  for (std::uint64_t s = 1; s <= 6; ++s) CHECK(playConstantWrites(s, true, writes).find("no view") != string::npos);
 }
 
-TEST(consensus, aMemberThatLagsIsCaughtUpInPiecesWhileWritesGoOn) {
+TEST(consensus, aLaggingMemberCatchesUpInChunksDuringWrites) {
   for (std::uint64_t s = 1; s <= 4; ++s) {
     sim::Cluster cluster(s, 4);
     cluster.run(600);
@@ -372,7 +372,7 @@
         CHECK_TEXT(cluster.pieces - before < 4, "a short time away costs the whole state");
     }
     CHECK(cluster.pieces > 10);
-    CHECK_TEXT(cluster.largestPiece < 100000, "a piece is over its bound");
+    CHECK_TEXT(cluster.largestChunkBytes < 100000, "a piece is over its bound");
     cluster.loss = 0;
     cluster.run(400);
     STRCMP_EQUAL("", cluster.broken.c_str());
--- a/tests/consensus/epoch_test.cpp
+++ b/tests/consensus/epoch_test.cpp
@@ -33,9 +33,9 @@
   sim::Cluster::Node& node = cluster.nodes()[owner];
   node.syncTakes = slowSync;
   cluster.start(owner);
-  std::uint64_t const before = cluster.acked;
+  std::uint64_t const before = cluster.highestAcknowledged;
   load(cluster, 40 + cluster.dice(120));
-  acknowledgedBefore += cluster.acked - before;
+  acknowledgedBefore += cluster.highestAcknowledged - before;
   for (std::size_t i = 0; i < 3; ++i) cluster.power(i);
   node.syncTakes = Ms(5);
   cluster.run(cluster.dice(30));
@@ -47,14 +47,15 @@
   if (!cluster.broken.empty()) return cluster.broken;
   std::size_t const last = cluster.ownerOf("configuration");
   if (last == 3) return "no owner after all started again";
-  return cluster.value(cluster.nodes()[last]) < cluster.acked ? "the owner lost an acknowledged write" : "";
+  return cluster.value(cluster.nodes()[last]) < cluster.highestAcknowledged ? "the owner lost an acknowledged write"
+                                                                            : "";
 }
 }  // namespace
 
 TEST_GROUP(epochs){};
 
 /// An epoch under which an owner wrote must never be taken by it a second time, also if it lost power.
-TEST(epochs, anOwnerWithASlowDiskThatLosesPowerLosesNothing) {
+TEST(epochs, aPowerLossOfAnOwnerWithASlowDiskLosesNoWrite) {
   std::uint64_t acknowledged = 0;
   std::size_t broken = 0;
   string first;
@@ -69,7 +70,7 @@
 }
 
 /// The way in which an epoch could come twice: others vote and store, while the owner's own vote isn't synced yet.
-TEST(epochs, nobodyOwnsAKeyspaceBeforeItsOwnVoteIsSynced) {
+TEST(epochs, noNodeOwnsAKeyspaceBeforeItsOwnVoteIsSynced) {
   sim::Cluster cluster(3, 3);
   cluster.run(400);
   std::size_t const preferred = cluster.ownerOf("configuration");
--- a/tests/consensus/failing_disk_test.cpp
+++ b/tests/consensus/failing_disk_test.cpp
@@ -55,9 +55,9 @@
 }
 
 /// Disks that refuse and losses of power at random; what broke, if anything.
-string roughTimes(std::uint64_t seed, bool speaksUnsynced) {
+string playRandomDiskFailures(std::uint64_t seed, bool sendsUnsynced) {
   sim::Cluster c(seed, 3);
-  c.speaksUnsynced = speaksUnsynced;
+  c.sendsUnsynced = sendsUnsynced;
   c.run(400);
   for (std::size_t k = 0; k < 6000; ++k) {
     c.step();
@@ -82,9 +82,9 @@
 
 /// A change is acknowledged by the owner and one other; that one restarts with its newest records
 /// lost, and at once the owner is down and the third is back.
-string damagedDisk(std::uint64_t seed, bool votesOn) {
+string playLostRecords(std::uint64_t seed, bool keepsVoting) {
   sim::Cluster c(seed, 3);
-  c.votesOn = votesOn;
+  c.keepsVoting = keepsVoting;
   c.joins = true;
   c.run(400);
   auto const load = [&c](std::size_t steps) {
@@ -101,7 +101,7 @@
   c.power(away);
   load(100);
   c.power(damaged);
-  c.startDamaged(damaged);
+  c.startWithLostRecords(damaged);
   c.start(away);
   c.power(first);
   load(600);
@@ -115,7 +115,7 @@
 
 TEST_GROUP(failingDisk){};
 
-TEST(failingDisk, aRefusingDiskGivesItsKeyspacesUpAndComesBack) {
+TEST(failingDisk, aNodeWithAFailingDiskGivesUpItsKeyspacesUntilItRecovers) {
   std::size_t stuck = 0;
   for (std::size_t const nodes : {3u, 4u, 5u})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -131,23 +131,23 @@
   CHECK_TEXT(stuck > 0, "an owner that keeps its keyspaces with a refusing disk was never caught");
 }
 
-TEST(failingDisk, whatARefusingDiskCantBackIsNeverSaid) {
-  for (std::uint64_t seed = 1; seed <= 20; ++seed) STRCMP_EQUAL("", roughTimes(seed, false).c_str());
+TEST(failingDisk, aNodeWithAFailingDiskSendsNothingUnsynced) {
+  for (std::uint64_t seed = 1; seed <= 20; ++seed) STRCMP_EQUAL("", playRandomDiskFailures(seed, false).c_str());
   bool caught = false;
-  for (std::uint64_t seed = 1; seed <= 2000 && !caught; ++seed) caught = !roughTimes(seed, true).empty();
+  for (std::uint64_t seed = 1; seed <= 2000 && !caught; ++seed) caught = !playRandomDiskFailures(seed, true).empty();
   CHECK_TEXT(caught, "votes and acks without a sync were never caught");
 }
 
-TEST(failingDisk, aDiskWithLostRecordsVotesOnlyOnceHealed) {
+TEST(failingDisk, aDiskWithLostRecordsVotesOnlyAfterCopyingFromAMajority) {
   std::size_t caught = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    STRCMP_EQUAL("", damagedDisk(seed, false).c_str());
-    caught += !damagedDisk(seed, true).empty();
+    STRCMP_EQUAL("", playLostRecords(seed, false).c_str());
+    caught += !playLostRecords(seed, true).empty();
   }
   CHECK_TEXT(caught > 0, "a damaged disk that votes on was never caught");
 }
 
-TEST(failingDisk, noMembershipGivesALostVoteBack) {
+TEST(failingDisk, noMembershipRestoresALostVote) {
   Membership first, second, third;
   first.number = MembershipNumber(1);
   first.members = {Member{NodeId(1), "a", "10.0.0.1", "z", true, true}};
--- a/tests/consensus/learner_test.cpp
+++ b/tests/consensus/learner_test.cpp
@@ -7,7 +7,7 @@
 
 TEST_GROUP(learner){};
 
-TEST(learner, aLearnerIsNoMemberUntilItCopiedFromAMajority) {
+TEST(learner, aLearnerIsNotPromotedBeforeItCopiedFromAMajority) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     sim::Cluster cluster(700 + s, 4, false, 3);
     foundThree(cluster);
@@ -15,11 +15,11 @@
     cutBoth(cluster, 3, 2);
     cluster.run(1500);
     LONGS_EQUAL_TEXT(3, cluster.members(), "a learner that reaches one disk is not promoted");
-    std::uint64_t before = cluster.acked;
+    std::uint64_t before = cluster.highestAcknowledged;
     cluster.kill(2);
     cluster.run(300);
     write(cluster, 30);
-    CHECK_TEXT(cluster.acked > before, "one loss is borne beside a learner");
+    CHECK_TEXT(cluster.highestAcknowledged > before, "one loss is borne beside a learner");
     cluster.start(2);
     cluster.cuts.clear();
     cluster.run(1500);
@@ -29,14 +29,14 @@
   }
 }
 
-TEST(learner, aLossWhileANewcomerHasNoVoteYetIsBorne) {
+TEST(learner, aLossIsToleratedWhileANewMemberHasNoVoteYet) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     sim::Cluster cluster(800 + s, 4, false, 3);
     foundThree(cluster);
     cluster.nodes()[3].frozen = true;
     cluster.run(400);
     write(cluster, 10);
-    cluster.thaw(3);
+    cluster.unfreeze(3);
     while (cluster.newest().members.size() < 4) {
       cluster.step();
       CHECK(cluster.voters() >= cluster.newest().quorum());
@@ -48,9 +48,9 @@
     cluster.power(other);
     cluster.run(600);
     LONGS_EQUAL(3, cluster.voters());
-    std::uint64_t const before = cluster.acked;
+    std::uint64_t const before = cluster.highestAcknowledged;
     write(cluster, 30);
-    CHECK_TEXT(cluster.acked > before, "the newcomer copied from those who are left, and votes");
+    CHECK_TEXT(cluster.highestAcknowledged > before, "the newcomer copied from those who are left, and votes");
     STRCMP_EQUAL("", healed(cluster).c_str());
   }
 }
@@ -70,14 +70,14 @@
     LONGS_EQUAL(3, cluster.voters());
     cluster.power(cluster.ownerOf("configuration"));
     cluster.run(400);
-    std::uint64_t const before = cluster.acked;
+    std::uint64_t const before = cluster.highestAcknowledged;
     write(cluster, 30);
-    CHECK_TEXT(cluster.acked > before, "the next loss is borne");
+    CHECK_TEXT(cluster.highestAcknowledged > before, "the next loss is borne");
     STRCMP_EQUAL("", healed(cluster).c_str());
   }
 }
 
-TEST(learner, aShortAbsenceCostsNoVote) {
+TEST(learner, aShortAbsenceDoesNotRemoveAMember) {
   struct Case {
     int frozen;  ///< steps of 5 ms
     Ms deadAfter;
@@ -94,20 +94,20 @@
     NodeId const id = cluster.nodes()[away].self.id;
     cluster.nodes()[away].frozen = true;
     cluster.run(100);
-    cluster.thaw(3);
+    cluster.unfreeze(3);
     for (int k = 100; k < c.frozen; ++k) {
       cluster.step();
       CHECK_TEXT(cluster.members() == 3, "while one is silent nobody is added");
     }
     CHECK_EQUAL_TEXT(c.stays, cluster.newest().find(id) != nullptr, std::to_string(c.frozen).c_str());
-    cluster.thaw(away);
+    cluster.unfreeze(away);
     cluster.run(1500);
     LONGS_EQUAL_TEXT(4, cluster.voters(), "it votes again, under another stay if it was replaced");
     STRCMP_EQUAL("", healed(cluster).c_str());
   }
 }
 
-TEST(learner, aMembershipIsTightIfTheRestBearsTooFewLosses) {
+TEST(learner, faultToleranceIsLackingIfTheRestTolerateTooFewLosses) {
   struct Case {
     std::size_t disks;
     std::int64_t survive;
@@ -125,7 +125,7 @@
   }
 }
 
-TEST(learner, anOwnerThatSleptHoldsNobodyForDead) {
+TEST(learner, aResumedOwnerConsidersNoMemberDead) {
   sim::Cluster cluster(960, 4, false, 3);
   foundThree(cluster);
   cluster.nodes()[3].frozen = true;
@@ -140,7 +140,7 @@
   for (sim::Cluster::Node const& node : cluster.nodes()) CHECK(c.silentFor(node.self.id, cluster.now()) < Ms(200));
 }
 
-TEST(learner, noChangeWhileOneIsOpenNorByAnOwnerWithoutAWriteOfItsEpoch) {
+TEST(learner, noChangeDuringAnotherNorByAnOwnerWithoutAWriteOfItsEpoch) {
   sim::Cluster cluster(970, 5, false, 3);
   foundThree(cluster);
   std::size_t refused = 0, open = 0, granted = 0;
@@ -173,7 +173,7 @@
   CHECK(granted > 0);
 }
 
-TEST(learner, aCorruptDiskVotesOnlyAfterItWasHealedFromAMajority) {
+TEST(learner, aCorruptDiskVotesOnlyAfterCopyingFromAMajority) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     sim::Cluster cluster(980 + s, 3, false, 3);
     foundThree(cluster);
@@ -184,9 +184,9 @@
     cluster.corrupt(bad);
     cluster.run(400);
     CHECK_FALSE_TEXT(cluster.nodes()[bad].consensus->holdsAllKeys(), "one disk is no majority to heal from");
-    std::uint64_t const before = cluster.acked;
+    std::uint64_t const before = cluster.highestAcknowledged;
     write(cluster, 10);
-    LONGS_EQUAL(before, cluster.acked);
+    LONGS_EQUAL(before, cluster.highestAcknowledged);
     cluster.kill(bad);
     cluster.start(bad);
     CHECK_FALSE_TEXT(cluster.nodes()[bad].consensus->holdsAllKeys(), "the loss of the vote is durable");
@@ -196,7 +196,7 @@
     cluster.power(other);
     cluster.run(400);
     write(cluster, 30);
-    CHECK(cluster.acked > before);
+    CHECK(cluster.highestAcknowledged > before);
     STRCMP_EQUAL("", healed(cluster).c_str());
   }
 }
--- a/tests/consensus/membership_runs.hpp
+++ b/tests/consensus/membership_runs.hpp
@@ -41,7 +41,7 @@
   std::size_t owners = 0;
   for (Cluster::Node const& node : cluster.nodes()) {
     owners += node.consensus->owns("configuration");
-    if (node.consensus->owns("configuration") && cluster.value(node) < cluster.acked)
+    if (node.consensus->owns("configuration") && cluster.value(node) < cluster.highestAcknowledged)
       return "the owner lost an acknowledged write";
   }
   if (owners != 1) return std::to_string(owners) + " owners after all was healed";
--- a/tests/consensus/membership_search.hpp
+++ b/tests/consensus/membership_search.hpp
@@ -9,7 +9,14 @@
 namespace sim {
 
 /// Faults built in on purpose, to show that the search finds them.
-enum class Broken { nothing, learnerVotesAtOnce, leavesAnyTime, comesBackAsBefore, corruptDiskVotes, forgetsFormer };
+enum class InjectedFault {
+  nothing,
+  learnerVotesAtOnce,
+  removesAtAnyTime,
+  keepsIncarnation,
+  corruptDiskVotes,
+  listsOneFormerMember
+};
 
 /// How often each event may happen on a path of the search.
 struct Budget {
@@ -29,7 +36,8 @@
     bool stale = true;
   };
 
-  World(std::size_t disks, std::size_t founders, Budget budget, Broken broken) : budget_(budget), broken_(broken) {
+  World(std::size_t disks, std::size_t founders, Budget budget, InjectedFault broken)
+      : budget_(budget), broken_(broken) {
     Membership first;
     first.number = MembershipNumber(1);
     for (std::size_t i = 0; i < disks; ++i) {
@@ -47,7 +55,7 @@
     budget_.leads = 2;
     lead(0, all(), "configuration");
     lead(0, all(), "members");
-    flight_.clear();
+    inFlight_.clear();
     for (std::size_t i = founders; i < disks; ++i)
       for (std::size_t j = 0; j < first.quorum(); ++j) disks_[i].learned[id(j)] = copyOf(j);
     budget_ = budget;
@@ -61,31 +69,31 @@
   /// All worlds that one event leads to.
   template <class Visit>
   void each(Visit visit) const {
-    auto const tryOut = [&](bool may, auto event) {
+    auto const visitIfAllowed = [&](bool may, auto event) {
       if (!may) return;
       World w = *this;
       if (!event(w)) return;
       w.check();
       visit(w);
     };
-    for (std::size_t k = 0; k < flight_.size(); ++k) tryOut(true, [k](World& w) { return w.late(k); });
+    for (std::size_t k = 0; k < inFlight_.size(); ++k) visitIfAllowed(true, [k](World& w) { return w.late(k); });
     for (std::size_t i = 0; i < size(); ++i) {
       Consensus const& c = at(i);
       for (std::size_t j = 0; j < size(); ++j) {
-        tryOut(at(j).membership().number > c.membership().number, [i, j](World& w) { return w.learn(i, j); });
-        tryOut(i != j && c.isMember() && !c.holdsAllKeys(), [i, j](World& w) { return w.copyFrom(i, j); });
+        visitIfAllowed(at(j).membership().number > c.membership().number, [i, j](World& w) { return w.learn(i, j); });
+        visitIfAllowed(i != j && c.isMember() && !c.holdsAllKeys(), [i, j](World& w) { return w.copyFrom(i, j); });
       }
-      tryOut(budget_.crashes, [i](World& w) { return w.crash(i); });
-      tryOut(budget_.wipes, [i](World& w) { return w.wipe(i); });
-      tryOut(budget_.corruptions && c.isMember(), [i](World& w) { return w.corrupt(i); });
+      visitIfAllowed(budget_.crashes, [i](World& w) { return w.crash(i); });
+      visitIfAllowed(budget_.wipes, [i](World& w) { return w.wipe(i); });
+      visitIfAllowed(budget_.corruptions && c.isMember(), [i](World& w) { return w.corrupt(i); });
       for (Set s = 0; s <= all(); ++s)
-        if (!(s & 1u << i)) eachRound(i, s, tryOut);
+        if (!(s & 1u << i)) forEachRound(i, s, visitIfAllowed);
     }
   }
 
   bool late(std::size_t k) {
-    Message const m = flight_[k];
-    flight_.erase(flight_.begin() + static_cast<std::ptrdiff_t>(k));
+    Message const m = inFlight_[k];
+    inFlight_.erase(inFlight_.begin() + static_cast<std::ptrdiff_t>(k));
     std::optional<std::size_t> const to = indexOf(m.to), from = indexOf(m.from);
     if (!to || !from) return false;
     change(*to).receive(m, ConsensusProbe::now());
@@ -96,7 +104,7 @@
     if (!at(i).holdsAllKeys() || !spend(budget_.leads)) return false;
     ConsensusProbe::takeOver(change(i), keyspace);
     flush(i, reach);
-    if (at(i).owns("configuration") && keyspace == "configuration") mustKnow(i, acked_, "an owner");
+    if (at(i).owns("configuration") && keyspace == "configuration") checkHoldsKeys(i, acknowledgedKeys_, "an owner");
     return true;
   }
   bool write(std::size_t i, Set reach, bool holdReplies) {
@@ -108,7 +116,7 @@
   }
   bool read(std::size_t i, Set reach) {
     if (!at(i).owns("configuration") || !spend(budget_.reads)) return false;
-    reads_[change(i).confirmOwnership("configuration", ConsensusProbe::now()) * 16 + i] = acked_;
+    reads_[change(i).confirmOwnership("configuration", ConsensusProbe::now()) * 16 + i] = acknowledgedKeys_;
     flush(i, reach);
     return true;
   }
@@ -118,7 +126,7 @@
     if (leave ? !at(i).membership().find(id(j)) : at(j).isMember()) return false;
     Consensus& c = change(i);
     ConsensusProbe::forgetContacts(c);
-    if (!leave && at(j).isRetired() && broken_ != Broken::comesBackAsBefore) change(j).rejoin(++disks_[j].stays);
+    if (!leave && at(j).isRetired() && broken_ != InjectedFault::keepsIncarnation) change(j).rejoin(++disks_[j].stays);
     ProcessTime const own = c.heartbeat(ConsensusProbe::now()).sentAt;
     for (std::size_t k = 0; k < size(); ++k) {
       if (k == i || !(reach & 1u << k)) continue;
@@ -130,14 +138,14 @@
     MembershipPolicy const policy{Ms(3600), 1};
     MembershipChange const wish{at(j).self(), leave, at(j).membership().number};
     std::optional<Membership> next = policy.next(c, wish, ConsensusProbe::now());
-    if (!next && leave && broken_ == Broken::leavesAnyTime && c.membership().members.size() > 1 && i != j) {
+    if (!next && leave && broken_ == InjectedFault::removesAtAnyTime && c.membership().members.size() > 1 && i != j) {
       next = c.membership();
       next->number = MembershipNumber(next->number.value + 1);
       next->formerMembers = c.membership().members;
       std::erase_if(next->members, [&](Member const& m) { return m.id == id(j); });
     }
     if (!next) return false;
-    if (broken_ == Broken::forgetsFormer)
+    if (broken_ == InjectedFault::listsOneFormerMember)
       next->formerMembers.erase(next->formerMembers.begin(), next->formerMembers.end() - 1);
     --budget_.changes;
     std::uint64_t const op = c.propose("members", {{"membership", serialize(*next), false}}, ConsensusProbe::now());
@@ -149,7 +157,7 @@
   bool learn(std::size_t i, std::size_t j) {
     if (at(j).membership().number <= at(i).membership().number) return false;
     change(i).installMembership(at(j).membership(), false);
-    if (broken_ == Broken::learnerVotesAtOnce && at(i).isMember() && !at(i).holdsAllKeys() &&
+    if (broken_ == InjectedFault::learnerVotesAtOnce && at(i).isMember() && !at(i).holdsAllKeys() &&
         !disks_[i].learned.empty()) {
       vector<DiskCopy> l;
       for (std::pair<NodeId const, std::shared_ptr<DiskCopy const>> const& c : disks_[i].learned)
@@ -210,7 +218,7 @@
     if (!spend(budget_.corruptions) || disks_[i].durable->empty()) return false;
     Consensus c = fresh(at(i).self());
     c.replay(disks_[i].durable->front());
-    if (broken_ != Broken::corruptDiskVotes) c.giveUpVote(++disks_[i].stays + 50);
+    if (broken_ != InjectedFault::corruptDiskVotes) c.giveUpVote(++disks_[i].stays + 50);
     restart(i, std::move(c));
     return true;
   }
@@ -223,8 +231,8 @@
       msgpack::pack(b, std::make_tuple(d.hash, d.copiesUnder, d.stays));
       for (std::pair<NodeId const, std::shared_ptr<DiskCopy const>> const& c : d.copies) msgpack::pack(b, *c.second);
     }
-    msgpack::pack(b, flight_);
-    msgpack::pack(b, acked_);
+    msgpack::pack(b, inFlight_);
+    msgpack::pack(b, acknowledgedKeys_);
     msgpack::pack(b, std::make_tuple(budget_.writes, budget_.changes, budget_.leads, budget_.crashes, budget_.wipes,
                                      budget_.corruptions, budget_.reads));
     return hash64(string(b.data(), b.size()));
@@ -233,21 +241,21 @@
  private:
   /// All rounds of messages that disk i may start with some disks in reach.
   template <class Try>
-  void eachRound(std::size_t i, Set s, Try const& tryOut) const {
+  void forEachRound(std::size_t i, Set s, Try const& visitIfAllowed) const {
     Consensus const& c = at(i);
-    bool const sense = (s & ~membersOf(i)) == 0;
+    bool const sense = (s & ~memberSet(i)) == 0;
     for (string const& k : {string("configuration"), string("members")})
-      tryOut(sense && budget_.leads && c.holdsAllKeys(), [i, s, k](World& w) { return w.lead(i, s, k); });
+      visitIfAllowed(sense && budget_.leads && c.holdsAllKeys(), [i, s, k](World& w) { return w.lead(i, s, k); });
     bool const owns = sense && c.owns("configuration");
-    tryOut(owns && budget_.writes, [i, s](World& w) { return w.write(i, s, false); });
-    tryOut(owns && budget_.writes && budget_.late, [i, s](World& w) { return w.write(i, s, true); });
-    tryOut(owns && budget_.reads, [i, s](World& w) { return w.read(i, s); });
+    visitIfAllowed(owns && budget_.writes, [i, s](World& w) { return w.write(i, s, false); });
+    visitIfAllowed(owns && budget_.writes && budget_.late, [i, s](World& w) { return w.write(i, s, true); });
+    visitIfAllowed(owns && budget_.reads, [i, s](World& w) { return w.read(i, s); });
     for (std::size_t j = 0; j < size(); ++j)
       for (bool const leave : {false, true})
-        tryOut(sense && c.owns("members") && budget_.changes,
-               [i, s, j, leave](World& w) { return w.changeMembers(i, s, j, leave); });
+        visitIfAllowed(sense && c.owns("members") && budget_.changes,
+                       [i, s, j, leave](World& w) { return w.changeMembers(i, s, j, leave); });
   }
-  Set membersOf(std::size_t i) const {
+  Set memberSet(std::size_t i) const {
     Set s = 0;
     for (std::size_t j = 0; j < size(); ++j)
       if (at(i).membership().find(id(j))) s |= 1u << j;
@@ -294,24 +302,24 @@
       if (*j == i || (reach & 1u << *j && !(heldReplies & 1u << i))) {
         change(*j).receive(m, ConsensusProbe::now());
         flush(*j, reach | 1u << i, heldReplies);
-      } else if (flight_.size() < static_cast<std::size_t>(budget_.late)) {
-        flight_.push_back(m);
+      } else if (inFlight_.size() < static_cast<std::size_t>(budget_.late)) {
+        inFlight_.push_back(m);
       }
     }
   }
   void ended(std::size_t i, OperationOutcome const& o) {
     if (o.result != OperationResult::committed) return;
     if (std::map<std::uint64_t, string>::iterator const w = writes_.find(o.operation * 16 + i); w != writes_.end())
-      acked_.insert(w->second);
+      acknowledgedKeys_.insert(w->second);
     if (std::map<std::uint64_t, std::set<string>>::iterator const r = reads_.find(o.operation * 16 + i);
         r != reads_.end())
-      mustKnow(i, r->second, "a confirmed read");
+      checkHoldsKeys(i, r->second, "a confirmed read");
     std::map<std::uint64_t, Membership>::iterator const g = changes_.find(o.operation * 16 + i);
     if (g != changes_.end() && at(i).membership().number.value + 1 == g->second.number.value)
       change(i).installMembership(g->second, false);
   }
 
-  void mustKnow(std::size_t i, std::set<string> const& keys, string const& who) {
+  void checkHoldsKeys(std::size_t i, std::set<string> const& keys, string const& who) {
     for (string const& key : keys)
       if (!at(i).committedValues("configuration").count(key)) broken = who + " lacks an acknowledged change";
   }
@@ -321,7 +329,7 @@
     Membership newest;
     for (Disk const& d : disks_)
       if (d.state->membership().number > newest.number) newest = d.state->membership();
-    for (string const& key : acked_) {
+    for (string const& key : acknowledgedKeys_) {
       std::size_t lacking = 0;
       for (std::size_t i = 0; i < size(); ++i) {
         Member const* const m = newest.find(id(i));
@@ -333,10 +341,10 @@
   }
 
   Budget budget_;
-  Broken broken_;
+  InjectedFault broken_;
   vector<Disk> disks_;
-  vector<Message> flight_;
-  std::set<string> acked_;
+  vector<Message> inFlight_;
+  std::set<string> acknowledgedKeys_;
   std::map<std::uint64_t, string> writes_;
   std::map<std::uint64_t, std::set<string>> reads_;
   std::map<std::uint64_t, Membership> changes_;
@@ -347,7 +355,7 @@
  public:
   explicit Search(std::size_t most) : most_(most) {}
   std::size_t states() const { return seen_.size(); }
-  bool cut() const { return cut_; }
+  bool cut() const { return truncated_; }
   /// What is broken on some path, or nothing.
   string run(World w, int depth) {
     int& known = seen_[w.hash()];
@@ -356,8 +364,8 @@
     if (!depth) return "";
     string found;
     w.each([&](World const& next) {
-      cut_ = cut_ || seen_.size() >= most_;
-      if (!found.empty() || cut_) return;
+      truncated_ = truncated_ || seen_.size() >= most_;
+      if (!found.empty() || truncated_) return;
       found = next.broken.empty() ? run(next, depth - 1) : next.broken;
     });
     return found;
@@ -365,7 +373,7 @@
 
  private:
   std::size_t most_;
-  bool cut_ = false;
+  bool truncated_ = false;
   std::unordered_map<std::uint64_t, int> seen_;
 };
 
--- a/tests/consensus/membership_search_test.cpp
+++ b/tests/consensus/membership_search_test.cpp
@@ -6,8 +6,8 @@
 #include <cstdlib>
 
 using namespace tealshelf;
-using sim::Broken;
 using sim::Budget;
+using sim::InjectedFault;
 using sim::World;
 
 /// All orders of a few events, over the real state machine: see membership_search.hpp.
@@ -19,7 +19,7 @@
   std::size_t disks;  ///< of which three found the membership
   int depth;
   Budget budget;
-  Broken broken = Broken::nothing;
+  InjectedFault broken = InjectedFault::nothing;
 };
 /// TEALSHELF_DEPTH deepens the search beyond what a quick run takes.
 int deeper() {
@@ -28,8 +28,8 @@
 }
 /// Searches on from a world; says how far it came, and what is broken.
 string search(Case const& c, World const& from) {
-  sim::Search s(c.broken == Broken::nothing ? 3000000 : 400000);
-  int const depth = c.depth + (c.broken == Broken::nothing ? deeper() : 0);
+  sim::Search s(c.broken == InjectedFault::nothing ? 3000000 : 400000);
+  int const depth = c.depth + (c.broken == InjectedFault::nothing ? deeper() : 0);
   string const found = s.run(from, depth);
   std::printf("%s: %zu states to depth %d\n", c.name, s.states(), depth);
   return s.cut() ? "cut short" : found;
@@ -80,39 +80,42 @@
   STRCMP_EQUAL("", search(c, replaced(c)).c_str());
 }
 
-TEST(membershipSearch, noOrderOfEventsLetsMembersLeaveBeforeAllIsWrittenAnew) {
+TEST(membershipSearch, noOrderOfEventsLetsMembersLeaveBeforeAllKeysAreRewritten) {
   Case const c{"members leave one after the other", 3, 5, {.writes = 0, .changes = 2, .leads = 2, .crashes = 0}};
   STRCMP_EQUAL("", search(c, othersDecide(c)).c_str());
 }
 
-TEST(membershipSearch, brokenVariantsAreFound) {
+TEST(membershipSearch, injectedFaultsAreFound) {
   ProvokedViolations const provoked;
   Case const cases[] = {
       {"a promoted learner votes at once",
        4,
        3,
        {.writes = 1, .changes = 1, .leads = 0, .crashes = 0},
-       Broken::learnerVotesAtOnce},
+       InjectedFault::learnerVotesAtOnce},
       {"a newcomer copies from one disk",
        4,
        4,
        {.writes = 1, .changes = 1, .leads = 0, .crashes = 0},
-       Broken::forgetsFormer},
+       InjectedFault::listsOneFormerMember},
       {"a corrupt disk votes on",
        3,
        3,
        {.writes = 1, .changes = 0, .leads = 0, .crashes = 0, .corruptions = 1},
-       Broken::corruptDiskVotes},
+       InjectedFault::corruptDiskVotes},
   };
   for (Case const& c : cases)
     STRCMP_EQUAL_TEXT("a majority that votes lacks an acknowledged change", search(c, start(c)).c_str(), c.name);
-  Case const leave{
-      "members leave at any time", 3, 5, {.writes = 0, .changes = 2, .leads = 1, .crashes = 0}, Broken::leavesAnyTime};
+  Case const leave{"members leave at any time",
+                   3,
+                   5,
+                   {.writes = 0, .changes = 2, .leads = 1, .crashes = 0},
+                   InjectedFault::removesAtAnyTime};
   STRCMP_EQUAL("a majority that votes lacks an acknowledged change", search(leave, othersDecide(leave)).c_str());
   Case const back{"a replaced disk keeps its stay",
                   4,
                   5,
                   {.writes = 0, .changes = 1, .leads = 0, .crashes = 1},
-                  Broken::comesBackAsBefore};
+                  InjectedFault::keepsIncarnation};
   STRCMP_EQUAL("a majority that votes lacks an acknowledged change", search(back, replaced(back)).c_str());
 }
--- a/tests/consensus/membership_test.cpp
+++ b/tests/consensus/membership_test.cpp
@@ -41,7 +41,7 @@
         if (node.up) node.frozen = true;
         break;
       case 6:
-        if (node.frozen) cluster.thaw(i);
+        if (node.frozen) cluster.unfreeze(i);
         break;
       case 7:
         cluster.cuts.insert({i, cluster.dice(8)});
@@ -73,7 +73,7 @@
 
 TEST_GROUP(membership){};
 
-TEST(membership, wipesJoinsAndCutsKeepEveryPromise) {
+TEST(membership, allGuaranteesHoldUnderWipesJoinsAndPartitions) {
   std::uint64_t wipes = 0;
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     string const b = playMembership(s, false, wipes);
@@ -82,21 +82,21 @@
   CHECK(wipes > 10);
 }
 
-TEST(membership, aCorruptDiskThatVotesIsCaught) {
+TEST(membership, aCorruptDiskThatVotesIsDetected) {
   bool caught = false;
   std::uint64_t wipes = 0;
   for (std::uint64_t s = 1; s <= 300 && !caught; ++s) caught = !playMembership(s, false, wipes, true).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 
-TEST(membership, aWipedDiskThatVotesIsCaught) {
+TEST(membership, aWipedDiskThatVotesIsDetected) {
   bool caught = false;
   std::uint64_t wipes = 0;
   for (std::uint64_t s = 1; s <= 300 && !caught; ++s) caught = !playMembership(s, true, wipes).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 
-TEST(membership, twoWipedAfterAnAckWithAllOthersLosingPower) {
+TEST(membership, twoWipedDisksAndAPowerLossOfTheRestLoseNoWrite) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     sim::Cluster cluster(500 + s, 8, false, 3);
     cluster.joins = true;
@@ -105,7 +105,7 @@
     founded(cluster);
     LONGS_EQUAL(8, cluster.members());
     write(cluster, 60);
-    CHECK(cluster.acked > 10);
+    CHECK(cluster.highestAcknowledged > 10);
     std::size_t owner = 0;
     for (std::size_t i = 0; i < 8; ++i)
       if (cluster.nodes()[i].consensus->owns("configuration")) owner = i;
@@ -120,13 +120,13 @@
     for (sim::Cluster::Node const& node : cluster.nodes())
       in += node.consensus->holdsAllKeys() && node.consensus->membership().find(node.self.id);
     LONGS_EQUAL_TEXT(8, in, "both new disks are members that hold all keys");
-    std::uint64_t const before = cluster.acked;
+    std::uint64_t const before = cluster.highestAcknowledged;
     write(cluster, 30);
-    CHECK(cluster.acked > before);
+    CHECK(cluster.highestAcknowledged > before);
   }
 }
 
-TEST(membership, halvesThatAreCutNeverBothWrite) {
+TEST(membership, partitionedHalvesNeverBothCommit) {
   sim::Cluster cluster(31, 8, false, 3);
   cluster.joins = true;
   cluster.survive = 2;
@@ -139,19 +139,19 @@
       cluster.cuts.insert({b, a});
     }
   cluster.run(400);
-  std::uint64_t const before = cluster.acked;
+  std::uint64_t const before = cluster.highestAcknowledged;
   write(cluster, 60);
-  LONGS_EQUAL_TEXT(before, cluster.acked, "half of the membership is no majority");
+  LONGS_EQUAL_TEXT(before, cluster.highestAcknowledged, "half of the membership is no majority");
   STRCMP_EQUAL("", healed(cluster).c_str());
   write(cluster, 20);
-  CHECK(cluster.acked > before);
+  CHECK(cluster.highestAcknowledged > before);
 }
 
-TEST(membership, aProcessWithoutDiskNeverVotesBesideDisks) {
+TEST(membership, aDisklessNodeNeverVotesAlongsideDisks) {
   sim::Cluster cluster(41, 6, false, 3);
   cluster.joins = true;
   cluster.survive = 1;
-  for (std::size_t i = 3; i < 6; ++i) cluster.noDisk(i);
+  for (std::size_t i = 3; i < 6; ++i) cluster.makeDiskless(i);
   for (std::size_t i = 0; i < 3; ++i) cluster.found(i);
   cluster.run(1500);
   LONGS_EQUAL(3, cluster.members());
@@ -171,11 +171,11 @@
   STRCMP_EQUAL("", healed(cluster).c_str());
 }
 
-TEST(membership, aDiskTakesThePlaceOfAFounderWithoutOne) {
+TEST(membership, aNodeWithADiskReplacesADisklessFounder) {
   sim::Cluster cluster(43, 4, false, 3);
   cluster.joins = true;
   cluster.survive = 1;
-  cluster.noDisk(2);
+  cluster.makeDiskless(2);
   for (std::size_t i = 0; i < 3; ++i) cluster.found(i);
   cluster.run(1500);
   LONGS_EQUAL(3, cluster.members());
@@ -185,7 +185,7 @@
   CHECK_FALSE(MembershipPolicy::survives(cluster.nodes()[0].consensus->membership(), 2));
 }
 
-TEST(membership, anInterruptedFoundingMakesOneGroup) {
+TEST(membership, anInterruptedBootstrapCreatesOneMembership) {
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
     sim::Cluster cluster(600 + s, 5, false, 3);
     cluster.joins = true;
@@ -205,7 +205,7 @@
     cluster.run(1500);
     LONGS_EQUAL(5, cluster.members());
     write(cluster, 30);
-    CHECK(cluster.acked > 5);
+    CHECK(cluster.highestAcknowledged > 5);
     string const b = healed(cluster);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
--- a/tests/consensus/overlapping_losses_test.cpp
+++ b/tests/consensus/overlapping_losses_test.cpp
@@ -37,7 +37,7 @@
   return lost;
 }
 
-void lossOfOne(Cluster& cluster, std::size_t i) {
+void failOneNode(Cluster& cluster, std::size_t i) {
   Cluster::Node& node = cluster.nodes()[i];
   if (!node.up) return;
   switch (cluster.dice(4)) {
@@ -54,11 +54,11 @@
   }
 }
 
-void comesBack(Cluster& cluster, std::size_t i) {
+void restoreNode(Cluster& cluster, std::size_t i) {
   if (!cluster.nodes()[i].up)
     cluster.start(i);
   else if (cluster.nodes()[i].frozen)
-    cluster.thaw(i);
+    cluster.unfreeze(i);
 }
 
 /// What the terms allow: halves whatever the site survives, any losses at once but those of disks.
@@ -89,7 +89,7 @@
       case 2:
       case 3:
       case 4:
-        lossOfOne(cluster, i);
+        failOneNode(cluster, i);
         break;
       case 5:
         if (cluster.dice(4) == 0) wipes += loseDisksAndPower(cluster, site);
@@ -101,7 +101,7 @@
         }
         break;
       default:
-        comesBack(cluster, i);
+        restoreNode(cluster, i);
         break;
     }
   }
@@ -116,7 +116,7 @@
 
 /// Halves that are cut, kills, freezes, slow disks and losses of power overlap beyond what a site survives, with no
 /// more disks lost than it allows; at the end disks are lost while all others lose power.
-TEST(overlappingLosses, nothingAcknowledgedIsLostOrShownOlder) {
+TEST(overlappingLosses, noAcknowledgedWriteIsLostOrReadAsAnOlderOne) {
   std::uint64_t wipes = 0, writes = 0;
   for (Site const& site : sites)
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
--- a/tests/consensus/start_together_test.cpp
+++ b/tests/consensus/start_together_test.cpp
@@ -51,7 +51,7 @@
 TEST_GROUP(startTogether){};
 
 /// A takeover that is under way is left alone, so that each node takes over once at the most.
-TEST(startTogether, nodesDontOvertakeEachOtherAgainAndAgain) {
+TEST(startTogether, nodesDoNotSupersedeEachOtherRepeatedly) {
   for (std::uint64_t seed = 1; seed <= seedCount(200); ++seed) {
     Start const start = startTogether(seed);
     string const text = "seed " + std::to_string(seed) + ": " + std::to_string(start.takeovers) + " takeovers, " +
--- a/tests/duties/duty_fleet_sim.cpp
+++ b/tests/duties/duty_fleet_sim.cpp
@@ -100,15 +100,15 @@
     default:
       for (std::size_t other = 0; other < nodeCount; ++other) {
         if (!cluster_.nodes()[other].up) cluster_.start(other);
-        if (cluster_.nodes()[other].frozen) thaw(other);
+        if (cluster_.nodes()[other].frozen) unfreeze(other);
       }
   }
 }
 
 /// A process that wakes may make a call before it reads what came meanwhile.
-void DutyFleet::thaw(std::size_t node) {
+void DutyFleet::unfreeze(std::size_t node) {
   callPlatform(node);
-  cluster_.thaw(node);
+  cluster_.unfreeze(node);
 }
 
 void DutyFleet::liveAsHolder(std::size_t node) {
--- a/tests/duties/duty_fleet_sim.hpp
+++ b/tests/duties/duty_fleet_sim.hpp
@@ -63,7 +63,7 @@
 
   void advance();
   void trouble();
-  void thaw(std::size_t node);
+  void unfreeze(std::size_t node);
   void liveAsHolder(std::size_t node);
   void claim(std::size_t node);
   void confirm(std::size_t node);
