--- a/consensus/catch_up.cpp
+++ b/consensus/catch_up.cpp
@@ -1,4 +1,4 @@
-// Members that lag are brought up to what is committed, in chunks, while writes go on.
+// Catch-up: the owner sends lagging members the committed state in chunks while it continues to accept writes.
 #include "consensus/consensus.hpp"
 
 namespace tealshelf {
@@ -6,14 +6,14 @@
 namespace {
 constexpr std::size_t chunkBytes = 64u << 10;
 constexpr std::size_t maxRecentBytes = 256u << 10;
-/// A member lags if it hasn't reached its target after so many resend timeouts.
+/// Resend timeouts after which a member that hasn't reached its target sequence number counts as lagging.
 constexpr int maxLagResends = 2;
-/// A chunk is sent again after so many resend timeouts.
+/// Resend timeouts after which an unacknowledged chunk is sent again.
 constexpr int chunkResends = 4;
 }  // namespace
 
-/// A member lags if it doesn't reach what was committed when it was last looked at; under steady writes it is always
-/// a little behind.
+/// The target of a member is the sequence number that was committed at the previous check. Comparing with the current
+/// one would count every member as lagging under continuous writes.
 void Consensus::checkLag(KeyspaceProgress const& progress, NodeId member, KeyspaceState& keyspace, TimePoint now) {
   MemberLag& lag = keyspace.lags[member];
   bool const reached = progress.epoch == keyspace.epoch && progress.applied >= lag.target;
@@ -31,8 +31,8 @@
     sendChunk(progress.keyspace, keyspace, transfer->second, member, now);
 }
 
-/// Keeps a committed write for members that come back, as far as the bound allows.
-void Consensus::remember(KeyspaceState& keyspace, PendingWrite write) {
+/// Keeps a committed write for the catch-up of returning members; drops the oldest ones above maxRecentBytes.
+void Consensus::keepRecentWrite(KeyspaceState& keyspace, PendingWrite write) {
   if (write.full) return;
   keyspace.recentBytes += byteSize(write.entries);
   keyspace.recentWrites.push_back(std::move(write));
@@ -42,7 +42,7 @@
   }
 }
 
-/// What was committed after a sequence number; nothing if the writes are no longer known without a gap.
+/// The entries committed after a sequence number; nothing if some of these writes are no longer kept.
 std::optional<Entries> Consensus::changesAfter(KeyspaceState const& keyspace, std::uint64_t sequence) const {
   Entries changes;
   std::uint64_t reached = sequence;
@@ -57,7 +57,7 @@
   return changes;
 }
 
-/// The committed state with versions and tombstones; nothing while this node's own disk lags itself.
+/// The committed entries with their versions and tombstones; nothing while this node hasn't stored all of them.
 std::optional<Entries> Consensus::committedEntries(KeyspaceState const& keyspace) const {
   Position const committed{keyspace.epoch, keyspace.committedSequence};
   Position const applied = keyspace.replica.applied();
@@ -69,8 +69,8 @@
       entries.emplace(key, entry);
       continue;
     }
-    // A later write of the key is under way. Where the committed state has no value, a tombstone says so: without
-    // it the key could come back from a disk that missed its deletion.
+    // The key has a newer, uncommitted write, so its committed value is sent instead. If there is none, a tombstone
+    // is sent: without it the key could reappear from a disk that missed its deletion.
     auto const value = values.find(key);
     bool const deleted = value == values.end();
     entries[key] = Entry{committed.epoch, committed.sequence, deleted ? "" : value->second, deleted};
@@ -114,7 +114,7 @@
   send(to, name, keyspace.epoch, std::move(chunk));
 }
 
-/// Gathers chunks in memory; the last one makes them one stored range, on the disk as a whole.
+/// Collects the chunks of a transfer in memory. Once the last one arrives, all are stored as one write range.
 void Consensus::handle(Message const& message, TransferChunk const& chunk, KeyspaceState& keyspace, TimePoint) {
   bool accepted = false;
   if (message.epoch >= keyspace.votedEpoch) {
@@ -137,7 +137,8 @@
   reply(message, TransferChunkReply{accepted, keyspace.votedEpoch, chunk.transfer, chunk.index, chunk.writes.last});
 }
 
-/// Sends the next chunk once the one before was taken. A member that has lost its chunks gets a new transfer.
+/// Sends the next chunk after the previous one was accepted. A rejected chunk ends the transfer; if the member still
+/// lags, a new one starts.
 void Consensus::handle(Message const& message, TransferChunkReply const& answer, KeyspaceState& keyspace,
                        TimePoint now) {
   if (message.epoch != keyspace.epoch || keyspace.phase != OwnershipPhase::owner) return;
--- a/consensus/consensus.cpp
+++ b/consensus/consensus.cpp
@@ -1,4 +1,4 @@
-// Persistence, dispatch of messages and queries of the state machine.
+// Persistence, message dispatch and queries of the consensus state machine.
 #include "consensus/consensus.hpp"
 
 namespace tealshelf {
@@ -66,7 +66,7 @@
   if (!addressed || !membership_.find(message.from) || !mayVote()) return;
   KeyspaceState& keyspace = keyspaces_[message.keyspace];
   keyspace.highestSeenEpoch = std::max({keyspace.highestSeenEpoch, message.epoch, votedEpochOf(message.body)});
-  // Before the message counts: a process that was frozen must not go on where it stood.
+  // Before the message is handled: an owner resumed after a suspension must not complete operations that have expired.
   expireOperations(keyspace, now);
   std::visit([&](auto const& body) { handle(message, body, keyspace, now); }, message.body);
 }
@@ -150,7 +150,7 @@
     bool const eligible =
         member.id == self_.id ? holdsAllKeys_ && !ineligibleAsOwner_ : heartbeat && heartbeat->holdsAllKeys;
     if (!eligible) continue;
-    // One without a disk owns nothing while one with a disk can.
+    // Members with a disk come before members without one, deprioritized members after the others.
     std::tuple<bool, bool, std::uint64_t> const rank(member.hasDisk, !isDeprioritizedOwner(keyspace, member.id),
                                                      hash64(hex(member.id.value), hash64(keyspace)));
     if (best && rank <= bestRank) continue;
@@ -176,9 +176,9 @@
 }
 
 Values const& Consensus::committedValues(string const& keyspace) const {
-  static Values const none;
+  static Values const noValues;
   auto const found = keyspaces_.find(keyspace);
-  return found == keyspaces_.end() ? none : found->second.replica.committedValues();
+  return found == keyspaces_.end() ? noValues : found->second.replica.committedValues();
 }
 
 std::optional<Values> Consensus::lastKnownValues(string const& keyspace) const {
--- a/consensus/consensus.hpp
+++ b/consensus/consensus.hpp
@@ -6,15 +6,16 @@
 
 namespace tealshelf {
 
-/// A keyspace as one disk holds it, for a node that copies all keys.
+/// One keyspace of a node's disk, as sent to a node that copies all keys.
 struct KeyspaceCopy {
   string keyspace;
   Epoch votedEpoch;
   Entries entries;
-  bool unchanged = false;  ///< the asker holds this very content, which is left out
+  bool unchanged = false;  ///< the requester already has this content; `entries` is empty then
   std::uint64_t digest() const;
   MSGPACK_DEFINE(keyspace, votedEpoch, entries, unchanged)
 };
+/// All keyspaces of a node's disk.
 using DiskCopy = vector<KeyspaceCopy>;
 
 /// A change of one key.
@@ -23,11 +24,11 @@
   bool deleted = false;
 };
 
-/// How a proposal or a confirmation ended.
+/// Outcome of a proposed write or of an ownership confirmation.
 enum class OperationResult {
   committed,  ///< a majority stored it, or confirmed the ownership
-  notOwner,   ///< nothing was sent: it never comes into force
-  unknown     ///< the ownership ended first: the next owner settles whether it is in force
+  notOwner,   ///< nothing was sent, so it never takes effect
+  unknown     ///< the ownership ended first; whether a write takes effect is decided by the next takeover
 };
 
 struct OperationOutcome {
@@ -35,8 +36,8 @@
   OperationResult result = OperationResult::unknown;
 };
 
-/// What the state machine wants done, in this order: append the records and, if `needsSync`, sync them; then send the
-/// messages and report the outcomes.
+/// Work for the caller, in this order: append the records and, if `needsSync`, sync them; then send the messages and
+/// report the outcomes.
 struct Output {
   vector<string> records;
   vector<Message> messages;
@@ -44,24 +45,24 @@
   bool needsSync = false;
 };
 
-/// The replicated control state of one node, as a state machine without input or output of its own.
+/// The replicated control state of one node, as a state machine that does no I/O itself.
 ///
-/// Messages, heartbeats and ticks go in; takeOutput() gives what shall be written and sent. Every keyspace has one
-/// owner at a time. A node becomes owner by the votes of a majority, its own among them, for a higher epoch; it takes
-/// the newest entry of each key that the voters hold and rewrites them all under its epoch before it serves anything. A
-/// write is committed once a majority has stored and synced it; a read is confirmed by a majority that voted for no
-/// higher epoch since.
+/// The caller feeds it messages, heartbeats and ticks; takeOutput() returns what to write and send. Every keyspace has
+/// one owner at a time. A node becomes owner by the votes of a majority, its own included, for a higher epoch. It takes
+/// the newest entry of each key that the voters hold and rewrites all of them under its epoch before it serves reads
+/// or writes. A write is committed once a majority has stored and synced it. A read is confirmed by a majority that
+/// hasn't voted for a higher epoch.
 ///
-/// Invariants: a vote for an epoch bars every lower one, and every other owner of the same number, on this disk; only
-/// members that hold all keys vote; a node that lost contact with a majority steps down.
+/// Invariants: after a vote for an epoch this node accepts no lower epoch, and no other owner with the same epoch
+/// number; only members that hold all keys vote; an owner that loses contact with a majority steps down.
 ///
-/// Not thread safe. Errors: replay() throws badMessage; everything else is told by outcomes.
+/// Not thread safe. Errors: replay() throws badMessage; all other failures are reported as outcomes.
 class Consensus {
  public:
-  /// Durations, as ratios of the settings' bounds.
+  /// Timeouts; ConsensusDriver derives them from the bounds in the settings.
   struct Timeouts {
-    Ms contactExpiry;  ///< age from which on a contact with a node doesn't count
-    Ms resend;         ///< until a message without an answer is sent again
+    Ms contactExpiry;  ///< age after which a contact with a node no longer counts
+    Ms resend;         ///< time after which an unanswered message is sent again
     Ms stepDown;       ///< age of the last contact with a majority at which an owner steps down
     Ms operation;      ///< how long a write or a read may wait for a majority
   };
@@ -72,9 +73,9 @@
 
   // Persistence.
 
-  /// Takes back a record from the disk, in the order in which they were written.
+  /// Restores the state from a record of the log; records are replayed in the order in which they were written.
   void replay(string const& record);
-  /// Records that bring an empty state machine to the present state.
+  /// Records from which an empty state machine restores the current state.
   vector<string> snapshot() const;
 
   // Input and output.
@@ -82,69 +83,70 @@
   void tick(TimePoint now);
   void receive(Message const& message, TimePoint now);
   void receiveHeartbeat(Heartbeat const& heartbeat, TimePoint now);
-  /// Takes a clock reading of this node that a peer sent back in its answer to a heartbeat.
+  /// Processes a clock reading of this node that a peer echoed in its reply to a heartbeat.
   void receiveEcho(NodeId from, ProcessTime const& sentAt, TimePoint now);
   Heartbeat heartbeat(TimePoint now) const;
   Output takeOutput() { return std::exchange(output_, Output()); }
 
   // Operations.
 
-  /// Makes a keyspace known, so that its preferred owner takes it.
+  /// Creates a keyspace on this node, so that its preferred owner takes it over.
   void addKeyspace(string const& keyspace);
-  /// Writes changes. The outcome comes with an output, at the latest when the operation timeout is over. An owner
-  /// whose write ends as unknown has given the keyspace up: only the next takeover tells what is in force.
-  /// With `under`, it ends as notOwner unless the keyspace is still owned under that epoch: for changes that build on
-  /// values that were read a while ago, as another owner may have written since.
+  /// Proposes a write. Its outcome is part of a later output, at the latest after the operation timeout. An owner
+  /// whose write ends as unknown has stepped down: the next takeover decides whether the write takes effect.
+  /// With `expectedEpoch` the outcome is notOwner unless this node still owns the keyspace under that epoch. Use it for
+  /// changes based on values that were read earlier, since another owner may have written in the meantime.
   OperationId propose(string const& keyspace, vector<KeyChange> changes, TimePoint now,
-                      std::optional<Epoch> under = std::nullopt);
-  /// Asks a majority whether this node still owns a keyspace.
+                      std::optional<Epoch> expectedEpoch = std::nullopt);
+  /// Asks the members to confirm that this node still owns a keyspace; committed once a majority has confirmed.
   OperationId confirmOwnership(string const& keyspace, TimePoint now);
-  /// Gives a keyspace up; open operations end as unknown.
+  /// Gives up the ownership of a keyspace; its pending operations end as unknown.
   void relinquish(string const& keyspace);
-  /// Members that shall not own a keyspace while another one can. What nodes know of it may differ for a while: only
-  /// who is preferred depends on it, never who owns.
+  /// Sets the members that should not own a keyspace while another member can. Nodes may temporarily disagree about
+  /// this set: it affects only which member is preferred, never the safety of the ownership.
   void setDeprioritizedOwners(string const& keyspace, std::set<NodeId> members) {
     deprioritizedOwners_[keyspace] = std::move(members);
   }
-  /// While it abstains, as its disk takes no writes, this node gives its keyspaces up and takes none. True if that
-  /// is new.
+  /// Sets whether this node must not own keyspaces, because its disk accepts no writes; it gives up those that it
+  /// owns. True if the setting changed.
   bool setIneligibleAsOwner(bool ineligible);
 
   // Membership.
 
-  /// Installs a newer membership; older ones are ignored. `holdsAllKeys` says that this disk does.
+  /// Installs a newer membership; older ones are ignored. `holdsAllKeys`: this node's disk holds all keys.
   void installMembership(Membership const& membership, bool holdsAllKeys);
-  /// Replaces the state by what a majority of the former members hold; this node votes from then on.
+  /// Replaces the stored entries by the copies of a majority of the former members; this node votes from then on.
   void installCopies(vector<DiskCopy> const& copies);
   DiskCopy exportKeyspaces() const;
-  /// Gives up the vote, durably, for example because the disk lost a record and can't tell what it acknowledged. The
-  /// node is a member again only under the new incarnation (one not used before), as a newcomer that copied all keys
-  /// from a majority.
+  /// Durably gives up this node's vote, for example because its disk lost records and may have forgotten writes that
+  /// it acknowledged. The node can become a member again only under the new incarnation, which must be unused, after
+  /// copying all keys from a majority like any new member.
   void giveUpVote(std::uint64_t newIncarnation);
-  /// Lets a retired disk ask to become a member again, under an incarnation not used before.
+  /// Lets a retired node ask to become a member again, under an incarnation that was not used before.
   void rejoin(std::uint64_t newIncarnation);
   Membership const& membership() const { return membership_; }
   Member const& self() const { return self_; }
   bool holdsAllKeys() const { return holdsAllKeys_; }
-  /// True if this disk is a member under its own incarnation, with or without a vote.
+  /// True if this node is a member under its current incarnation, with or without a vote.
   bool isMember() const;
-  /// True if this disk was a member under its incarnation and is one no more.
+  /// True if this node was a member under its current incarnation and has been removed.
   bool isRetired() const { return retired_; }
-  /// The member that this disk may answer copies for: itself while it votes, or as it voted in the membership before.
+  /// The member on whose behalf this node may serve copies: itself while it votes, else itself as a voter of the
+  /// previous membership; nothing if it was no voter.
   std::optional<Member> copySource() const;
-  /// True if all keyspaces that a majority knows were rewritten by their owners in this membership.
+  /// True if, according to a majority, every keyspace has an owner in this membership, which has rewritten its entries.
   bool allKeyspacesRewritten(TimePoint now) const;
 
   // Queries.
 
   bool owns(string const& keyspace) const;
-  /// The epoch of this node's own, present or last, ownership.
+  /// The epoch of this node's current or last ownership.
   Epoch epochOf(string const& keyspace) const;
-  /// The committed values of a keyspace, as far as this node knows them; all of them where it owns the keyspace.
+  /// The committed values of a keyspace that this node knows; on the owner these are all of them.
   Values const& committedValues(string const& keyspace) const;
-  /// The newest committed values that this node knows of, whatever is under way; nothing if it knows none.
+  /// The newest committed values that this node knows, even while newer writes are pending; nothing if it knows none.
   std::optional<Values> lastKnownValues(string const& keyspace) const;
-  /// Who should own a keyspace by what this node knows, or null.
+  /// The member that should own a keyspace according to this node, or null.
   Member const* preferredOwner(string const& keyspace, TimePoint now) const;
   vector<string> keyspaces() const;
   bool isAlive(NodeId node, TimePoint now) const;
@@ -153,11 +155,11 @@
   Ms silentFor(NodeId node, TimePoint now) const;
   /// See ContactTracker::majorityContact.
   TimePoint majorityContact(TimePoint now) const;
-  /// True if that contact is recent. Arrivals prove nothing: they may have been held back.
+  /// True if majorityContact() is recent. Times of arrival are not used: messages may have been delayed for long.
   bool inContactWithMajority(TimePoint now) const;
 
  private:
-  friend struct ConsensusProbe;  ///< of the tests: starts takeovers and compares whole states
+  friend struct ConsensusProbe;  ///< in the tests: starts takeovers and compares complete states
 
   // Ownership: ownership.cpp.
   void updateOwnership(string const& name, KeyspaceState& keyspace, TimePoint now);
@@ -167,8 +169,8 @@
   void stepDown(KeyspaceState& keyspace);
   void stepDownEverywhere();
   void onRefusal(Epoch votedEpoch, KeyspaceState& keyspace, TimePoint now);
-  /// Leaves another node's takeover the time to end.
-  void deferTakeover(KeyspaceState& keyspace, Epoch other, TimePoint now) const;
+  /// Delays this node's next takeover, so that another node's takeover can complete.
+  void deferTakeover(KeyspaceState& keyspace, Epoch otherEpoch, TimePoint now) const;
   void handle(Message const& message, VoteRequest const& request, KeyspaceState& keyspace, TimePoint now);
   void handle(Message const& message, VoteReply const& reply, KeyspaceState& keyspace, TimePoint now);
 
@@ -186,11 +188,11 @@
   void handle(Message const& message, OwnershipCheck const& check, KeyspaceState& keyspace, TimePoint now);
   void handle(Message const& message, OwnershipCheckReply const& reply, KeyspaceState& keyspace, TimePoint now);
 
-  // Members that lag: catch_up.cpp.
+  // Catch-up of lagging members: catch_up.cpp.
   void checkLag(KeyspaceProgress const& progress, NodeId member, KeyspaceState& keyspace, TimePoint now);
   void startTransfer(KeyspaceProgress const& progress, NodeId to, KeyspaceState& keyspace, TimePoint now);
   void sendChunk(string const& name, KeyspaceState& keyspace, OutgoingTransfer& transfer, NodeId to, TimePoint now);
-  void remember(KeyspaceState& keyspace, PendingWrite write);
+  void keepRecentWrite(KeyspaceState& keyspace, PendingWrite write);
   std::optional<Entries> changesAfter(KeyspaceState const& keyspace, std::uint64_t sequence) const;
   std::optional<Entries> committedEntries(KeyspaceState const& keyspace) const;
   void handle(Message const& message, TransferChunk const& chunk, KeyspaceState& keyspace, TimePoint now);
@@ -198,7 +200,6 @@
 
   void handle(Message const&, UnknownMessage const&, KeyspaceState&, TimePoint) {}
 
-  /// True if a node is passed over as owner of a keyspace.
   bool isDeprioritizedOwner(string const& keyspace, NodeId node) const;
   bool mayVote() const { return holdsAllKeys_ && isMember(); }
   MembershipRecord membershipRecord() const;
@@ -213,11 +214,11 @@
   bool holdsAllKeys_ = false;
   bool ineligibleAsOwner_ = false;
   bool retired_ = false;
-  vector<Member> formerVoter_;  ///< this node as it voted in the membership before: one or none
+  vector<Member> formerVoter_;  ///< this node as a voter of the previous membership: one or none
   std::map<string, KeyspaceState> keyspaces_;
   std::map<string, std::set<NodeId>> deprioritizedOwners_;  ///< by keyspace
   OperationId lastOperation_ = 0;
-  std::uint64_t lastRound_ = 0;  ///< of ownership checks and transfers
+  std::uint64_t lastRound_ = 0;  ///< last number given to an ownership check or a transfer
   Output output_;
 };
 
--- a/consensus/consensus_driver.cpp
+++ b/consensus/consensus_driver.cpp
@@ -6,7 +6,7 @@
 namespace tealshelf {
 
 namespace {
-/// The part of the disk's space that the control log may use.
+/// Share of the disk limits that the control log may use.
 constexpr double logShare = 0.6;
 
 NodeId ownNodeId(Settings const& settings) {
@@ -39,8 +39,10 @@
   RecoveredLog const& recovered = log_->recovered();
   for (string const& record : recovered.records) consensus_.replay(record);
   if (recovered.tornBytes)
-    logWarning("consensus", "a torn tail of " + std::to_string(recovered.tornBytes) + " bytes was cut");
-  for (string const& place : recovered.corruptions) logWarning("consensus", "synced records are lost: " + place);
+    logWarning("consensus", "truncated an incomplete record of " + std::to_string(recovered.tornBytes) +
+                                " bytes at the end of the control log");
+  for (string const& place : recovered.corruptions)
+    logWarning("consensus", "the control log has lost synced records: " + place);
   if (!recovered.corruptions.empty()) consensus_.giveUpVote(randomId());
   log_->releaseRecovered();
 }
@@ -73,7 +75,8 @@
   return HeartbeatReply{self_, heartbeat.sentAt};
 }
 
-/// One that doesn't hear this node yet gets a heartbeat at once, so that a start takes no whole period.
+/// Sends a heartbeat at once to a peer that hasn't heard this node yet, so that a starting node needn't wait for the
+/// next period.
 void ConsensusDriver::replyToNewPeer(Heartbeat const& heartbeat, TimePoint now) {
   TimePoint& extraHeartbeatSentAt = links_[heartbeat.sender.ip].extraHeartbeatSentAt;
   if (heartbeat.hears(self_) || now - extraHeartbeatSentAt <= heartbeatPeriod_ / 5) return;
@@ -81,7 +84,7 @@
   rpc_.send(settings_.controlAddress(heartbeat.sender.ip), makeHeartbeat(heartbeat.membership, true));
 }
 
-/// A new owner tells everybody, so that calls find it before the next heartbeat.
+/// A new owner sends heartbeats at once, so that other nodes forward calls to it before the next period.
 void ConsensusDriver::announceNewOwnerships() {
   bool isNew = false;
   for (string const& keyspace : {string(configurationKeyspace), string(membersKeyspace)}) {
@@ -100,7 +103,7 @@
   if (log_)
     for (string const& record : output->records) log_->append(record);
   bool const failing = log_ && !log_->healthy();
-  // What a failing disk can't back isn't said; those who wait for it ask again.
+  // Messages that depend on a sync aren't sent while the disk fails; the peers resend their requests.
   if (output->needsSync && failing) output->messages.clear();
   if (output->needsSync && log_ && !failing)
     log_->whenSynced([this, output] { deliver(output); });
@@ -146,13 +149,14 @@
   co_return waiter->result;
 }
 
-Task<OperationResult> ConsensusDriver::propose(string keyspace, vector<KeyChange> changes, std::optional<Epoch> under) {
+Task<OperationResult> ConsensusDriver::propose(string keyspace, vector<KeyChange> changes,
+                                               std::optional<Epoch> expectedEpoch) {
   Epoch const epoch = consensus_.epochOf(keyspace);
-  OperationId const operation = consensus_.propose(keyspace, std::move(changes), Clock::now(), under);
-  std::optional<OperationResult> const end = co_await await(operation, settings_.bounds.confirmWithin / 5);
-  OperationResult const result = end.value_or(OperationResult::unknown);
-  // Where a stalled disk or a freeze kept the consensus from ending it, the keyspace is given up here.
-  if (!end && consensus_.epochOf(keyspace) == epoch) consensus_.relinquish(keyspace);
+  OperationId const operation = consensus_.propose(keyspace, std::move(changes), Clock::now(), expectedEpoch);
+  std::optional<OperationResult> const outcome = co_await await(operation, settings_.bounds.confirmWithin / 5);
+  OperationResult const result = outcome.value_or(OperationResult::unknown);
+  // A stalled disk or a suspended process can delay the outcome past the limit; the ownership is given up then.
+  if (!outcome && consensus_.epochOf(keyspace) == epoch) consensus_.relinquish(keyspace);
   flush();
   bool const announceAtOnce = keyspace == configurationKeyspace || keyspace == membersKeyspace;
   if (result == OperationResult::committed && announceAtOnce) sendHeartbeats();
@@ -203,16 +207,16 @@
 
 void ConsensusDriver::sendHeartbeats() {
   TimePoint const now = Clock::now();
-  MembershipNumber const present = consensus_.membership().number;
-  HeartbeatMessage message = makeHeartbeat(present, false);
+  MembershipNumber const current = consensus_.membership().number;
+  HeartbeatMessage message = makeHeartbeat(current, false);
   for (auto const& [ip, known] : heartbeatReceivers(now)) {
-    message.membership = known < present ? consensus_.membership() : Membership();
+    message.membership = known < current ? consensus_.membership() : Membership();
     sendHeartbeat(ip, message);
   }
 }
 
-/// A heartbeat wants an answer, so that a connection on which nothing comes through is found and opened anew, even
-/// where all else that goes over it is sent without waiting.
+/// Heartbeats are sent as calls with a time limit, so that a dead connection is detected and reopened: most other
+/// traffic on it is one-way. While a call is outstanding, heartbeats are sent one-way too.
 void ConsensusDriver::sendHeartbeat(string const& ip, HeartbeatMessage const& message) {
   Address const to = settings_.controlAddress(ip);
   if (std::exchange(links_[ip].awaitsReply, true)) {
--- a/consensus/consensus_driver.hpp
+++ b/consensus/consensus_driver.hpp
@@ -5,46 +5,47 @@
 
 namespace tealshelf {
 
-/// Runs a Consensus against the disk, the connections and the clock.
+/// Connects a Consensus to the disk, the network and the clock.
 ///
-/// Runs on the io thread; the log has a thread of its own. Settings and client must outlive it.
+/// Runs on the io thread; the log has its own thread. Settings and client must outlive it.
 class ConsensusDriver {
  public:
   ConsensusDriver(asio::io_context& io, Settings const& settings, RpcClient& rpc);
-  /// Starts the handlers of the consensus's messages, heartbeats, and founding or joining.
+  /// Registers the message handlers, and starts the heartbeats and the bootstrap or join of the membership.
   void start(RpcServer& server);
 
-  /// Writes changes to a majority of the disks, within a bound. After an unknown end this node has given the keyspace
-  /// up: nothing is built on its old values, and only the next owner knows what came of the change.
-  /// With `under`, nothing is written unless this node still owns the keyspace under that epoch.
-  Task<OperationResult> propose(string keyspace, vector<KeyChange> changes, std::optional<Epoch> under = std::nullopt);
-  /// True once a majority says that this node still owns the keyspace.
+  /// Writes changes to a majority of the disks, within a time limit. After the result `unknown` the next takeover
+  /// decides whether they take effect; this node has given up the keyspace, so that it can't build on outdated values.
+  /// With `expectedEpoch`, nothing is written unless this node still owns the keyspace under that epoch.
+  Task<OperationResult> propose(string keyspace, vector<KeyChange> changes,
+                                std::optional<Epoch> expectedEpoch = std::nullopt);
+  /// True if a majority confirms within the limit that this node still owns the keyspace.
   Task<bool> confirmOwnership(string keyspace, Ms limit);
-  /// Waits until everything recorded so far is synced; throws ErrorCode::diskUnavailable once the disk isn't well.
+  /// Waits until everything recorded so far is synced; throws ErrorCode::diskUnavailable if the disk fails.
   Task<void> waitSynced();
 
   Consensus& consensus() { return consensus_; }
   Consensus const& consensus() const { return consensus_; }
   bool inContactWithMajority() const { return consensus_.inContactWithMajority(Clock::now()); }
-  /// True if the membership survives the losses that it should.
+  /// True if the membership survives the loss of as many machines as the settings require.
   bool survivesRequiredLosses() const {
     return MembershipPolicy::survives(consensus_.membership(), settings_.surviveMachines);
   }
-  /// Where the preferred owner of a keyspace is; nothing if unknown.
+  /// The address of a keyspace's preferred owner; nothing if unknown.
   std::optional<Address> ownerAddress(string const& keyspace) const;
   Ms heartbeatPeriod() const { return heartbeatPeriod_; }
 
-  /// Hands everything over: this node is preferred no more.
+  /// Prepares a shutdown: this node is no longer a preferred owner, so that other nodes take its keyspaces over.
   void leave();
   bool isLeaving() const { return leaving_; }
   void sendHeartbeats();
-  /// Writes and sends what the consensus has put out.
+  /// Appends, syncs and sends the pending output of the consensus.
   void flush();
 
-  /// Called for each heartbeat that comes in, with what it carries.
+  /// Called for each received heartbeat message.
   std::function<void(HeartbeatMessage const&)> onHeartbeat;
-  /// Fills in the workers and nodes that a heartbeat shall carry. `isExtra`: it goes to one node beside the periodic
-  /// ones, and nothing that it carries counts as told to the others.
+  /// Adds the workers, nodes and statistics that a heartbeat carries. `isExtra`: the heartbeat goes to one node only,
+  /// outside the period, so its contents must not be marked as sent to all nodes.
   std::function<void(HeartbeatMessage&, bool isExtra)> fillHeartbeat;
   /// Called whenever the control state may have changed.
   std::function<void()> onChange;
@@ -59,22 +60,22 @@
     Heartbeat heartbeat;
     TimePoint receivedAt;
   };
-  /// What is known of the exchange of heartbeats with an address.
+  /// State of the heartbeat exchange with one address.
   struct HeartbeatLink {
     bool awaitsReply = false;
-    TimePoint extraHeartbeatSentAt;  ///< when a heartbeat was last sent back at once
+    TimePoint extraHeartbeatSentAt;  ///< when replyToNewPeer() last sent a heartbeat
   };
 
   void replayLog();
   HeartbeatReply receiveHeartbeat(HeartbeatMessage const& message);
   void replyToNewPeer(Heartbeat const& heartbeat, TimePoint now);
   HeartbeatMessage makeHeartbeat(MembershipNumber known, bool isExtra);
-  /// The addresses of heartbeats, and the membership that each is known to have.
+  /// The addresses that heartbeats are sent to, each with the membership number that it last reported, or 0.
   std::map<string, MembershipNumber> heartbeatReceivers(TimePoint now) const;
   void sendHeartbeat(string const& ip, HeartbeatMessage const& message);
   void announceNewOwnerships();
   void deliver(std::shared_ptr<Output> output);
-  /// How an operation ended; nothing if it took longer than the limit.
+  /// Waits for the result of an operation; nothing if it takes longer than the limit.
   Task<std::optional<OperationResult>> await(OperationId operation, Ms limit);
   Task<void> tickLoop();
   Task<void> heartbeatLoop();
--- a/consensus/contact_tracker.cpp
+++ b/consensus/contact_tracker.cpp
@@ -59,8 +59,8 @@
 }
 
 Ms ContactTracker::silentFor(NodeId node, TimePoint now) const {
-  bool const slept = runningSince_ == TimePoint() || now - lastTick_ > expiry_;
-  if (node == self_ || slept) return Ms(0);
+  bool const wasSuspended = runningSince_ == TimePoint() || now - lastTick_ > expiry_;
+  if (node == self_ || wasSuspended) return Ms(0);
   auto const heard = lastHeard_.find(node);
   TimePoint const last = heard == lastHeard_.end() ? runningSince_ : std::max(runningSince_, heard->second);
   return std::chrono::duration_cast<Ms>(now - last);
--- a/consensus/contact_tracker.hpp
+++ b/consensus/contact_tracker.hpp
@@ -3,10 +3,10 @@
 
 namespace tealshelf {
 
-/// Tells which nodes this node is in contact with, from heartbeats and their echoes; no input or output of its own.
+/// Tracks which nodes this node is in contact with, from heartbeats and their echoes; does no I/O itself.
 ///
-/// Contact is dated by this node's own clock readings that came back in an echo, never by arrivals: a packet may have
-/// been held back for any time. So a contact at time t proves that the peer received something sent at t.
+/// A contact has the time of this node's own clock reading that the peer echoed, never a time of arrival, as a packet
+/// may be delayed for any time. A contact at time t thus proves that the peer received a heartbeat sent at t.
 class ContactTracker {
  public:
   /// `processId` must differ from that of every earlier process of this node. A contact older than `expiry` doesn't
@@ -14,19 +14,21 @@
   ContactTracker(NodeId self, std::uint64_t processId, Ms expiry)
       : self_(self), processId_(processId), expiry_(expiry) {}
 
-  /// Takes a heartbeat in. False if a later one of the same process overtook it, so that it says nothing new.
+  /// Processes a heartbeat. False if a later one of the same process arrived before it; it is ignored then.
   bool receive(Heartbeat const& heartbeat, TimePoint now);
-  /// Takes a clock reading of this node that a peer sent back.
+  /// Processes a clock reading of this node that a peer echoed.
   void receiveEcho(NodeId from, ProcessTime const& sentAt, TimePoint now);
-  /// Notes that this process runs; one that slept can't tell who was silent meanwhile.
+  /// Records that this process is running. After a longer gap, silence is measured anew: a suspended process can't tell
+  /// who was silent in the meantime.
   void recordTick(TimePoint now);
 
   /// True if a node is in contact with this one and with a majority of the members.
   bool isAlive(NodeId node, Membership const& membership, TimePoint now) const;
-  /// The latest time at which this node sent what a majority, itself included, is known to have received; TimePoint()
-  /// if there is none.
+  /// The latest time t such that a majority, this node included, is known to have received a heartbeat sent at t or
+  /// later; TimePoint() if there is none.
   TimePoint majorityContact(Membership const& membership, TimePoint now) const;
-  /// How long neither this node nor any node that it hears has heard a node, as far as this process was awake to tell.
+  /// How long a node was heard neither by this node nor by the peers that this node hears; counted only while this
+  /// process was running without a suspension.
   Ms silentFor(NodeId node, TimePoint now) const;
 
   ProcessTime clockReading(TimePoint now) const { return {processId_, now.time_since_epoch().count()}; }
@@ -34,7 +36,7 @@
   vector<Echo> echoes(TimePoint now) const;
   /// The last heartbeat of a node, or null.
   Heartbeat const* lastHeartbeat(NodeId node) const;
-  /// Forgets all contacts, for tests that decide who hears whom.
+  /// Forgets all contacts; for tests that control which nodes hear each other.
   void reset(TimePoint runningSince, TimePoint now);
 
  private:
@@ -49,7 +51,8 @@
   Ms expiry_;
   std::map<NodeId, Peer> peers_;
   std::map<NodeId, TimePoint> lastHeard_;  ///< when a node was last heard, here or by a peer
-  TimePoint runningSince_, lastTick_;
+  TimePoint runningSince_;                 ///< start of this process, or its resumption after a suspension
+  TimePoint lastTick_;
 };
 
 }  // namespace tealshelf
--- a/consensus/control_messages.hpp
+++ b/consensus/control_messages.hpp
@@ -3,10 +3,10 @@
 #include "fleet/nodes.hpp"
 #include "rollouts/version_evidence.hpp"
 
-/// Calls between control nodes.
+/// RPC messages between control nodes.
 namespace tealshelf {
 
-/// Carries messages of the state machine.
+/// Carries messages between the consensus state machines.
 struct ConsensusMessages {
   using Reply = Acknowledgement;
   static constexpr RpcMethod method = RpcMethod::consensusMessages;
@@ -14,33 +14,33 @@
   MSGPACK_DEFINE(messages)
 };
 
-/// Brings the sender of a heartbeat its own clock reading back.
+/// Echoes the clock reading of a heartbeat to its sender.
 struct HeartbeatReply {
   NodeId from;
   ProcessTime sentAt;
   MSGPACK_DEFINE(from, sentAt)
 };
 
-/// A heartbeat with what control nodes tell each other beside it: the membership if the receiver's is older, and news
-/// of workers and data-plane nodes.
+/// A heartbeat together with other state that control nodes exchange: the membership if the receiver's is older, and
+/// changes of workers and data-plane nodes.
 struct HeartbeatMessage {
   using Reply = HeartbeatReply;
   static constexpr RpcMethod method = RpcMethod::heartbeat;
   Heartbeat heartbeat;
   Membership membership;
   vector<Worker> workers;
-  bool wholeRegistry = false;        ///< all workers are carried; only releases before 0.2 say so
-  std::uint64_t registryDigest = 0;  ///< of the registry of workers, so that a gap is noticed; 0 if it isn't told
-  std::uint64_t nodesDigest = 0;     ///< of the data-plane nodes that ask at this control node
+  bool wholeRegistry = false;        ///< `workers` is the whole registry; set only by releases before 0.2
+  std::uint64_t registryDigest = 0;  ///< of the worker registry, to detect missed changes; 0 if not sent
+  std::uint64_t nodesDigest = 0;     ///< of the data-plane nodes that poll the sender
   bool carriesNodes = false;
   vector<DataNode> nodes;
-  vector<WorkerTally> tallies;  ///< of workers that failed requests lately, by who asks at this control node
-  /// What this node's subscribers told of the versions of services with a rollout, since it began.
+  vector<WorkerTally> tallies;  ///< recent request failures of workers, as reported by nodes that poll the sender
+  /// What the sender's subscribers reported on the versions of services with a rollout, since the rollout began.
   vector<VersionTally> versionTallies;
-  /// Of what the sender has of the applications' tallies on its disk; 0 if it isn't told.
+  /// Digest of the applications' tallies on the sender's disk; 0 if not sent.
   std::uint64_t tallyDigest = 0;
-  std::int64_t wallMs = 0;  ///< the sender's time of day in milliseconds since 1970; 0 if it isn't told
-  /// For how long the sender hasn't reached the platform; below 0 if it isn't told.
+  std::int64_t wallMs = 0;  ///< the sender's wall clock in milliseconds since 1970; 0 if not sent
+  /// For how long the sender hasn't reached the platform; negative if not sent.
   std::int64_t platformSilenceMs = -1;
   MSGPACK_DEFINE(heartbeat, membership, workers, wholeRegistry, registryDigest, nodesDigest, carriesNodes, nodes,
                  tallies, versionTallies, tallyDigest, wallMs, platformSilenceMs)
@@ -53,7 +53,7 @@
   MSGPACK_DEFINE(self, membership, mayBootstrap, hasDisk, holdsAllKeys)
 };
 
-/// Asks a seed who it is, before the first membership.
+/// Asks a seed for its identity and the membership that it knows; sent while this node knows no membership.
 struct Hello {
   using Reply = HelloReply;
   static constexpr RpcMethod method = RpcMethod::hello;
@@ -62,12 +62,12 @@
 };
 
 struct CopyReply {
-  Member source;  ///< the member that held these keys when its membership ended, or holds them now
+  Member source;  ///< the replying node, as a member of this membership or a voter of the previous one
   DiskCopy keyspaces;
   MSGPACK_DEFINE(source, keyspaces)
 };
 
-/// Asks for all keys; what the asker holds of them already, by digest, is left out.
+/// Asks for all keyspaces; the reply leaves out the entries of those whose digest matches the requester's.
 struct CopyRequest {
   using Reply = CopyReply;
   static constexpr RpcMethod method = RpcMethod::copyAll;
@@ -76,7 +76,7 @@
   MSGPACK_DEFINE(membership, digests)
 };
 
-/// Asks for a change of the membership; handed on to the owner of its keyspace.
+/// Asks for a change of the membership; forwarded to the owner of the members keyspace.
 struct MembershipChangeRequest {
   using Reply = Acknowledgement;
   static constexpr RpcMethod method = RpcMethod::join;
--- a/consensus/entries.hpp
+++ b/consensus/entries.hpp
@@ -3,11 +3,11 @@
 
 /// Versioned entries of keyspaces.
 ///
-/// A keyspace is a replicated map from string keys to string values. One node at a time owns it and is the only one
-/// to write it. Every ownership has an epoch of its own, and the owner numbers its writes within that epoch.
+/// A keyspace is a replicated map from string keys to string values. One node at a time owns it and is its only writer.
+/// Every ownership has its own epoch, within which the owner numbers its writes.
 namespace tealshelf {
 
-/// Number of an ownership of a keyspace; rises with every handover. Unique, as the owner is part of it.
+/// Identifies one ownership of a keyspace; increases with every takeover. Unique, as it includes the owner.
 struct Epoch {
   std::uint64_t number = 0;
   NodeId owner;
@@ -15,7 +15,7 @@
   MSGPACK_DEFINE(number, owner)
 };
 
-/// A place in the sequence of writes of one ownership.
+/// A position in the sequence of writes of one ownership.
 struct Position {
   Epoch epoch;
   std::uint64_t sequence = 0;
@@ -34,18 +34,18 @@
 };
 using Entries = std::map<string, Entry>;
 
-/// Live values of a keyspace, without versions and tombstones.
+/// The values of a keyspace, without versions and tombstones.
 using Values = std::map<string, string>;
 
-/// Takes over every entry of `source` that is newer than the entry of its key in `target`.
+/// Copies into `target` every entry of `source` that is newer than the target's entry of the same key.
 void mergeNewer(Entries& target, Entries const& source);
 
 /// Approximate size of entries in memory and on the wire.
 std::size_t byteSize(string const& key, Entry const& entry);
 std::size_t byteSize(Entries const& entries);
 
-/// Writes of one owner within its epoch, with the sequence numbers after `previous` up to `last`. A full range holds
-/// the whole keyspace and replaces everything written before.
+/// Consecutive writes of one epoch, with the sequence numbers from `previous + 1` to `last`. A full range holds the
+/// whole keyspace and replaces all earlier writes.
 struct WriteRange {
   std::uint64_t previous = 0;
   std::uint64_t last = 0;
--- a/consensus/forward_to_owner.hpp
+++ b/consensus/forward_to_owner.hpp
@@ -1,33 +1,33 @@
 #pragma once
 #include "consensus/consensus_driver.hpp"
 
-/// Hands a call on to the node that owns a keyspace.
+/// Forwards a call to the node that owns a keyspace.
 namespace tealshelf {
 
-/// How long and how far a call is handed on.
+/// Time limits and hop limit of forwarding.
 struct ForwardLimits {
-  Ms search;        ///< for which an owner is looked for
-  Ms answer;        ///< for which the answer of another node is awaited
-  Ms total;         ///< for both
-  int maxHops = 2;  ///< so that nodes that take each other for the owner don't hand a call round for ever
+  Ms search;        ///< for finding an owner
+  Ms answer;        ///< for the reply of another node
+  Ms total;         ///< for both together
+  int maxHops = 2;  ///< prevents endless forwarding between nodes that consider each other the owner
 };
 
-/// The answer of the owner, or nothing once this node owns the keyspace. Throws ErrorCode::noOwner if no owner is found
-/// within the limits. `driver` tells who owns what, `rpc` carries the call on. The message counts its hops; one with a
-/// `budgetMs` is told how much time is left for it.
+/// Returns the owner's reply, or nothing if this node owns the keyspace or becomes its owner while searching. Throws
+/// ErrorCode::noOwner if no owner is found within the limits. `driver` knows the owners, `rpc` sends the call.
+/// `message.hops` is incremented, and `message.budgetMs`, if it exists, is set to the remaining time.
 template <class Owners, class Calls, class Message>
 Task<std::optional<typename Message::Reply>> forwardToOwner(Owners& driver, Calls& rpc, string ownIp, string keyspace,
                                                             Message message, ForwardLimits limits) {
-  TimePoint const begin = Clock::now();
-  TimePoint const end = begin + limits.total;
-  TimePoint const searchEnd = std::min(begin + limits.search, end);
+  TimePoint const start = Clock::now();
+  TimePoint const end = start + limits.total;
+  TimePoint const searchEnd = std::min(start + limits.search, end);
   while (!driver.consensus().owns(keyspace)) {
     std::optional<Address> const owner = driver.ownerAddress(keyspace);
     if (owner && owner->ip != ownIp && message.hops < limits.maxHops) {
       ++message.hops;
-      Ms const left(remainingMs(end));
-      if constexpr (requires { message.budgetMs; }) message.budgetMs = left.count();
-      co_return co_await rpc.call(*owner, message, std::min(limits.answer, left));
+      Ms const remaining(remainingMs(end));
+      if constexpr (requires { message.budgetMs; }) message.budgetMs = remaining.count();
+      co_return co_await rpc.call(*owner, message, std::min(limits.answer, remaining));
     }
     if (Clock::now() > searchEnd) throw Error(ErrorCode::noOwner);
     co_await sleepFor(driver.heartbeatPeriod() / 5);
--- a/consensus/heartbeat.hpp
+++ b/consensus/heartbeat.hpp
@@ -2,26 +2,26 @@
 #include "consensus/entries.hpp"
 #include "consensus/membership.hpp"
 
-/// What control nodes tell each other periodically.
+/// The periodic messages between control nodes.
 namespace tealshelf {
 
 /// A reading of the steady clock of one process; opaque to every other process.
 struct ProcessTime {
-  /// Identifies the process, so that no reading outlives it.
+  /// Identifies the process; readings of an earlier process are ignored.
   std::uint64_t process = 0;
   std::int64_t ticks = 0;
   bool operator==(ProcessTime const&) const = default;
   MSGPACK_DEFINE(process, ticks)
 };
 
-/// The latest clock reading that the sender of a heartbeat received from a node, on its way back to that node.
+/// The latest clock reading that the sender of a heartbeat received from a node, returned to that node.
 struct Echo {
   NodeId node;
   ProcessTime sentAt;
   MSGPACK_DEFINE(node, sentAt)
 };
 
-/// How far a node has come with a keyspace.
+/// A node's replication progress in a keyspace.
 struct KeyspaceProgress {
   string keyspace;
   Epoch epoch;
@@ -38,10 +38,10 @@
   MembershipNumber membership;
   bool holdsAllKeys = false;
   ProcessTime sentAt;
-  /// One for each node that the sender heard lately.
+  /// One for each node that the sender heard recently.
   vector<Echo> echoes;
   vector<KeyspaceProgress> keyspaces;
-  /// True if the sender heard a node lately.
+  /// True if the sender heard the node recently.
   bool hears(NodeId node) const;
   MSGPACK_DEFINE(sender, membership, holdsAllKeys, sentAt, echoes, keyspaces)
 };
--- a/consensus/heartbeat_targets.hpp
+++ b/consensus/heartbeat_targets.hpp
@@ -3,9 +3,9 @@
 
 namespace tealshelf {
 
-/// The addresses to which a control node sends its heartbeats: all other members, and all seeds, a member's too. Nodes
-/// without a disk forget the membership when they restart and know nothing but their seeds; if those have no disk
-/// either, they learn of the membership only from members that call them.
+/// The addresses to which a control node sends heartbeats: all other members and all seeds. Members send to the seeds
+/// too, because a node without a disk forgets the membership at a restart and knows only its seeds. If those have no
+/// disk either, they can learn the membership only from members that contact them.
 inline std::set<string> heartbeatTargets(Membership const& membership, string const& ownIp,
                                          vector<Address> const& seeds) {
   std::set<string> targets;
--- a/consensus/keyspace_names.hpp
+++ b/consensus/keyspace_names.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Names of the keyspaces of the control state. There is one more for each host that has lots (`lots/HOST`).
+/// Names of the keyspaces of the control state. Each host with lots has another one, `lots/HOST`.
 namespace tealshelf {
 
 inline constexpr char const* configurationKeyspace = "configuration";
--- a/consensus/keyspace_replica.cpp
+++ b/consensus/keyspace_replica.cpp
@@ -7,13 +7,14 @@
 namespace {
 constexpr std::size_t maxRanges = 1024;
 
-/// Two values at one place of a sequence of writes: an epoch was used by two owners, or by two lives of one.
-void checkOneValuePerPosition(Entries const& present, Entries const& arriving) {
-  for (auto const& [key, entry] : arriving) {
-    auto const known = present.find(key);
-    if (known == present.end() || known->second.position() != entry.position()) continue;
+/// Two different values at one position mean that two owners, or two processes of one owner, used the same epoch.
+void checkOneValuePerPosition(Entries const& stored, Entries const& received) {
+  for (auto const& [key, entry] : received) {
+    auto const known = stored.find(key);
+    if (known == stored.end() || known->second.position() != entry.position()) continue;
     bool const same = known->second.value == entry.value && known->second.deleted == entry.deleted;
-    checkInvariant(Invariant::epochHasOneOwner, same, [&key] { return "key " + key + " has two values at one place"; });
+    checkInvariant(Invariant::epochHasOneOwner, same,
+                   [&key] { return "key " + key + " has two values at one position"; });
   }
 }
 }  // namespace
@@ -42,8 +43,8 @@
   if (ranges_.size() > maxRanges) mergeAdjacentRanges();
 }
 
-/// A whole state or joined ranges replace the ranges that they contain. A range that arrives again must not replace
-/// one that contains it.
+/// A full or merged range replaces the ranges that it contains. A range that is received again must not replace one
+/// that contains it.
 void KeyspaceReplica::insertRange(WriteRange range) {
   auto const containing = ranges_.lower_bound(range.last);
   if (containing != ranges_.end() && containing->second.previous <= range.previous) return;
@@ -96,7 +97,9 @@
 
 void KeyspaceReplica::applyCommitted(Position at, bool full, Entries const& entries) {
   checkInvariant(Invariant::committedNeverGoesBack, at >= committedAt_, [&] {
-    return "from epoch " + std::to_string(committedAt_.epoch.number) + " to " + std::to_string(at.epoch.number);
+    return "from epoch " + std::to_string(committedAt_.epoch.number) + " write " +
+           std::to_string(committedAt_.sequence) + " to epoch " + std::to_string(at.epoch.number) + " write " +
+           std::to_string(at.sequence);
   });
   if (full) committedValues_.clear();
   for (auto const& [key, entry] : entries) {
--- a/consensus/keyspace_replica.hpp
+++ b/consensus/keyspace_replica.hpp
@@ -3,35 +3,35 @@
 
 namespace tealshelf {
 
-/// One node's replica of a keyspace: what it has stored, and what of that it knows as committed.
+/// One node's replica of a keyspace: the stored entries, and the values that are known to be committed.
 ///
 /// Stored entries may be uncommitted, and writes may arrive out of order. The committed values therefore advance
-/// separately: write range by write range, without a gap, as far as the owner says that its writes are committed.
+/// separately: one write range after the other, without a gap, up to the position that the owner reports as committed.
 class KeyspaceReplica {
  public:
-  /// Stores writes of an owner. REQUIRES: no higher epoch was voted for.
+  /// Stores writes of an owner. REQUIRES: this node voted for no higher epoch.
   void store(Epoch epoch, WriteRange const& writes);
-  /// Advances the committed values to what is stored without a gap up to a position that an owner named.
+  /// Advances the committed values to a position that an owner reported, or as far as the stored writes have no gap.
   void advanceCommitted(Position committed);
-  /// Owner only: takes a committed write into the committed values at once.
+  /// Applies a committed write to the committed values. Called directly only by the owner.
   void applyCommitted(Position at, bool full, Entries const& entries);
-  /// Replaces everything stored by entries. They are the whole keyspace at a position, or entries of several
-  /// ownerships if the position is Position().
+  /// Replaces the stored entries. The new ones are the whole keyspace at a position, or come from several ownerships
+  /// if the position is Position().
   void reset(Position at, Entries const& entries);
-  /// Joins stored ranges that follow each other, so that their number stays bounded.
+  /// Merges stored ranges that have no gap between them, to bound their number.
   void mergeAdjacentRanges();
 
-  /// True if the entries are exactly what one ownership wrote up to applied().
+  /// True if the entries are exactly those that one ownership wrote up to applied().
   bool isComplete() const;
   Entries const& entries() const { return entries_; }
-  /// The last write that is stored without a gap.
+  /// The last write up to which all writes are stored.
   Position applied() const { return {appliedEpoch_, appliedSequence_}; }
   Values const& committedValues() const { return committedValues_; }
-  /// The write that the committed values stand at; Position() if nothing is known as committed yet.
+  /// The last write included in the committed values; Position() if none is known to be committed.
   Position committedAt() const { return committedAt_; }
 
  private:
-  friend struct ConsensusProbe;  ///< of the tests: compares states by their content
+  friend struct ConsensusProbe;  ///< in the tests: compares states by their content
 
   void insertRange(WriteRange range);
   void advanceApplied();
@@ -41,9 +41,9 @@
   std::uint64_t appliedSequence_ = 0;
   Values committedValues_;
   Position committedAt_;
-  Position announcedCommitted_;                 ///< how far the newest owner heard of has committed
-  Epoch storedEpoch_;                           ///< of the ranges
-  std::map<std::uint64_t, WriteRange> ranges_;  ///< stored and not yet in the committed values, by their last write
+  Position announcedCommitted_;                 ///< the highest committed position that an owner reported
+  Epoch storedEpoch_;                           ///< the epoch of all ranges
+  std::map<std::uint64_t, WriteRange> ranges_;  ///< stored, not yet in the committed values; by last write
 };
 
 }  // namespace tealshelf
--- a/consensus/keyspace_state.hpp
+++ b/consensus/keyspace_state.hpp
@@ -1,21 +1,21 @@
 #pragma once
 #include "consensus/keyspace_replica.hpp"
 
-/// What Consensus keeps of one keyspace; used by Consensus only.
+/// The state that Consensus keeps for each keyspace; used by Consensus only.
 namespace tealshelf {
 
-/// Number of a proposal or of a confirmation within one process; 0 for writes that nobody waits for.
+/// Number of a proposal or of an ownership confirmation within one process; 0 for writes without a caller.
 using OperationId = std::uint64_t;
 
-/// How far a node has come on its way to own a keyspace.
+/// Progress of a node towards the ownership of a keyspace.
 enum class OwnershipPhase {
   notOwner,
-  collectingVotes,  ///< a majority must vote for its epoch
-  rewriting,        ///< a majority must store all entries under its epoch
+  collectingVotes,  ///< waits for a majority to vote for its epoch
+  rewriting,        ///< waits for a majority to store all entries under its epoch
   owner
 };
 
-/// A write that the owner sent to the members and still keeps.
+/// A write that the owner has sent to the members and may have to send again.
 struct PendingWrite {
   OperationId operation = 0;
   std::uint64_t first = 0, last = 0;
@@ -26,7 +26,7 @@
   bool committed = false;
 };
 
-/// A round of ownership checks on which reads wait.
+/// A read that waits for a majority to answer its round of ownership checks.
 struct PendingRead {
   std::uint64_t round = 0;
   OperationId operation = 0;
@@ -34,7 +34,7 @@
   TimePoint startedAt, sentAt;
 };
 
-/// Committed state on its way to a member that lags, one chunk at a time: the whole keyspace, or what follows a
+/// Transfer of committed state to a lagging member, one chunk at a time: the whole keyspace, or the changes after a
 /// position.
 struct OutgoingTransfer {
   std::uint64_t id = 0;
@@ -42,13 +42,13 @@
   bool full = false;
   Entries entries;
   std::uint64_t chunk = 0;
-  string firstKey;      ///< of the chunk that was sent
-  string nextFirstKey;  ///< of the chunk after it
+  string firstKey;      ///< of the last chunk sent
+  string nextFirstKey;  ///< of the chunk after that one
   bool sentLast = false;
   TimePoint sentAt;
 };
 
-/// The chunks of a transfer that arrived so far; in memory only, so that a restart begins anew.
+/// The chunks of a transfer received so far; in memory only, so a restart loses them.
 struct IncomingTransfer {
   std::uint64_t id = 0;
   std::uint64_t nextChunk = 0;
@@ -56,10 +56,10 @@
   Entries entries;
 };
 
-/// A member that hasn't reached what was committed when it was last looked at.
+/// Tracks whether a member keeps up with the committed writes.
 struct MemberLag {
-  TimePoint since;
-  std::uint64_t target = 0;
+  TimePoint since;           ///< when the target was set
+  std::uint64_t target = 0;  ///< sequence number that was committed then
 };
 
 struct KeyspaceState {
@@ -68,17 +68,17 @@
   Epoch highestSeenEpoch;  ///< in any message or heartbeat
 
   OwnershipPhase phase = OwnershipPhase::notOwner;
-  Epoch epoch;  ///< of this node's own, present or last, ownership
+  Epoch epoch;  ///< of this node's current or last ownership, or of its takeover
   TimePoint takeoverStartedAt, voteRequestsSentAt;
-  TimePoint noTakeoverBefore;  ///< no takeover begins here before, as another node's is under way
+  TimePoint noTakeoverBefore;  ///< leaves another node's takeover the time to complete
   std::set<NodeId> votes;
-  Entries votedEntries;  ///< the newest entry of each key that the voters brought
+  Entries votedEntries;  ///< the newest entry of each key among the votes
 
   std::uint64_t nextSequence = 1;
   std::uint64_t committedSequence = 0;
   std::deque<PendingWrite> writes;
   std::deque<PendingRead> reads;
-  std::deque<PendingWrite> recentWrites;  ///< committed writes that all live members have, for those who come back
+  std::deque<PendingWrite> recentWrites;  ///< committed writes kept for the catch-up of returning members
   std::size_t recentBytes = 0;
   std::map<NodeId, MemberLag> lags;
   std::map<NodeId, OutgoingTransfer> transfers;
--- a/consensus/log_records.cpp
+++ b/consensus/log_records.cpp
@@ -12,7 +12,7 @@
   try {
     return msgpack::unpack(bytes.data(), bytes.size()).get().as<LogRecord>();
   } catch (std::exception const&) {
-    throw Error(ErrorCode::badMessage, "consensus record");
+    throw Error(ErrorCode::badMessage, "a record of the control log can't be decoded");
   }
 }
 
@@ -43,11 +43,11 @@
   return record;
 }
 
-LogRecord LogRecord::wholeKeyspace(string const& keyspace, Epoch voted, Entries const& entries, Position applied) {
+LogRecord LogRecord::wholeKeyspace(string const& keyspace, Epoch votedEpoch, Entries const& entries, Position applied) {
   LogRecord record;
   record.kind = RecordKind::keyspace;
   record.keyspace = keyspace;
-  record.epoch = voted;
+  record.epoch = votedEpoch;
   record.entries = entries;
   record.appliedEpoch = applied.epoch;
   record.last = applied.sequence;
--- a/consensus/membership_manager.cpp
+++ b/consensus/membership_manager.cpp
@@ -5,13 +5,13 @@
 namespace tealshelf {
 
 namespace {
-/// A request to join is handed on so often at the most.
+/// How often a change request is forwarded at most.
 constexpr int maxChangeRequestHops = 2;
-/// Pauses of the join loop, as parts of inTouch: right after a promotion, since the membership comes at once and this
-/// node has no vote until it copied what is missing; as a voting member; otherwise.
+/// The join loop pauses for bounds.inTouch divided by one of these: after a promotion, which is followed by the new
+/// membership and a copy that this node needs to vote; as a voting member; otherwise.
 constexpr int promotedPauseDivisor = 300, voterPauseDivisor = 10, otherPauseDivisor = 30;
 
-/// Adds to a copy the keyspaces that the asker held already.
+/// Fills in the entries of unchanged keyspaces, which the reply left out, from the copy held before.
 DiskCopy fillUnchanged(DiskCopy copy, DiskCopy const& held) {
   for (KeyspaceCopy& keyspace : copy) {
     if (!keyspace.unchanged) continue;
@@ -54,8 +54,8 @@
     bool const promoted = co_await joinStep();
     warnIfTooSmall();
     bool const voter = consensus_.isMember() && consensus_.holdsAllKeys();
-    int const part = promoted ? promotedPauseDivisor : voter ? voterPauseDivisor : otherPauseDivisor;
-    co_await sleepFor(settings_.bounds.inTouch / part);
+    int const divisor = promoted ? promotedPauseDivisor : voter ? voterPauseDivisor : otherPauseDivisor;
+    co_await sleepFor(settings_.bounds.inTouch / divisor);
   }
 }
 
@@ -79,12 +79,12 @@
 
 Task<void> MembershipManager::discoverOrBootstrap() {
   Ms const limit = settings_.bounds.inTouch / 6;
-  Membership founded;
-  founded.number = MembershipNumber(1);
+  Membership first;
+  first.number = MembershipNumber(1);
   bool isSeed = false;
   for (Address const& seed : settings_.seeds) {
     if (seed.ip == settings_.ip) {
-      founded.members.push_back(consensus_.self());
+      first.members.push_back(consensus_.self());
       isSeed = true;
       continue;
     }
@@ -93,7 +93,8 @@
       Hello const request{consensus_.self()};
       answer = co_await rpc_.call(settings_.controlAddress(seed.ip), request, limit);
     } catch (Error const& error) {
-      logDebug("membership", seed.text() + ": " + error.what());
+      logDebug("membership",
+               "asking seed " + seed.text() + " for the membership failed: " + error.what() + "; retrying");
       co_return;
     }
     if (answer.membership.exists()) {
@@ -101,18 +102,18 @@
       co_return;
     }
     if (!answer.mayBootstrap) co_return;
-    founded.members.push_back(answer.self);
+    first.members.push_back(answer.self);
   }
   if (!isSeed || !settings_.firstBoot) co_return;
-  std::sort(founded.members.begin(), founded.members.end(),
+  std::sort(first.members.begin(), first.members.end(),
             [](Member const& left, Member const& right) { return left.ip < right.ip; });
-  for (Member& member : founded.members) member.founder = true;
-  founded.formerMembers = founded.members;
-  consensus_.installMembership(founded, true);
-  logInfo("membership", "founded with " + std::to_string(founded.members.size()) + " members");
+  for (Member& member : first.members) member.founder = true;
+  first.formerMembers = first.members;
+  consensus_.installMembership(first, true);
+  logInfo("membership", "the first membership was created with " + std::to_string(first.members.size()) + " members");
 }
 
-/// A process without a disk is a member only where no member has one; else it forwards and keeps soft state.
+/// A node without a disk joins only if no member has a disk. Otherwise it only forwards calls and keeps soft state.
 bool MembershipManager::mayJoin() const {
   if (!settings_.dataFolder.empty()) return true;
   vector<Member> const& members = consensus_.membership().members;
@@ -135,7 +136,7 @@
       Acknowledgement const answer = co_await rpc_.call(to, request, settings_.bounds.inTouch / 2);
       if (answer.ok) co_return true;
     } catch (Error const&) {
-      // The next one is asked.
+      // The next address is tried.
     }
   }
   co_return false;
@@ -153,7 +154,7 @@
   try {
     co_await rpc_.call(*owner, request, settings_.bounds.inTouch / 2);
   } catch (Error const&) {
-    // It is asked again at the next turn.
+    // The join loop retries.
   }
 }
 
@@ -162,9 +163,11 @@
   if (sizeChecked_ || !due) return;
   sizeChecked_ = true;
   if (driver_.survivesRequiredLosses()) return;
-  logWarning("membership", "the membership of " + std::to_string(consensus_.membership().members.size()) +
-                               " is too small to survive the loss of " + std::to_string(settings_.surviveMachines) +
-                               " machines");
+  logWarning("membership", "the " + std::to_string(consensus_.membership().members.size()) +
+                               " members can't survive the loss of " + std::to_string(settings_.surviveMachines) +
+                               " machines; " +
+                               std::to_string(MembershipPolicy::membersToSurvive(settings_.surviveMachines)) +
+                               " members with disks are needed");
 }
 
 Task<CopyReply> MembershipManager::answerCopy(CopyRequest const& request) {
@@ -178,8 +181,8 @@
     copy.unchanged = digest != request.digests.end() && digest->second == copy.digest();
     if (copy.unchanged) copy.entries.clear();
   }
-  // The membership must be durable here before the copy counts, as this disk acknowledges nothing under an older one
-  // from then on.
+  // The membership must be durable before the copy is sent: from then on this node must not acknowledge anything under
+  // an older one.
   co_await driver_.waitSynced();
   co_return answer;
 }
@@ -193,9 +196,9 @@
   asio::co_spawn(io_, rpc_.call(settings_.controlAddress(source.ip), request, settings_.bounds.inTouch / 2),
                  [copies, needed, source](std::exception_ptr failure, CopyReply answer) {
                    --copies->outstanding;
-                   bool const sameDisk =
+                   bool const sameMember =
                        answer.source.id == source.id && answer.source.incarnation == source.incarnation;
-                   if (!failure && sameDisk) copies->received[source.id] = std::move(answer.keyspaces);
+                   if (!failure && sameMember) copies->received[source.id] = std::move(answer.keyspaces);
                    if (!copies->outstanding || copies->received.size() >= needed) copies->timer.cancel();
                  });
 }
@@ -210,7 +213,7 @@
     if (source.ip != settings_.ip) requestCopy(source, membership.number, copies, needed);
   error_code ignored;
   if (copies->outstanding) co_await copies->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-  // Later answers must not change what is installed.
+  // Taken as a snapshot: replies that arrive later must not change what is installed.
   std::map<NodeId, DiskCopy> const received = copies->received;
   bool const unchanged = consensus_.membership().number == membership.number && consensus_.isMember() == member;
   if (received.size() < needed || !unchanged) co_return;
@@ -229,7 +232,7 @@
   for (auto& [source, copy] : copies) disks.push_back(std::move(copy));
   consensus_.installCopies(disks);
   learnerCopies_.clear();
-  logInfo("membership", "all keys are copied from " + std::to_string(disks.size()) + " nodes");
+  logInfo("membership", "all keys were copied from " + std::to_string(disks.size()) + " nodes; this node votes now");
 }
 
 Task<bool> MembershipManager::handleChangeRequest(MembershipChangeRequest request) {
@@ -248,7 +251,7 @@
   try {
     changed = co_await changeMembership(request);
   } catch (Error const&) {
-    // Not changed; whoever asked asks again.
+    // The membership stays as it is; the requester retries.
   }
   changing_ = false;
   publish();
@@ -265,7 +268,7 @@
   OperationResult const result = co_await driver_.propose(membersKeyspace, std::move(changes));
   if (result != OperationResult::committed || consensus_.membership().number != previous) co_return false;
   consensus_.installMembership(*next, false);
-  logInfo("membership", "number " + std::to_string(next->number.value) + " has " +
+  logInfo("membership", "membership " + std::to_string(next->number.value) + " has " +
                             std::to_string(next->members.size()) + " members; " + request.who.name +
                             (request.leaves ? " left" : " joined"));
   co_return true;
@@ -290,12 +293,12 @@
   if (consensus_.membership().members.size() <= minMembers() || changing_) co_return;
   vector<Member> const members = consensus_.membership().members;
   for (Member const& member : members) {
-    bool const tight = MembershipPolicy::lacksFaultTolerance(consensus_, member.id, settings_.surviveMachines, now);
-    Ms const limit = tight ? MembershipPolicy::deadAfterFor(settings_.bounds) : Ms(2 * settings_.bounds.catchUp);
+    bool const urgent = MembershipPolicy::lacksFaultTolerance(consensus_, member.id, settings_.surviveMachines, now);
+    Ms const limit = urgent ? MembershipPolicy::deadAfterFor(settings_.bounds) : Ms(2 * settings_.bounds.catchUp);
     if (consensus_.silentFor(member.id, now) <= limit) continue;
     MembershipChangeRequest request;
     request.who = member;
-    request.hops = maxChangeRequestHops;  // not handed on if this node has lost the keyspace meanwhile
+    request.hops = maxChangeRequestHops;  // prevents forwarding if this node has lost the keyspace meanwhile
     request.leaves = true;
     co_await handleChangeRequest(request);
     co_return;
--- a/consensus/membership_policy.cpp
+++ b/consensus/membership_policy.cpp
@@ -5,17 +5,17 @@
 namespace tealshelf {
 
 namespace {
-bool isNewcomer(Membership const& membership, Member const& member) {
+bool isNewMember(Membership const& membership, Member const& member) {
   return std::none_of(
       membership.formerMembers.begin(), membership.formerMembers.end(),
       [&member](Member const& former) { return former.id == member.id && former.incarnation == member.incarnation; });
 }
 
-/// The last change is open while its newcomer is alive and has no vote yet.
+/// A change is in progress while its new member is alive but has no vote yet.
 bool lastChangeIsInProgress(Consensus const& consensus, TimePoint now) {
   Membership const& membership = consensus.membership();
   return std::any_of(membership.members.begin(), membership.members.end(), [&](Member const& member) {
-    return isNewcomer(membership, member) && consensus.isAlive(member.id, now) && !consensus.isReady(member.id, now);
+    return isNewMember(membership, member) && consensus.isAlive(member.id, now) && !consensus.isReady(member.id, now);
   });
 }
 
@@ -24,10 +24,10 @@
                      [](Member const& member) { return member.hasDisk; });
 }
 
-/// What becomes of the members when a learner is promoted.
+/// How the members change when a learner is promoted.
 struct Promotion {
   enum class Kind { replace, add, wait } kind = Kind::wait;
-  NodeId replaced;  ///< whose place it takes, with replace
+  NodeId replaced;  ///< the member that the learner replaces; only with `replace`
 };
 
 Promotion promotionFor(Consensus const& consensus, Member const& learner, Ms deadAfter, TimePoint now) {
@@ -51,13 +51,13 @@
   return {anySilent ? Promotion::Kind::wait : Promotion::Kind::add, NodeId()};
 }
 
-/// True if those who stay and vote are a majority of the next membership.
+/// True if the voting members that remain are a majority of the next membership.
 bool remainingVotersAreQuorum(Consensus const& consensus, Membership const& next, TimePoint now) {
   std::size_t voters = 0;
   for (Member const& member : next.members) {
-    Member const* const present = consensus.membership().find(member.id);
-    bool const stays = present && present->incarnation == member.incarnation;
-    if (stays && consensus.isReady(member.id, now)) ++voters;
+    Member const* const current = consensus.membership().find(member.id);
+    bool const remains = current && current->incarnation == member.incarnation;
+    if (remains && consensus.isReady(member.id, now)) ++voters;
   }
   return voters >= next.quorum();
 }
@@ -71,8 +71,8 @@
 
 bool promote(Membership& next, MembershipPolicy const& policy, Consensus const& consensus,
              MembershipChange const& change, TimePoint now) {
-  Membership const& present = consensus.membership();
-  if (change.copiedUnder != present.number || (!change.who.hasDisk && anyHasDisk(present))) return false;
+  Membership const& current = consensus.membership();
+  if (change.copiedUnder != current.number || (!change.who.hasDisk && anyHasDisk(current))) return false;
   Promotion const promotion = promotionFor(consensus, change.who, policy.deadAfter, now);
   if (promotion.kind == Promotion::Kind::wait || promotion.replaced == consensus.self().id) return false;
   if (promotion.kind == Promotion::Kind::add) {
@@ -108,15 +108,15 @@
 
 std::optional<Membership> MembershipPolicy::next(Consensus const& consensus, MembershipChange const& change,
                                                  TimePoint now) const {
-  Membership const& present = consensus.membership();
-  if (!present.exists() || !consensus.owns(membersKeyspace)) return std::nullopt;
-  // One that is committed and not installed yet comes first: two memberships must not share a number.
-  if (committedMembership(consensus).number > present.number) return std::nullopt;
+  Membership const& current = consensus.membership();
+  if (!current.exists() || !consensus.owns(membersKeyspace)) return std::nullopt;
+  // A membership that is committed but not installed yet comes first: two memberships must not have the same number.
+  if (committedMembership(consensus).number > current.number) return std::nullopt;
   if (lastChangeIsInProgress(consensus, now)) return std::nullopt;
   Membership next;
-  next.number = MembershipNumber(present.number.value + 1);
-  next.members = present.members;
-  next.formerMembers = present.members;
+  next.number = MembershipNumber(current.number.value + 1);
+  next.members = current.members;
+  next.formerMembers = current.members;
   bool const changed =
       change.leaves ? remove(next, *this, consensus, change.who, now) : promote(next, *this, consensus, change, now);
   if (!changed || !remainingVotersAreQuorum(consensus, next, now)) return std::nullopt;
--- a/consensus/messages.cpp
+++ b/consensus/messages.cpp
@@ -3,7 +3,7 @@
 namespace tealshelf {
 
 namespace {
-/// A message as it is read from the wire; the fields stand in the order of Message::msgpack_pack.
+/// A message as decoded from the wire; the fields are in the order of Message::msgpack_pack.
 struct ReceivedMessage {
   int kind = 0;
   MembershipNumber membership;
@@ -22,7 +22,7 @@
 };
 
 static_assert(std::is_same_v<std::variant_alternative_t<7, MessageBody>, TransferChunkReply>,
-              "the order of the alternatives is fixed by the wire");
+              "the order of the alternatives is fixed by the wire format");
 
 MessageBody bodyOf(ReceivedMessage& m) {
   switch (m.kind) {
--- a/consensus/messages.hpp
+++ b/consensus/messages.hpp
@@ -2,34 +2,34 @@
 #include "consensus/entries.hpp"
 #include "consensus/membership.hpp"
 
-/// Messages between the state machines of control nodes, one struct a kind.
+/// Messages between the consensus state machines of control nodes, one struct for each kind.
 namespace tealshelf {
 
 /// Asks for a vote for the ownership of a keyspace under the message's epoch.
 struct VoteRequest {};
 
-/// Answer to a VoteRequest; a granted vote brings all entries that the voter holds.
+/// Reply to a VoteRequest; a granted vote carries all entries that the voter holds.
 struct VoteReply {
   bool granted = false;
   Epoch votedEpoch;
   Entries entries;
 };
 
-/// Writes of the owner that the receiver shall store.
+/// Asks the receiver to store writes of the owner.
 struct AppendRequest {
   WriteRange writes;
-  std::uint64_t committed = 0;  ///< how far the owner's writes are committed
+  std::uint64_t committed = 0;  ///< sequence number up to which the owner has committed
 };
 
-/// Answer to an AppendRequest, sent once the writes are synced.
+/// Reply to an AppendRequest, sent after the writes are synced.
 struct AppendReply {
   bool accepted = false;
   Epoch votedEpoch;
   std::uint64_t last = 0;
 };
 
-/// Asks whether the sender still owns the keyspace, as far as the receiver knows; a majority of confirmations makes
-/// a read linearizable (Raft thesis, 6.4, read index).
+/// Asks whether the receiver still considers the sender the owner of the keyspace. Confirmations by a majority make a
+/// read linearizable (Raft thesis, 6.4, read index).
 struct OwnershipCheck {
   std::uint64_t round = 0;
 };
@@ -40,7 +40,7 @@
   std::uint64_t round = 0;
 };
 
-/// One piece of committed state for a member that lags. All pieces of a transfer together are one write range.
+/// A chunk of committed state for a lagging member. All chunks of a transfer together are one write range.
 struct TransferChunk {
   std::uint64_t transfer = 0;
   std::uint64_t index = 0;
@@ -57,22 +57,22 @@
   std::uint64_t last = 0;
 };
 
-/// A message of a kind that this release doesn't know; it is ignored.
+/// A message of a kind that this release doesn't know; ignored.
 struct UnknownMessage {};
 
-/// The index of an alternative is its number on the wire.
+/// The index of an alternative is its kind on the wire.
 using MessageBody = std::variant<VoteRequest, VoteReply, AppendRequest, AppendReply, OwnershipCheck,
                                  OwnershipCheckReply, TransferChunk, TransferChunkReply, UnknownMessage>;
 
 /// The epoch that the sender voted for; Epoch() in messages that don't carry it.
 Epoch votedEpochOf(MessageBody const& body);
 
-/// A message about one keyspace from one member to another. Receivers ignore messages of another membership.
+/// A message about one keyspace from one member to another. Receivers ignore messages sent under another membership.
 struct Message {
   MembershipNumber membership;
   NodeId from, to;
   string keyspace;
-  Epoch epoch;  ///< of the ownership that the message is about
+  Epoch epoch;  ///< of the ownership or takeover that the message belongs to
   MessageBody body;
 
   template <class Packer>
@@ -80,14 +80,14 @@
   void msgpack_unpack(msgpack::object const& object);
 };
 
-/// The flat form in which all kinds of messages go over the wire: one field for each thing that any kind carries.
-/// Older and newer releases read it, so fields are only ever added at the end.
+/// The common wire format of all kinds of messages, with the fields of every kind. Older and newer releases read it,
+/// so new fields may only be added at the end.
 struct FlatMessage {
   int kind = 0;
   Epoch votedEpoch;
   std::uint64_t round = 0, previous = 0, last = 0;
   bool ok = false, full = false;
-  Entries const* entries = nullptr;  ///< null stands for no entries
+  Entries const* entries = nullptr;  ///< null means no entries
   std::uint64_t committed = 0, transfer = 0;
   bool isLast = false;
 };
--- a/consensus/ownership.cpp
+++ b/consensus/ownership.cpp
@@ -1,4 +1,4 @@
-// How a node becomes the owner of a keyspace, and how it stops being one.
+// Takeover of a keyspace by votes of a majority, and the end of an ownership.
 #include "base/invariant.hpp"
 #include "consensus/consensus.hpp"
 
@@ -10,19 +10,22 @@
          std::to_string(position.sequence);
 }
 
-/// The newest entry that a majority of the voters brought can't be older than what this node knows as committed.
+/// The newest entry among the votes of a majority can't be older than the position this node knows to be committed.
 void checkVotesIncludeCommitted(string const& name, KeyspaceState const& keyspace) {
   if (keyspace.replica.committedValues().empty()) return;
   Position newest;
   for (auto const& [key, entry] : keyspace.votedEntries) newest = std::max(newest, entry.position());
   Position const committed = keyspace.replica.committedAt();
-  checkInvariant(Invariant::takeoverHoldsCommitted, newest >= committed,
-                 [&] { return name + ": the votes end at " + textOf(newest) + ", committed is " + textOf(committed); });
+  checkInvariant(Invariant::takeoverHoldsCommitted, newest >= committed, [&] {
+    return name + ": the newest entry of the votes is at epoch " + textOf(newest) + ", but epoch " + textOf(committed) +
+           " is committed";
+  });
 }
 
-/// After so many resends a takeover is given up if another node should own the keyspace, or has a higher epoch.
+/// Resend timeouts after which a takeover is abandoned if another node should own the keyspace or has a higher epoch.
 constexpr int maxTakeoverResends = 20;
-/// A takeover under way elsewhere is left alone for one to two resends, as it takes a few round trips and syncs.
+/// Resend timeouts for which another node's takeover is left undisturbed, as it takes a few round trips and syncs. The
+/// delay is extended by a part that depends on the node, in steps, to at most twice this time.
 constexpr int takeoverDelayResends = 1;
 constexpr std::uint64_t takeoverDelaySteps = 16;
 }  // namespace
@@ -36,8 +39,8 @@
     return;
   }
   bool const overdue = now - keyspace.takeoverStartedAt > maxTakeoverResends * timeouts_.resend;
-  bool const overtaken = !shouldOwn || keyspace.highestSeenEpoch > keyspace.epoch;
-  if (overdue && overtaken)
+  bool const superseded = !shouldOwn || keyspace.highestSeenEpoch > keyspace.epoch;
+  if (overdue && superseded)
     stepDown(keyspace);
   else if (keyspace.phase == OwnershipPhase::collectingVotes && now - keyspace.voteRequestsSentAt > timeouts_.resend)
     sendVoteRequests(name, keyspace, now);
@@ -64,7 +67,7 @@
 void Consensus::handle(Message const& message, VoteRequest const&, KeyspaceState& keyspace, TimePoint now) {
   VoteReply answer;
   bool const repeated = message.epoch == keyspace.votedEpoch;
-  // An equal number of another owner is refused: a vote is for one owner of each number.
+  // The same number with another owner is refused: this node votes for only one owner of each number.
   if (repeated || message.epoch.number > keyspace.votedEpoch.number) {
     if (message.epoch > keyspace.votedEpoch) {
       keyspace.votedEpoch = message.epoch;
@@ -85,15 +88,15 @@
   if (!answer.granted) return onRefusal(answer.votedEpoch, keyspace, now);
   keyspace.votes.insert(message.from);
   mergeNewer(keyspace.votedEntries, answer.entries);
-  // This node's own vote is among them: once it is synced, no later life of this node can take the same epoch again.
-  // Without it the epoch could be used by two lives, whose writes nobody could tell apart.
+  // The votes must include this node's own. Once that is synced, the node can't choose the same epoch again after a
+  // restart; otherwise two of its processes could use one epoch, and their writes would be indistinguishable.
   bool const ownVoteIsSynced = keyspace.votes.contains(self_.id);
   if (!ownVoteIsSynced || keyspace.votes.size() < membership_.quorum()) return;
   rewriteUnderOwnEpoch(message.keyspace, keyspace, now);
 }
 
-/// Writes the newest entry of each key again, under the new epoch. Once a majority has stored that, this node owns
-/// the keyspace.
+/// Rewrites the newest entry of each key under the new epoch. Once a majority has stored this, the node owns the
+/// keyspace.
 void Consensus::rewriteUnderOwnEpoch(string const& name, KeyspaceState& keyspace, TimePoint now) {
   checkVotesIncludeCommitted(name, keyspace);
   keyspace.phase = OwnershipPhase::rewriting;
@@ -104,7 +107,7 @@
   write.first = 1;
   for (auto& [key, entry] : keyspace.votedEntries)
     write.entries[key] = Entry{keyspace.epoch, keyspace.nextSequence++, std::move(entry.value), entry.deleted};
-  // An empty keyspace takes one number too, so that its takeover has a position.
+  // The rewrite of an empty keyspace uses a sequence number too, so that it has a position.
   if (keyspace.nextSequence == 1) keyspace.nextSequence = 2;
   write.last = keyspace.nextSequence - 1;
   keyspace.votedEntries.clear();
@@ -140,21 +143,21 @@
   return true;
 }
 
-/// A member refused something, as it voted for another epoch.
+/// Handles the refusal of a request by a member that voted for another epoch.
 void Consensus::onRefusal(Epoch votedEpoch, KeyspaceState& keyspace, TimePoint now) {
-  // A vote under the same number but for another owner refuses just as a higher one does.
-  bool const overtaken = votedEpoch != keyspace.epoch && votedEpoch.number >= keyspace.epoch.number;
-  if (!overtaken || keyspace.phase == OwnershipPhase::notOwner) return;
+  // A vote for another owner with the same number supersedes this epoch as a higher one does.
+  bool const superseded = votedEpoch != keyspace.epoch && votedEpoch.number >= keyspace.epoch.number;
+  if (!superseded || keyspace.phase == OwnershipPhase::notOwner) return;
   stepDown(keyspace);
   deferTakeover(keyspace, votedEpoch, now);
 }
 
-/// Nodes that start together each take themselves for the preferred owner until they know all others. Without a pause
-/// that differs from node to node they would overtake each other again and again.
-void Consensus::deferTakeover(KeyspaceState& keyspace, Epoch other, TimePoint now) const {
-  std::uint64_t const step = hash64(hex(self_.id.value), other.number) % takeoverDelaySteps;
-  Ms const pause = takeoverDelayResends * timeouts_.resend;
-  keyspace.noTakeoverBefore = now + pause + pause * static_cast<int>(step) / static_cast<int>(takeoverDelaySteps);
+/// Nodes that start at the same time each consider themselves the preferred owner until they know all others. Without a
+/// delay that differs from node to node they would supersede each other's takeovers repeatedly.
+void Consensus::deferTakeover(KeyspaceState& keyspace, Epoch otherEpoch, TimePoint now) const {
+  std::uint64_t const step = hash64(hex(self_.id.value), otherEpoch.number) % takeoverDelaySteps;
+  Ms const delay = takeoverDelayResends * timeouts_.resend;
+  keyspace.noTakeoverBefore = now + delay + delay * static_cast<int>(step) / static_cast<int>(takeoverDelaySteps);
 }
 
 }  // namespace tealshelf
--- a/consensus/replication.cpp
+++ b/consensus/replication.cpp
@@ -1,20 +1,20 @@
-// Writes and reads of the owner of a keyspace, and how members store them.
+// Writes and linearizable reads by the owner of a keyspace, and how the members store its writes.
 #include "base/invariant.hpp"
 #include "consensus/consensus.hpp"
 
 namespace tealshelf {
 
 namespace {
-/// Committed writes that are kept for members that haven't stored them yet; one that lags more gets a transfer.
+/// Writes that the owner keeps for members that haven't acknowledged them; a member further behind gets a transfer.
 constexpr std::size_t maxKeptWrites = 64;
 }  // namespace
 
 OperationId Consensus::propose(string const& name, vector<KeyChange> changes, TimePoint now,
-                               std::optional<Epoch> under) {
+                               std::optional<Epoch> expectedEpoch) {
   KeyspaceState& keyspace = keyspaces_[name];
   OperationId const operation = ++lastOperation_;
-  bool const overtaken = under && *under != keyspace.epoch;
-  if (keyspace.phase != OwnershipPhase::owner || !mayVote() || overtaken) {
+  bool const epochChanged = expectedEpoch && *expectedEpoch != keyspace.epoch;
+  if (keyspace.phase != OwnershipPhase::owner || !mayVote() || epochChanged) {
     finish(operation, OperationResult::notOwner);
     return operation;
   }
@@ -72,12 +72,12 @@
     if (now - read.sentAt > timeouts_.resend) sendOwnershipCheck(name, keyspace, read, now);
 }
 
-/// Ends what has waited too long for a majority, also where the answers come after all. A write that ends so costs
-/// the ownership.
+/// Ends the operations that have waited too long for a majority. The owner steps down if one of them is a write: it
+/// can't tell whether that write will take effect.
 void Consensus::expireOperations(KeyspaceState& keyspace, TimePoint now) {
   for (PendingWrite const& write : keyspace.writes) {
-    bool const open = !write.committed && keyspace.phase == OwnershipPhase::owner;
-    if (open && now - write.startedAt > timeouts_.operation) return stepDown(keyspace);
+    bool const pending = !write.committed && keyspace.phase == OwnershipPhase::owner;
+    if (pending && now - write.startedAt > timeouts_.operation) return stepDown(keyspace);
   }
   while (!keyspace.reads.empty() && now - keyspace.reads.front().startedAt > timeouts_.operation) {
     finish(keyspace.reads.front().operation, OperationResult::unknown);
@@ -85,7 +85,7 @@
   }
 }
 
-/// Keeps a committed write until all live members have it, but only so many of them.
+/// Moves a committed write to the recent writes once all live members have stored it, or once maxKeptWrites are kept.
 void Consensus::retireCommittedWrites(KeyspaceState& keyspace, TimePoint now) {
   while (!keyspace.writes.empty() && keyspace.writes.front().committed) {
     PendingWrite& write = keyspace.writes.front();
@@ -93,21 +93,25 @@
         membership_.members.begin(), membership_.members.end(),
         [&](Member const& member) { return write.acknowledgedBy.contains(member.id) || !isAlive(member.id, now); });
     if (!storedByAll && keyspace.writes.size() < maxKeptWrites) return;
-    remember(keyspace, std::move(write));
+    keepRecentWrite(keyspace, std::move(write));
     keyspace.writes.pop_front();
   }
 }
 
-/// Stores what the owner wrote under the message's epoch.
+/// Stores writes that the owner sent under the message's epoch.
 void Consensus::storeWrites(Message const& message, WriteRange const& writes, std::uint64_t committed,
                             KeyspaceState& keyspace) {
-  checkInvariant(Invariant::epochNeverFalls, message.epoch >= keyspace.votedEpoch,
-                 [&] { return message.keyspace + " at epoch " + std::to_string(message.epoch.number); });
+  checkInvariant(Invariant::epochNeverFalls, message.epoch >= keyspace.votedEpoch, [&] {
+    return message.keyspace + ": a write at epoch " + std::to_string(message.epoch.number) +
+           " was accepted after a vote for epoch " + std::to_string(keyspace.votedEpoch.number);
+  });
   bool const byOwner = message.epoch.owner == message.from &&
                        std::all_of(writes.entries.begin(), writes.entries.end(),
                                    [&message](auto const& item) { return item.second.epoch == message.epoch; });
-  checkInvariant(Invariant::epochHasOneOwner, byOwner,
-                 [&] { return message.keyspace + " from " + hex(message.from.value); });
+  checkInvariant(Invariant::epochHasOneOwner, byOwner, [&] {
+    return message.keyspace + ": node " + hex(message.from.value) + " sent writes of epoch " +
+           std::to_string(message.epoch.number) + ", which it doesn't own";
+  });
   if (keyspace.epoch < message.epoch && keyspace.phase != OwnershipPhase::notOwner) stepDown(keyspace);
   keyspace.votedEpoch = message.epoch;
   record(LogRecord::append(message.keyspace, message.epoch, writes));
@@ -122,15 +126,15 @@
 }
 
 void Consensus::handle(Message const& message, AppendReply const& answer, KeyspaceState& keyspace, TimePoint now) {
-  bool const writing = keyspace.phase == OwnershipPhase::rewriting || keyspace.phase == OwnershipPhase::owner;
-  if (message.epoch != keyspace.epoch || !writing) return;
+  bool const hasWrites = keyspace.phase == OwnershipPhase::rewriting || keyspace.phase == OwnershipPhase::owner;
+  if (message.epoch != keyspace.epoch || !hasWrites) return;
   if (!answer.accepted) return onRefusal(answer.votedEpoch, keyspace, now);
   for (PendingWrite& write : keyspace.writes)
     if (write.last == answer.last) write.acknowledgedBy.insert(message.from);
   advanceCommitted(keyspace);
 }
 
-/// Commits writes in order, as far as a majority has stored them.
+/// Commits writes in order, up to the first one that a majority hasn't stored yet.
 void Consensus::advanceCommitted(KeyspaceState& keyspace) {
   for (PendingWrite& write : keyspace.writes) {
     if (write.committed) continue;
--- a/consensus/voting_rights.cpp
+++ b/consensus/voting_rights.cpp
@@ -1,11 +1,11 @@
-// How a node becomes a member that votes, and how it stops being one.
+// Installation of memberships, and how a node gains and loses its vote.
 #include "base/invariant.hpp"
 #include "consensus/consensus.hpp"
 
 namespace tealshelf {
 
 namespace {
-/// How many members of one list are not in the other, under their incarnation.
+/// The number of members that aren't among the others under the same incarnation.
 std::ptrdiff_t countMissing(vector<Member> const& members, vector<Member> const& others) {
   return std::count_if(members.begin(), members.end(), [&others](Member const& member) {
     return std::none_of(others.begin(), others.end(), [&member](Member const& other) {
@@ -18,8 +18,8 @@
   std::ptrdiff_t const joined = countMissing(membership.members, membership.formerMembers);
   std::ptrdiff_t const left = countMissing(membership.formerMembers, membership.members);
   checkInvariant(Invariant::membershipOverlaps, joined <= 1 && left <= 1, [&] {
-    return "number " + std::to_string(membership.number.value) + ": " + std::to_string(joined) + " joined, " +
-           std::to_string(left) + " left";
+    return "membership " + std::to_string(membership.number.value) + ": " + std::to_string(joined) + " joined and " +
+           std::to_string(left) + " left, expected at most one each";
   });
 }
 }  // namespace
@@ -82,7 +82,7 @@
 }
 
 void Consensus::installCopies(vector<DiskCopy> const& copies) {
-  // What was copied earlier goes: it could bring back a key that all members have dropped since.
+  // Entries stored earlier are discarded: they could restore a key that all members have deleted since.
   std::map<string, Entries> merged;
   for (DiskCopy const& disk : copies)
     for (KeyspaceCopy const& copy : disk) {
