--- a/tests/configuration/change_simulation_test.cpp
+++ b/tests/configuration/change_simulation_test.cpp
@@ -39,16 +39,16 @@
   }
   /// Plays a day; says what is broken.
   string play(std::size_t steps) {
-    for (std::size_t k = 0; k < steps && cluster_.broken.empty(); ++k) {
+    for (std::size_t k = 0; k < steps && cluster_.violation.empty(); ++k) {
       cluster_.step();
       cluster_.check();
       for (std::size_t const victim : std::exchange(doomed_, {}))
-        if (cluster_.nodes()[victim].up) dice(2) ? cluster_.kill(victim) : cluster_.power(victim);
+        if (cluster_.nodes()[victim].up) dice(2) ? cluster_.kill(victim) : cluster_.losePower(victim);
       if (dice(6) == 0) operate();
       if (dice(120) == 0) trouble();
       if (dice(60) == 0) relief();
     }
-    if (!cluster_.broken.empty()) return cluster_.broken;
+    if (!cluster_.violation.empty()) return cluster_.violation;
     return judge();
   }
   std::uint64_t taken = 0, repeated = 0, refused = 0, reads = 0, wipes = 0;
@@ -93,7 +93,8 @@
   }
   Owner& ownerState(std::size_t node) {
     Owner& owner = owners_[node];
-    if (owner.life != cluster_.nodes()[node].life) owner = Owner{cluster_.nodes()[node].life, 0, false, {}};
+    if (owner.life != cluster_.nodes()[node].processNumber)
+      owner = Owner{cluster_.nodes()[node].processNumber, 0, false, {}};
     return owner;
   }
   /// Trouble may strike the owner at each stage of an order.
@@ -183,12 +184,12 @@
     sim::Cluster::Node& x = cluster_.nodes()[i];
     std::size_t thin = 0, away = 0;
     for (sim::Cluster::Node const& y : cluster_.nodes()) {
-      thin += !y.whole;
+      thin += !y.diskHoldsAllKeys;
       away += !y.up || y.frozen;
     }
     switch (dice(5)) {
       case 0:
-        if (x.up && away < 2) dice(2) ? cluster_.power(i) : cluster_.kill(i);
+        if (x.up && away < 2) dice(2) ? cluster_.losePower(i) : cluster_.kill(i);
         break;
       case 1:
         if (x.up && away < 2) x.frozen = true;
--- a/tests/consensus/consensus_sim.cpp
+++ b/tests/consensus/consensus_sim.cpp
@@ -2,65 +2,66 @@
 
 namespace tealshelf::sim {
 
-void Cluster::corrupt(std::size_t i, bool keepsVoting) {
-  Node& x = nodes_[i];
-  if (x.up) power(i);
-  x.disk.erase(x.disk.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(1, x.disk.size())), x.disk.end());
+void Cluster::corruptDisk(std::size_t i, bool keepsVoting) {
+  Node& node = nodes_[i];
+  if (node.up) losePower(i);
+  node.disk.erase(node.disk.begin() + static_cast<std::ptrdiff_t>(std::min<std::size_t>(1, node.disk.size())),
+                  node.disk.end());
   start(i);
   if (keepsVoting) return;
-  x.consensus->giveUpVote(++lastIdentity_);
-  x.whole = false;
-  flushOutput(x);
+  node.consensus->giveUpVote(++lastIdentity_);
+  node.diskHoldsAllKeys = false;
+  flushOutput(node);
 }
 
 void Cluster::wipe(std::size_t i) {
-  Node& x = nodes_[i];
-  if (x.up) power(i);
-  x.disk.clear();
-  x.cached.clear();
+  Node& node = nodes_[i];
+  if (node.up) losePower(i);
+  node.disk.clear();
+  node.cached.clear();
   if (keepIdentity) return;
-  x.self.id = NodeId(1000 + ++lastIdentity_);
-  x.self.founder = false;
-  x.whole = false;
+  node.self.id = NodeId(1000 + ++lastIdentity_);
+  node.self.founder = false;
+  node.diskHoldsAllKeys = false;
 }
 
 void Cluster::step() {
   now_ += Ms(5);
   ++turn_;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    Node& x = nodes_[i];
-    if (!x.up || x.frozen) continue;
+    Node& node = nodes_[i];
+    if (!node.up || node.frozen) continue;
     if (turn_ % 10 == i % 10) {
-      x.consensus->tick(now_);
-      flushOutput(x);
+      node.consensus->tick(now_);
+      flushOutput(node);
     }
     if (turn_ % 30 == i % 30)
       for (std::size_t j = 0; j < nodes_.size(); ++j)
-        if (j != i) deliver(i, j, x.consensus->heartbeat(now_));
-    if (now_ >= x.syncAt) sync(x);
+        if (j != i) deliver(i, j, node.consensus->heartbeat(now_));
+    if (now_ >= node.syncAt) sync(node);
     if (joins && turn_ % 20 == i % 20) join(i);
   }
   std::deque<std::function<void()>> due;
-  while (!net_.empty() && net_.begin()->first <= now_) {
-    due.push_back(std::move(net_.begin()->second));
-    net_.erase(net_.begin());
+  while (!network_.empty() && network_.begin()->first <= now_) {
+    due.push_back(std::move(network_.begin()->second));
+    network_.erase(network_.begin());
   }
   for (std::function<void()>& f : due) f();
 }
 
-void Cluster::power(std::size_t i) {
-  Node& x = nodes_[i];
-  x.unsynced.insert(x.unsynced.begin(), x.cached.begin(), x.cached.end());
-  x.cached.clear();
-  std::size_t const keep = dice(x.unsynced.size() + 1);
-  for (std::size_t k = 0; k < keep; ++k) x.disk.push_back(x.unsynced[k]);
-  stop(x);
+void Cluster::losePower(std::size_t i) {
+  Node& node = nodes_[i];
+  node.unsynced.insert(node.unsynced.begin(), node.cached.begin(), node.cached.end());
+  node.cached.clear();
+  std::size_t const keep = dice(node.unsynced.size() + 1);
+  for (std::size_t k = 0; k < keep; ++k) node.disk.push_back(node.unsynced[k]);
+  stop(node);
 }
 
 void Cluster::kill(std::size_t i) {
-  Node& x = nodes_[i];
-  for (string& r : x.unsynced) x.cached.push_back(r);
-  stop(x);
+  Node& node = nodes_[i];
+  for (string& r : node.unsynced) node.cached.push_back(r);
+  stop(node);
 }
 
 void Cluster::startWithLostRecords(std::size_t i) {
@@ -72,157 +73,167 @@
 }
 
 void Cluster::start(std::size_t i) {
-  Node& x = nodes_[i];
-  if (!x.lasting) {
-    x.disk.clear();
-    x.cached.clear();
-    x.self.id = NodeId(1000 + ++lastIdentity_);
-    x.self.founder = false;
+  Node& node = nodes_[i];
+  if (!node.hasDisk) {
+    node.disk.clear();
+    node.cached.clear();
+    node.self.id = NodeId(1000 + ++lastIdentity_);
+    node.self.founder = false;
   }
-  make(x);
+  make(node);
   if (syncAtStart) {
-    for (string& r : x.cached) x.disk.push_back(std::move(r));
-    x.cached.clear();
+    for (string& r : node.cached) node.disk.push_back(std::move(r));
+    node.cached.clear();
   }
-  for (string const& r : x.disk) x.consensus->replay(r);
-  for (string const& r : x.cached) x.consensus->replay(r);
+  for (string const& r : node.disk) node.consensus->replay(r);
+  for (string const& r : node.cached) node.consensus->replay(r);
 }
 
 void Cluster::write() {
   std::size_t const i = dice(nodes_.size());
-  Node& x = nodes_[i];
-  if (!x.up || x.frozen || !x.consensus->owns("configuration") || writing_.count(i)) return;
-  std::map<string, string> const& v = x.consensus->committedValues("configuration");
+  Node& node = nodes_[i];
+  if (!node.up || node.frozen || !node.consensus->owns("configuration") || writing_.count(i)) return;
+  std::map<string, string> const& v = node.consensus->committedValues("configuration");
   std::map<string, string>::const_iterator const c = v.find("current");
   std::uint64_t const value = (c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10)) + 1;
   string const mark = std::to_string(++lastMark_);
   vector<KeyChange> const changes{{"current", std::to_string(value), false},
                                   {"k" + std::to_string(value % 7), mark, false}};
-  Op const o{true,     value, highestAcknowledged, i, x.life, x.consensus->propose("configuration", changes, now_),
+  Op const o{true,
+             value,
+             highestAcknowledged,
+             i,
+             node.processNumber,
+             node.consensus->propose("configuration", changes, now_),
              lastMark_};
   writing_.insert(i);
   ops_.push_back(o);
-  flushOutput(x);
+  flushOutput(node);
 }
 
 void Cluster::read() {
   std::size_t const i = dice(nodes_.size());
-  Node& x = nodes_[i];
-  if (!x.up || x.frozen || !x.consensus->owns("configuration")) return;
-  ops_.push_back(Op{false, 0, highestAcknowledged, i, x.life, x.consensus->confirmOwnership("configuration", now_)});
-  flushOutput(x);
+  Node& node = nodes_[i];
+  if (!node.up || node.frozen || !node.consensus->owns("configuration")) return;
+  ops_.push_back(Op{false, 0, highestAcknowledged, i, node.processNumber,
+                    node.consensus->confirmOwnership("configuration", now_)});
+  flushOutput(node);
 }
 
 void Cluster::check() {
-  for (Node& x : nodes_) {
-    if (!x.up) continue;
-    if (x.consensus->holdsAllKeys() && x.unsynced.empty()) x.whole = true;
-    if (!x.frozen) checkContact(x);
-    std::optional<std::map<string, string>> const v = x.consensus->lastKnownValues("configuration");
+  for (Node& node : nodes_) {
+    if (!node.up) continue;
+    if (node.consensus->holdsAllKeys() && node.unsynced.empty()) node.diskHoldsAllKeys = true;
+    if (!node.frozen) checkContact(node);
+    std::optional<std::map<string, string>> const v = node.consensus->lastKnownValues("configuration");
     if (!v || !v->count("current")) continue;
     std::uint64_t const n = std::strtoull(v->at("current").c_str(), nullptr, 10);
     for (std::pair<string const, string> const& p : *v)
       if (p.first != "current" && refused_.count(std::strtoull(p.second.c_str(), nullptr, 10)))
-        fail("a write that was refused is in force at " + x.self.name);
-    if (n < x.highestValueSeen) fail("a settled view went back at " + x.self.name);
-    x.highestValueSeen = n;
+        fail("a write that was refused is in force at " + node.self.name);
+    if (n < node.highestValueSeen) fail("a settled view went back at " + node.self.name);
+    node.highestValueSeen = n;
   }
 }
 
 void Cluster::join(std::size_t i) {
-  Node& x = nodes_[i];
-  tealshelf::Membership const& g = x.consensus->membership();
-  if (g.number.value && x.consensus->isMember()) {
-    if (!x.consensus->holdsAllKeys()) copy(x, i);
-    if (x.consensus->owns("members")) {
-      std::map<string, string> const& v = x.consensus->committedValues("members");
+  Node& node = nodes_[i];
+  tealshelf::Membership const& membership = node.consensus->membership();
+  if (membership.number.value && node.consensus->isMember()) {
+    if (!node.consensus->holdsAllKeys()) copy(node, i);
+    if (node.consensus->owns("members")) {
+      std::map<string, string> const& v = node.consensus->committedValues("members");
       std::map<string, string>::const_iterator const c = v.find("membership");
       if (c != v.end()) {
-        tealshelf::Membership const y =
+        tealshelf::Membership const committed =
             msgpack::unpack(c->second.data(), c->second.size()).get().as<tealshelf::Membership>();
-        if (y.number > g.number) {
-          x.consensus->installMembership(y, false);
-          flushOutput(x);
+        if (committed.number > membership.number) {
+          node.consensus->installMembership(committed, false);
+          flushOutput(node);
         }
       }
     }
     return;
   }
-  if (!g.number.value && i < founders_ && x.self.founder) return;
+  if (!membership.number.value && i < founders_ && node.self.founder) return;
   bool anyDisk = false;
-  for (Member const& m : g.members) anyDisk = anyDisk || m.hasDisk;
-  if (!x.lasting && (anyDisk || !g.number.value)) {
-    if (g.number.value) return;
+  for (Member const& m : membership.members) anyDisk = anyDisk || m.hasDisk;
+  if (!node.hasDisk && (anyDisk || !membership.number.value)) {
+    if (membership.number.value) return;
   }
-  if (g.number.value && x.consensus->isRetired()) {
-    x.consensus->rejoin(++lastIdentity_);
-    flushOutput(x);
+  if (membership.number.value && node.consensus->isRetired()) {
+    node.consensus->rejoin(++lastIdentity_);
+    flushOutput(node);
   }
-  if (!g.number.value || x.learnerCopiedUnder != g.number) return copy(x, i);
+  if (!membership.number.value || node.learnerCopiedUnder != membership.number) return copy(node, i);
   std::size_t const j = dice(nodes_.size());
-  Node& y = nodes_[j];
-  if (!reaches(i, j) || !y.consensus->owns("members") || !y.changes.empty()) return;
+  Node& peer = nodes_[j];
+  if (!reaches(i, j) || !peer.consensus->owns("members") || !peer.changes.empty()) return;
   MembershipPolicy const rule{deadAfter, std::max<std::size_t>(3, MembershipPolicy::membersToSurvive(survive))};
-  MembershipChange const wish{x.consensus->self(), false, x.learnerCopiedUnder};
-  std::optional<tealshelf::Membership> const n = rule.next(*y.consensus, wish, now_);
+  MembershipChange const request{node.consensus->self(), false, node.learnerCopiedUnder};
+  std::optional<tealshelf::Membership> const n = rule.next(*peer.consensus, request, now_);
   if (!n) return;
   msgpack::sbuffer b;
   msgpack::pack(b, *n);
-  std::uint64_t const op = y.consensus->propose("members", {{"membership", string(b.data(), b.size()), false}}, now_);
-  y.changes[op] = *n;
-  flushOutput(y);
+  std::uint64_t const op =
+      peer.consensus->propose("members", {{"membership", string(b.data(), b.size()), false}}, now_);
+  peer.changes[op] = *n;
+  flushOutput(peer);
 }
 
-void Cluster::copy(Node& x, std::size_t i) {
-  tealshelf::Membership const g = x.consensus->membership();
-  bool const member = x.consensus->isMember();
-  if (x.copiedMembership != g.number || x.copiesAsMember != member) {
-    x.copiedMembership = g.number;
-    x.copiesAsMember = member;
-    x.copies.clear();
-    x.copied.clear();
+void Cluster::copy(Node& node, std::size_t i) {
+  tealshelf::Membership const membership = node.consensus->membership();
+  bool const member = node.consensus->isMember();
+  if (node.copiedMembership != membership.number || node.copiesAsMember != member) {
+    node.copiedMembership = membership.number;
+    node.copiesAsMember = member;
+    node.copies.clear();
+    node.copied.clear();
   }
-  vector<Member> const& sources = member ? g.formerMembers : g.members;
+  vector<Member> const& sources = member ? membership.formerMembers : membership.members;
   std::size_t const need = sources.size() / 2 + 1;
-  for (int k = 0; k < 3 && x.copies.size() < need; ++k) {
+  for (int k = 0; k < 3 && node.copies.size() < need; ++k) {
     std::size_t const j = dice(nodes_.size());
-    Node& y = nodes_[j];
-    if (!reaches(i, j) || y.consensus->membership().number != g.number || !y.unsynced.empty() || x.copies.count(j))
+    Node& peer = nodes_[j];
+    if (!reaches(i, j) || peer.consensus->membership().number != membership.number || !peer.unsynced.empty() ||
+        node.copies.count(j))
       continue;
-    std::optional<Member> const source = y.consensus->copySource();
+    std::optional<Member> const source = peer.consensus->copySource();
     if (!source || std::find(sources.begin(), sources.end(), *source) == sources.end()) continue;
-    x.copies.insert(j);
-    x.copied.push_back(y.consensus->exportKeyspaces());
+    node.copies.insert(j);
+    node.copied.push_back(peer.consensus->exportKeyspaces());
   }
-  bool const trusted = member && installsLearnerCopies && !x.learned.empty();
-  if (!trusted && (!g.number.value || x.copies.size() < need)) return;
+  bool const trusted = member && installsLearnerCopies && !node.learnerCopies.empty();
+  if (!trusted && (!membership.number.value || node.copies.size() < need)) return;
   if (member) {
-    x.consensus->installCopies(trusted ? x.learned : x.copied);
-    flushOutput(x);
+    node.consensus->installCopies(trusted ? node.learnerCopies : node.copied);
+    flushOutput(node);
   } else {
-    x.learned = x.copied;
-    x.learnerCopiedUnder = g.number;
+    node.learnerCopies = node.copied;
+    node.learnerCopiedUnder = membership.number;
   }
-  x.copies.clear();
-  x.copied.clear();
+  node.copies.clear();
+  node.copied.clear();
 }
 
 void Cluster::outcome(std::size_t node, OperationOutcome const& o) {
   Node& m = nodes_[node];
-  if (std::function<void(bool)> const end = std::exchange(testOperations_[{node, m.life, o.operation}], nullptr))
+  if (std::function<void(bool)> const end =
+          std::exchange(testOperations_[{node, m.processNumber, o.operation}], nullptr))
     return end(o.result == OperationResult::committed);
   if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.operation);
       c != m.changes.end()) {
-    tealshelf::Membership const g = c->second;
+    tealshelf::Membership const membership = c->second;
     m.changes.erase(c);
-    if (o.result == OperationResult::committed && m.consensus->membership().number.value + 1 == g.number.value) {
-      m.consensus->installMembership(g, false);
+    if (o.result == OperationResult::committed &&
+        m.consensus->membership().number.value + 1 == membership.number.value) {
+      m.consensus->installMembership(membership, false);
       flushOutput(m);
     }
     return;
   }
   for (std::deque<Op>::iterator i = ops_.begin(); i != ops_.end(); ++i) {
-    if (i->node != node || i->life != nodes_[node].life || i->op != o.operation) continue;
+    if (i->node != node || i->processNumber != nodes_[node].processNumber || i->op != o.operation) continue;
     Op const op = *i;
     ops_.erase(i);
     if (op.write) writing_.erase(node);
@@ -253,7 +264,7 @@
       heldMessages_.push_back(std::move(p));
       continue;
     }
-    std::visit([&](auto const& m) { take(nodes_[i], m); }, p.second);
+    std::visit([&](auto const& m) { receiveAt(nodes_[i], m); }, p.second);
   }
 }
 
@@ -268,7 +279,7 @@
   }
 }
 
-void Cluster::found(std::size_t i) {
+void Cluster::installFirstMembership(std::size_t i) {
   tealshelf::Membership first;
   first.number = MembershipNumber(1);
   for (std::size_t k = 0; k < founders_; ++k) first.members.push_back(nodes_[k].self);
@@ -277,27 +288,27 @@
   flushOutput(nodes_[i]);
 }
 
-void Cluster::stop(Node& x) {
-  x.up = false;
-  x.unsynced.clear();
-  x.waiting.clear();
-  x.changes.clear();
-  x.copies.clear();
-  x.copied.clear();
-  x.learnerCopiedUnder = MembershipNumber();
-  x.learned.clear();
-  writing_.erase(static_cast<std::size_t>(&x - nodes_.data()));
-  x.consensus = std::make_unique<Consensus>(x.self, times_, x.life);
+void Cluster::stop(Node& node) {
+  node.up = false;
+  node.unsynced.clear();
+  node.waiting.clear();
+  node.changes.clear();
+  node.copies.clear();
+  node.copied.clear();
+  node.learnerCopiedUnder = MembershipNumber();
+  node.learnerCopies.clear();
+  writing_.erase(static_cast<std::size_t>(&node - nodes_.data()));
+  node.consensus = std::make_unique<Consensus>(node.self, times_, node.processNumber);
 }
 
-void Cluster::make(Node& x) {
-  x.consensus = std::make_unique<Consensus>(x.self, times_, x.life);
-  x.consensus->addKeyspace("configuration");
-  x.consensus->addKeyspace("members");
-  x.up = true;
-  x.frozen = false;
-  x.highestValueSeen = 0;
-  ++x.life;
+void Cluster::make(Node& node) {
+  node.consensus = std::make_unique<Consensus>(node.self, times_, node.processNumber);
+  node.consensus->addKeyspace("configuration");
+  node.consensus->addKeyspace("members");
+  node.up = true;
+  node.frozen = false;
+  node.highestValueSeen = 0;
+  ++node.processNumber;
 }
 
 }  // namespace tealshelf::sim
--- a/tests/consensus/consensus_sim.hpp
+++ b/tests/consensus/consensus_sim.hpp
@@ -15,39 +15,39 @@
     std::deque<std::pair<std::size_t, Output>>
         waiting;  ///< batches that wait for a sync, with the disk length they need
     bool up = true, frozen = false;
-    bool refuses = false;  ///< its disk syncs nothing
-    std::uint64_t life = 0;
+    bool diskFails = false;  ///< its disk syncs nothing
+    std::uint64_t processNumber = 0;
     TimePoint syncAt;
     Ms syncTakes = Ms(5);                                    ///< how long a write and its sync take
     std::uint64_t highestValueSeen = 0;                      ///< highest settled version in this life
-    bool lasting = true;                                     ///< without a disk its state ends with its process
+    bool hasDisk = true;                                     ///< without a disk its state ends with its process
     std::map<std::uint64_t, tealshelf::Membership> changes;  ///< memberships proposed by this life, by operation
     std::set<std::size_t> copies;  ///< members copied from under the membership in copiedMembership
     MembershipNumber copiedMembership;
-    Position known;      ///< how far the owner of the configuration has committed, by its last heartbeat
-    bool whole = false;  ///< its disk is known to hold all keys
+    Position known;                 ///< how far the owner of the configuration has committed, by its last heartbeat
+    bool diskHoldsAllKeys = false;  ///< its disk is known to hold all keys
     vector<DiskCopy> copied;
     bool copiesAsMember = false;          ///< copies are for a vote, not a learner's
     MembershipNumber learnerCopiedUnder;  ///< as a learner it copied from a majority under this number
-    vector<DiskCopy> learned;
+    vector<DiskCopy> learnerCopies;
   };
   struct Op {
     bool write = false;
-    std::uint64_t value = 0, floor = 0, node = 0, life = 0, op = 0, mark = 0;
+    std::uint64_t value = 0, floor = 0, node = 0, processNumber = 0, op = 0, mark = 0;
   };
 
   /// Some nodes found the membership; the others, if any, join it.
   Cluster(std::uint64_t seed, std::size_t n, bool skipsSync = false, std::size_t founders = 0)
-      : g_(seed), skipsSync_(skipsSync), nodes_(n), founders_(founders ? founders : n) {
+      : random_(seed), skipsSync_(skipsSync), nodes_(n), founders_(founders ? founders : n) {
     for (std::size_t i = 0; i < n; ++i)
       nodes_[i].self =
           Member{NodeId(100 + i), "n" + std::to_string(i), "10.0.0." + std::to_string(i), "z", i < founders_, true};
-    for (Node& x : nodes_) make(x);
+    for (Node& node : nodes_) make(node);
     if (!founders)
-      for (std::size_t i = 0; i < n; ++i) found(i);
+      for (std::size_t i = 0; i < n; ++i) installFirstMembership(i);
   }
   /// A founder that reaches all others installs the first membership.
-  void found(std::size_t i);
+  void installFirstMembership(std::size_t i);
   bool joins = false;          ///< nodes outside the membership ask to join, new members copy
   bool keepIdentity = false;   ///< the broken variant: a wiped disk comes back under its old identity, and votes
   bool sendsUnsynced = false;  ///< the broken variant: what a refusing disk should back is said all the same
@@ -57,26 +57,26 @@
   /// The disk is lost: the node starts again empty, with a new identity.
   void wipe(std::size_t i);
   /// Records in the middle of the log are lost; the disk knows, and gives up its vote unless it is broken.
-  void corrupt(std::size_t i, bool keepsVoting = false);
+  void corruptDisk(std::size_t i, bool keepsVoting = false);
   void makeDiskless(std::size_t i) {
-    nodes_[i].lasting = false;
+    nodes_[i].hasDisk = false;
     nodes_[i].self.hasDisk = false;
     make(nodes_[i]);
   }
   /// The newest membership that any running node knows.
   tealshelf::Membership newest() const {
-    tealshelf::Membership g;
-    for (Node const& x : nodes_)
-      if (x.up && x.consensus->membership().number > g.number) g = x.consensus->membership();
-    return g;
+    tealshelf::Membership membership;
+    for (Node const& node : nodes_)
+      if (node.up && node.consensus->membership().number > membership.number) membership = node.consensus->membership();
+    return membership;
   }
   /// How many running members vote, or will once they learn of the newest membership.
   std::size_t voters() const {
-    tealshelf::Membership const g = newest();
+    tealshelf::Membership const membership = newest();
     std::size_t n = 0;
-    for (Node const& x : nodes_) {
-      Member const* const m = g.find(x.consensus->self().id);
-      n += m && m->incarnation == x.consensus->self().incarnation && x.up && x.consensus->holdsAllKeys();
+    for (Node const& node : nodes_) {
+      Member const* const m = membership.find(node.consensus->self().id);
+      n += m && m->incarnation == node.consensus->self().incarnation && node.up && node.consensus->holdsAllKeys();
     }
     return n;
   }
@@ -87,11 +87,11 @@
   }
   std::size_t members() const {
     std::size_t most = 0;
-    for (Node const& x : nodes_)
-      if (x.up) most = std::max(most, x.consensus->membership().members.size());
+    for (Node const& node : nodes_)
+      if (node.up) most = std::max(most, node.consensus->membership().members.size());
     return most;
   }
-  std::uint64_t dice(std::uint64_t n) { return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(g_); }
+  std::uint64_t dice(std::uint64_t n) { return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(random_); }
   TimePoint now() const { return now_; }
   vector<Node>& nodes() { return nodes_; }
   double loss = 0;
@@ -107,7 +107,7 @@
     for (std::size_t i = 0; i < steps; ++i) step();
   }
   /// Loses power: what was not synced is gone, or partly there.
-  void power(std::size_t i);
+  void losePower(std::size_t i);
   void kill(std::size_t i);
   bool keepsVoting = false;  ///< the broken variant: a disk with lost records goes on voting
   /// Starts a node of whose disk the newest synced records are lost.
@@ -119,12 +119,12 @@
   void read();
   /// Starts an operation of a test's own at a node; its end is told unless the node's life ends first.
   void begin(std::size_t i, std::function<std::uint64_t(Consensus&)> const& start, std::function<void(bool)> end) {
-    Node& x = nodes_[i];
-    testOperations_[{i, x.life, start(*x.consensus)}] = std::move(end);
-    flushOutput(x);
+    Node& node = nodes_[i];
+    testOperations_[{i, node.processNumber, start(*node.consensus)}] = std::move(end);
+    flushOutput(node);
   }
-  std::uint64_t value(Node const& x) const {
-    std::map<string, string> const& v = x.consensus->committedValues("configuration");
+  std::uint64_t value(Node const& node) const {
+    std::map<string, string> const& v = node.consensus->committedValues("configuration");
     std::map<string, string>::const_iterator const c = v.find("current");
     return c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10);
   }
@@ -138,54 +138,54 @@
   std::size_t pieces = 0, largestChunkBytes = 0;
   bool writing(std::size_t i) const { return writing_.count(i) != 0; }
   std::uint64_t highestAcknowledged = 0, reads = 0, writes = 0, unknown = 0;
-  string broken;
+  string violation;
 
   /// Nobody's settled view goes back within a life, nor is ahead of what was ever proposed.
   void check();
 
  private:
   /// Who says that it is in touch with a majority has sent what a majority received, within the bound.
-  void checkContact(Node const& x) {
-    if (!x.consensus->inContactWithMajority(now_)) return;
+  void checkContact(Node const& node) {
+    if (!node.consensus->inContactWithMajority(now_)) return;
     vector<TimePoint> truth;
-    for (Member const& m : x.consensus->membership().members)
-      truth.push_back(m.id == x.self.id ? now_ : received_[{x.self.id, m.id}]);
+    for (Member const& m : node.consensus->membership().members)
+      truth.push_back(m.id == node.self.id ? now_ : received_[{node.self.id, m.id}]);
     std::sort(truth.begin(), truth.end(), std::greater<TimePoint>());
-    TimePoint const proof = truth[x.consensus->membership().quorum() - 1];
+    TimePoint const proof = truth[node.consensus->membership().quorum() - 1];
     if (now_ - proof <= Ms(750)) return;
-    std::size_t const i = static_cast<std::size_t>(&x - nodes_.data());
+    std::size_t const i = static_cast<std::size_t>(&node - nodes_.data());
     bool const overtaken = ackedAt_ > proof && ackedBy_ != i;
-    fail(x.self.name + (overtaken ? " claims a majority while another owner acknowledged a newer write"
-                                  : " claims a majority on an old proof"));
+    fail(node.self.name + (overtaken ? " claims a majority while another owner acknowledged a newer write"
+                                     : " claims a majority on an old proof"));
   }
   void fail(string const& s) {
-    if (broken.empty()) broken = s;
+    if (violation.empty()) violation = s;
   }
-  void make(Node& x);
-  void stop(Node& x);
-  void flushOutput(Node& x) {
-    Output b = x.consensus->takeOutput();
-    for (string& r : b.records) x.unsynced.push_back(std::move(r));
-    if (x.refuses && b.needsSync && !sendsUnsynced) b.messages.clear();
-    if (x.refuses) return send(x, std::move(b));
+  void make(Node& node);
+  void stop(Node& node);
+  void flushOutput(Node& node) {
+    Output b = node.consensus->takeOutput();
+    for (string& r : b.records) node.unsynced.push_back(std::move(r));
+    if (node.diskFails && b.needsSync && !sendsUnsynced) b.messages.clear();
+    if (node.diskFails) return send(node, std::move(b));
     if (b.needsSync && !skipsSync_) {
-      x.waiting.emplace_back(x.disk.size() + x.unsynced.size(), std::move(b));
-      if (x.syncAt < now_) x.syncAt = now_ + x.syncTakes;
+      node.waiting.emplace_back(node.disk.size() + node.unsynced.size(), std::move(b));
+      if (node.syncAt < now_) node.syncAt = now_ + node.syncTakes;
     } else {
-      send(x, std::move(b));
+      send(node, std::move(b));
     }
   }
-  void sync(Node& x) {
-    if (x.refuses) return;
+  void sync(Node& node) {
+    if (node.diskFails) return;
     // A sync covers the log that this life writes, not what an earlier life left.
-    for (string& r : x.unsynced) x.disk.push_back(std::move(r));
-    x.unsynced.clear();
+    for (string& r : node.unsynced) node.disk.push_back(std::move(r));
+    node.unsynced.clear();
     std::deque<std::pair<std::size_t, Output>> w;
-    w.swap(x.waiting);
-    for (std::pair<std::size_t, Output>& p : w) send(x, std::move(p.second));
+    w.swap(node.waiting);
+    for (std::pair<std::size_t, Output>& p : w) send(node, std::move(p.second));
   }
-  void send(Node& x, Output b) {
-    std::size_t const from = static_cast<std::size_t>(&x - nodes_.data());
+  void send(Node& node, Output b) {
+    std::size_t const from = static_cast<std::size_t>(&node - nodes_.data());
     for (Message const& m : b.messages) {
       if (!std::holds_alternative<TransferChunk>(m.body)) continue;
       msgpack::sbuffer packed;
@@ -200,45 +200,45 @@
   }
   template <class M>
   void deliver(std::size_t from, std::size_t to, M m) {
-    if (from != to && (cuts.count({from, to}) || std::uniform_real_distribution<>(0, 1)(g_) < loss)) return;
-    std::uint64_t const life = nodes_[to].life;
-    Ms const late(delay && from != to ? dice(delay) : 0);
-    TimePoint const at = now_ + late + Ms(from == to ? 0 : 1 + dice(loss > 0 ? 60 : 3));
-    net_.emplace(at, [this, to, life, m = std::move(m)] {
-      Node& y = nodes_[to];
-      if (!y.up || y.life != life) return;
-      if (y.frozen) {
+    if (from != to && (cuts.count({from, to}) || std::uniform_real_distribution<>(0, 1)(random_) < loss)) return;
+    std::uint64_t const processNumber = nodes_[to].processNumber;
+    Ms const extraDelay(delay && from != to ? dice(delay) : 0);
+    TimePoint const at = now_ + extraDelay + Ms(from == to ? 0 : 1 + dice(loss > 0 ? 60 : 3));
+    network_.emplace(at, [this, to, processNumber, m = std::move(m)] {
+      Node& peer = nodes_[to];
+      if (!peer.up || peer.processNumber != processNumber) return;
+      if (peer.frozen) {
         heldMessages_.emplace_back(to, m);
         return;
       }
-      take(y, m);
+      receiveAt(peer, m);
     });
   }
-  void take(Node& y, Message const& m) {
-    y.consensus->receive(m, now_);
-    flushOutput(y);
+  void receiveAt(Node& peer, Message const& m) {
+    peer.consensus->receive(m, now_);
+    flushOutput(peer);
   }
   struct HeartbeatAnswer {
     NodeId from;
     ProcessTime sentAt;
   };
-  void take(Node& y, HeartbeatAnswer const& a) { y.consensus->receiveEcho(a.from, a.sentAt, now_); }
-  void take(Node& y, Heartbeat p) {
-    TimePoint& received = received_[{p.sender.id, y.self.id}];
+  void receiveAt(Node& peer, HeartbeatAnswer const& a) { peer.consensus->receiveEcho(a.from, a.sentAt, now_); }
+  void receiveAt(Node& peer, Heartbeat p) {
+    TimePoint& received = received_[{p.sender.id, peer.self.id}];
     received = std::max(received, TimePoint(TimePoint::duration(p.sentAt.ticks)));
     for (std::size_t i = 0; i < nodes_.size(); ++i)
       if (nodes_[i].self.id == p.sender.id && !datesContactByArrival)
-        deliver(static_cast<std::size_t>(&y - nodes_.data()), i, HeartbeatAnswer{y.self.id, p.sentAt});
+        deliver(static_cast<std::size_t>(&peer - nodes_.data()), i, HeartbeatAnswer{peer.self.id, p.sentAt});
     for (KeyspaceProgress const& k : p.keyspaces)
-      if (k.owned && k.keyspace == "configuration") y.known = std::max(y.known, Position{k.epoch, k.committed});
+      if (k.owned && k.keyspace == "configuration") peer.known = std::max(peer.known, Position{k.epoch, k.committed});
     for (Echo& e : p.echoes)
-      if (datesContactByArrival && e.node == y.self.id) e.sentAt = y.consensus->heartbeat(now_).sentAt;
-    for (Node& x : nodes_)
-      if (x.self.id == p.sender.id && x.consensus &&
-          x.consensus->membership().number > y.consensus->membership().number)
-        y.consensus->installMembership(x.consensus->membership(), false);
-    y.consensus->receiveHeartbeat(p, now_);
-    flushOutput(y);
+      if (datesContactByArrival && e.node == peer.self.id) e.sentAt = peer.consensus->heartbeat(now_).sentAt;
+    for (Node& node : nodes_)
+      if (node.self.id == p.sender.id && node.consensus &&
+          node.consensus->membership().number > peer.consensus->membership().number)
+        peer.consensus->installMembership(node.consensus->membership(), false);
+    peer.consensus->receiveHeartbeat(p, now_);
+    flushOutput(peer);
   }
   /// What the driver does: join, change the membership, copy.
   void join(std::size_t i);
@@ -246,7 +246,7 @@
     return i != j && nodes_[j].up && !nodes_[j].frozen && !cuts.count({i, j}) && !cuts.count({j, i});
   }
   /// Copies from one disk, as a learner or for the vote.
-  void copy(Node& x, std::size_t i);
+  void copy(Node& node, std::size_t i);
   void outcome(std::size_t node, OperationOutcome const& o);
 
  public:
@@ -255,13 +255,13 @@
   void heal();
 
  private:
-  std::mt19937_64 g_;
+  std::mt19937_64 random_;
   bool skipsSync_;
   vector<Node> nodes_;
   std::size_t founders_ = 0;
   TimePoint now_ = TimePoint() + std::chrono::hours(1);
   std::uint64_t turn_ = 0, lastIdentity_ = 0;
-  std::multimap<TimePoint, std::function<void()>> net_;
+  std::multimap<TimePoint, std::function<void()>> network_;
   std::deque<Op> ops_;
   Consensus::Timeouts times_{Ms(750), Ms(100), Ms(1500), Ms(600)};
   std::set<std::size_t> writing_;
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -7,14 +7,14 @@
 
 TEST_GROUP(consensus){static std::uint64_t seeds(){return seedCount(12);
 }
-static void trouble(sim::Cluster& cluster) {
+static void injectFault(sim::Cluster& cluster) {
   std::size_t const n = cluster.nodes().size();
   std::size_t const i = cluster.dice(n);
   std::size_t down = 0;
   for (sim::Cluster::Node const& node : cluster.nodes()) down += !node.up || node.frozen;
   switch (cluster.dice(9)) {
     case 0:
-      if (cluster.nodes()[i].up) cluster.power(i);
+      if (cluster.nodes()[i].up) cluster.losePower(i);
       break;
     case 1:
       if (cluster.nodes()[i].up) cluster.kill(i);
@@ -42,31 +42,31 @@
       break;
   }
 }
-static string play(std::uint64_t seed, std::size_t n, bool skipsSync, std::uint64_t& writes, std::uint64_t& reads,
-                   bool syncAtStart = true) {
+static string simulate(std::uint64_t seed, std::size_t n, bool skipsSync, std::uint64_t& writes, std::uint64_t& reads,
+                       bool syncAtStart = true) {
   sim::Cluster cluster(seed, n, skipsSync);
   cluster.syncAtStart = syncAtStart;
   cluster.run(400);
   std::uint64_t last = 0;
-  for (int k = 0; k < 6000 && cluster.broken.empty(); ++k) {
+  for (int k = 0; k < 6000 && cluster.violation.empty(); ++k) {
     cluster.step();
     if (cluster.dice(3) == 0) cluster.write();
     if (cluster.dice(5) == 0) cluster.read();
-    if (cluster.dice(60) == 0) trouble(cluster);
+    if (cluster.dice(60) == 0) injectFault(cluster);
     if (cluster.highestAcknowledged > last && cluster.dice(40) == 0)
       for (std::size_t i = 0; i < n; ++i)
-        if (cluster.nodes()[i].up) cluster.power(i);
+        if (cluster.nodes()[i].up) cluster.losePower(i);
     last = cluster.highestAcknowledged;
     cluster.check();
   }
   cluster.heal();
-  for (int k = 0; k < 1200 && cluster.broken.empty(); ++k) {
+  for (int k = 0; k < 1200 && cluster.violation.empty(); ++k) {
     cluster.step();
     cluster.check();
   }
   writes += cluster.writes;
   reads += cluster.reads;
-  if (!cluster.broken.empty()) return cluster.broken;
+  if (!cluster.violation.empty()) return cluster.violation;
   std::size_t owners = 0;
   for (sim::Cluster::Node const& node : cluster.nodes()) {
     owners += node.consensus->owns("configuration");
@@ -85,7 +85,7 @@
 TEST(consensus, threeNodesKeepAllGuarantees) {
   std::uint64_t w = 0, r = 0;
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    string const b = play(s, 3, false, w, r);
+    string const b = simulate(s, 3, false, w, r);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
   CHECK(w > 100 && r > 100);
@@ -94,7 +94,7 @@
 TEST(consensus, fourNodesKeepAllGuarantees) {
   std::uint64_t w = 0, r = 0;
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    string const b = play(1000 + s, 4, false, w, r);
+    string const b = simulate(1000 + s, 4, false, w, r);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
   CHECK(w > 100 && r > 100);
@@ -103,14 +103,14 @@
 TEST(consensus, aReplyBeforeItsSyncIsDetected) {
   std::uint64_t w = 0, r = 0;
   bool caught = false;
-  for (std::uint64_t s = 1; s <= 3000 && !caught; ++s) caught = !play(s, 3, true, w, r).empty();
+  for (std::uint64_t s = 1; s <= 3000 && !caught; ++s) caught = !simulate(s, 3, true, w, r).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 
 TEST(consensus, aRestartThatDoesNotSyncIsDetected) {
   std::uint64_t w = 0, r = 0;
   bool caught = false;
-  for (std::uint64_t s = 1; s <= 3000 && !caught; ++s) caught = !play(s, 3, false, w, r, false).empty();
+  for (std::uint64_t s = 1; s <= 3000 && !caught; ++s) caught = !simulate(s, 3, false, w, r, false).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 
@@ -160,8 +160,8 @@
     cluster.run(3);
   }
   CHECK(cluster.highestAcknowledged > before);
-  cluster.power(other);
-  cluster.power(owner);
+  cluster.losePower(other);
+  cluster.losePower(owner);
   // The owner's disk is gone; its new identity has no vote, so the stale one and the other decide.
   sim::Cluster::Node& w = cluster.nodes()[owner];
   w.disk.clear();
@@ -183,7 +183,7 @@
 
 namespace {
 /// Cuts a node off, in one direction or both, freezes it or delays all packets; all heal in between.
-string playIsolation(std::uint64_t seed, bool datesContactByArrival, std::uint64_t& writes) {
+string simulateIsolation(std::uint64_t seed, bool datesContactByArrival, std::uint64_t& writes) {
   sim::Cluster cluster(seed, 3 + seed % 2);
   cluster.datesContactByArrival = datesContactByArrival;
   cluster.run(400);
@@ -196,7 +196,7 @@
     cluster.nodes()[i].frozen = kind == 3;
     cluster.delay = kind == 4 ? 2000 : 0;
     bool const thaws = kind == 3;
-    for (std::size_t k = 0; k < 1600 && cluster.broken.empty(); ++k) {
+    for (std::size_t k = 0; k < 1600 && cluster.violation.empty(); ++k) {
       if (k == 800) {
         cluster.cuts.clear();
         cluster.delay = 0;
@@ -207,7 +207,7 @@
       if (k % 4 == 0) cluster.write();
       cluster.check();
     }
-    if (!cluster.broken.empty()) return cluster.broken;
+    if (!cluster.violation.empty()) return cluster.violation;
     for (sim::Cluster::Node const& node : cluster.nodes())
       if (!node.consensus->inContactWithMajority(cluster.now()))
         return node.self.name + " is not in touch again after the heal";
@@ -220,7 +220,7 @@
 TEST(consensus, contactIsDatedByOwnClockReadings) {
   std::uint64_t writes = 0;
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    string const b = playIsolation(s, false, writes);
+    string const b = simulateIsolation(s, false, writes);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
   CHECK(writes > 100);
@@ -230,7 +230,7 @@
   bool caught = false;
   std::uint64_t writes = 0;
   for (std::uint64_t s = 1; s <= 60 && !caught; ++s)
-    caught = playIsolation(s, true, writes).find("acknowledged a newer write") != string::npos;
+    caught = simulateIsolation(s, true, writes).find("acknowledged a newer write") != string::npos;
   CHECK_TEXT(caught, "the old dating was never caught");
 }
 
@@ -276,13 +276,13 @@
     sim::Cluster cluster(s, 3);
     cluster.countsUnknownAsRefused = true;
     cluster.run(400);
-    for (int k = 0; k < 6000 && cluster.broken.empty(); ++k) {
+    for (int k = 0; k < 6000 && cluster.violation.empty(); ++k) {
       cluster.step();
       if (cluster.dice(3) == 0) cluster.write();
-      if (cluster.dice(60) == 0) trouble(cluster);
+      if (cluster.dice(60) == 0) injectFault(cluster);
       cluster.check();
     }
-    caught = cluster.broken.find("refused is in force") != string::npos;
+    caught = cluster.violation.find("refused is in force") != string::npos;
   }
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
@@ -305,11 +305,11 @@
   return v;
 }
 /// Four members under unbroken writes, one of them restarted midway; says where a view is missing or lags.
-string playConstantWrites(std::uint64_t seed, bool onlyWhenIdle, std::uint64_t& writes) {
+string simulateConstantWrites(std::uint64_t seed, bool onlyWhenIdle, std::uint64_t& writes) {
   sim::Cluster cluster(seed, 4);
   cluster.run(600);
   std::size_t const restarted = (ownerOf(cluster) + 1) % 4;
-  for (int k = 0; k < 6000 && cluster.broken.empty(); ++k) {
+  for (int k = 0; k < 6000 && cluster.violation.empty(); ++k) {
     if (k == 2500) cluster.kill(restarted);
     if (k == 3000) cluster.start(restarted);
     for (int turn = 0; turn < 8; ++turn) cluster.write();
@@ -327,14 +327,14 @@
     }
   }
   writes += cluster.writes;
-  return cluster.broken;
+  return cluster.violation;
 }
 }  // namespace
 
 TEST(consensus, allMembersSeeCommittedValuesUnderConstantWrites) {
   std::uint64_t writes = 0;
   for (std::uint64_t s = 1; s <= seeds() / 2; ++s) {
-    string const b = playConstantWrites(s, false, writes);
+    string const b = simulateConstantWrites(s, false, writes);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
   CHECK(writes > 1000 * seeds() / 2);
@@ -342,7 +342,7 @@
 
 TEST(consensus, readsOnlyFromAnIdleKeyspaceAreDetected) {
   std::uint64_t writes = 0;
-  for (std::uint64_t s = 1; s <= 6; ++s) CHECK(playConstantWrites(s, true, writes).find("no view") != string::npos);
+  for (std::uint64_t s = 1; s <= 6; ++s) CHECK(simulateConstantWrites(s, true, writes).find("no view") != string::npos);
 }
 
 TEST(consensus, aLaggingMemberCatchesUpInChunksDuringWrites) {
@@ -375,7 +375,7 @@
     CHECK_TEXT(cluster.largestChunkBytes < 100000, "a piece is over its bound");
     cluster.loss = 0;
     cluster.run(400);
-    STRCMP_EQUAL("", cluster.broken.c_str());
+    STRCMP_EQUAL("", cluster.violation.c_str());
     std::map<string, string> const v = cluster.nodes()[owner].consensus->committedValues("configuration");
     CHECK(v.size() > 3000 && cluster.nodes()[owner].consensus->owns("configuration"));
     CHECK_TEXT(cluster.nodes()[away].consensus->lastKnownValues("configuration") == v, "the member that was away lags");
--- a/tests/consensus/epoch_test.cpp
+++ b/tests/consensus/epoch_test.cpp
@@ -9,7 +9,7 @@
 constexpr std::uint64_t epochSeeds = 40;
 
 void load(sim::Cluster& cluster, std::size_t steps) {
-  for (std::size_t k = 0; k < steps && cluster.broken.empty(); ++k) {
+  for (std::size_t k = 0; k < steps && cluster.violation.empty(); ++k) {
     cluster.step();
     if (k % 3 == 0) cluster.write();
     if (k % 7 == 0) cluster.read();
@@ -27,7 +27,7 @@
   cluster.run(400);
   load(cluster, 100);
   std::size_t const owner = cluster.ownerOf("configuration");
-  cluster.power(owner);
+  cluster.losePower(owner);
   cluster.run(400);
   load(cluster, 100);
   sim::Cluster::Node& node = cluster.nodes()[owner];
@@ -36,7 +36,7 @@
   std::uint64_t const before = cluster.highestAcknowledged;
   load(cluster, 40 + cluster.dice(120));
   acknowledgedBefore += cluster.highestAcknowledged - before;
-  for (std::size_t i = 0; i < 3; ++i) cluster.power(i);
+  for (std::size_t i = 0; i < 3; ++i) cluster.losePower(i);
   node.syncTakes = Ms(5);
   cluster.run(cluster.dice(30));
   cluster.loss = 0.3;
@@ -44,7 +44,7 @@
   load(cluster, 300);
   cluster.loss = 0;
   load(cluster, 400);
-  if (!cluster.broken.empty()) return cluster.broken;
+  if (!cluster.violation.empty()) return cluster.violation;
   std::size_t const last = cluster.ownerOf("configuration");
   if (last == 3) return "no owner after all started again";
   return cluster.value(cluster.nodes()[last]) < cluster.highestAcknowledged ? "the owner lost an acknowledged write"
@@ -74,7 +74,7 @@
   sim::Cluster cluster(3, 3);
   cluster.run(400);
   std::size_t const preferred = cluster.ownerOf("configuration");
-  cluster.power(preferred);
+  cluster.losePower(preferred);
   cluster.run(400);
   sim::Cluster::Node& node = cluster.nodes()[preferred];
   node.syncTakes = std::chrono::hours(1);
--- a/tests/consensus/failing_disk_test.cpp
+++ b/tests/consensus/failing_disk_test.cpp
@@ -16,9 +16,9 @@
 struct Refusal {
   std::uint64_t during = 0, after = 0;
   std::size_t nextOwner = 0, lastOwner = 0, first = 0;
-  string broken;
+  string violation;
 };
-Refusal playWithFailingDisk(std::uint64_t seed, bool ineligible, std::size_t nodes) {
+Refusal simulateWithFailingDisk(std::uint64_t seed, bool ineligible, std::size_t nodes) {
   sim::Cluster c(seed, nodes);
   c.run(400);
   Refusal o;
@@ -34,28 +34,28 @@
     }
     return c.writes - before;
   };
-  x.refuses = true;
+  x.diskFails = true;
   x.consensus->setIneligibleAsOwner(ineligible);
   load(400);
   o.during = load(400);
   o.nextOwner = owner(c);
   // The process may die before its disk is well; then it starts from what was synced.
   if (c.dice(2)) {
-    c.power(o.first);
+    c.losePower(o.first);
     c.run(200);
     c.start(o.first);
   }
-  x.refuses = false;
+  x.diskFails = false;
   x.consensus->setIneligibleAsOwner(false);
   load(400);
   o.after = load(400);
   o.lastOwner = owner(c);
-  o.broken = c.broken;
+  o.violation = c.violation;
   return o;
 }
 
 /// Disks that refuse and losses of power at random; what broke, if anything.
-string playRandomDiskFailures(std::uint64_t seed, bool sendsUnsynced) {
+string simulateRandomDiskFailures(std::uint64_t seed, bool sendsUnsynced) {
   sim::Cluster c(seed, 3);
   c.sendsUnsynced = sendsUnsynced;
   c.run(400);
@@ -72,17 +72,17 @@
     if (!x.up)
       c.start(i);
     else if (up == 3 && c.dice(2))
-      c.power(i);
+      c.losePower(i);
     else
-      x.refuses = !x.refuses;
-    if (x.up) x.consensus->setIneligibleAsOwner(x.refuses);
+      x.diskFails = !x.diskFails;
+    if (x.up) x.consensus->setIneligibleAsOwner(x.diskFails);
   }
-  return c.broken;
+  return c.violation;
 }
 
 /// A change is acknowledged by the owner and one other; that one restarts with its newest records
 /// lost, and at once the owner is down and the third is back.
-string playLostRecords(std::uint64_t seed, bool keepsVoting) {
+string simulateLostRecords(std::uint64_t seed, bool keepsVoting) {
   sim::Cluster c(seed, 3);
   c.keepsVoting = keepsVoting;
   c.joins = true;
@@ -98,18 +98,18 @@
     return c.writes - before;
   };
   std::size_t const first = owner(c), away = (first + 1) % 3, damaged = (first + 2) % 3;
-  c.power(away);
+  c.losePower(away);
   load(100);
-  c.power(damaged);
+  c.losePower(damaged);
   c.startWithLostRecords(damaged);
   c.start(away);
-  c.power(first);
+  c.losePower(first);
   load(600);
   c.start(first);
   load(800);
-  if (c.broken.empty() && load(400) == 0) return "writes stopped";
-  if (c.broken.empty() && !c.nodes()[damaged].consensus->holdsAllKeys()) return "the damaged disk was not healed";
-  return c.broken;
+  if (c.violation.empty() && load(400) == 0) return "writes stopped";
+  if (c.violation.empty() && !c.nodes()[damaged].consensus->holdsAllKeys()) return "the damaged disk was not healed";
+  return c.violation;
 }
 }  // namespace
 
@@ -119,30 +119,31 @@
   std::size_t stuck = 0;
   for (std::size_t const nodes : {3u, 4u, 5u})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      Refusal const o = playWithFailingDisk(seed, true, nodes);
-      STRCMP_EQUAL("", o.broken.c_str());
+      Refusal const o = simulateWithFailingDisk(seed, true, nodes);
+      STRCMP_EQUAL("", o.violation.c_str());
       CHECK(o.during > 0);
       CHECK(o.nextOwner != o.first);
       CHECK(o.after > 0);
       LONGS_EQUAL(o.first, o.lastOwner);
-      Refusal const kept = playWithFailingDisk(seed, false, nodes);
+      Refusal const kept = simulateWithFailingDisk(seed, false, nodes);
       stuck += kept.nextOwner == kept.first;
     }
   CHECK_TEXT(stuck > 0, "an owner that keeps its keyspaces with a refusing disk was never caught");
 }
 
 TEST(failingDisk, aNodeWithAFailingDiskSendsNothingUnsynced) {
-  for (std::uint64_t seed = 1; seed <= 20; ++seed) STRCMP_EQUAL("", playRandomDiskFailures(seed, false).c_str());
+  for (std::uint64_t seed = 1; seed <= 20; ++seed) STRCMP_EQUAL("", simulateRandomDiskFailures(seed, false).c_str());
   bool caught = false;
-  for (std::uint64_t seed = 1; seed <= 2000 && !caught; ++seed) caught = !playRandomDiskFailures(seed, true).empty();
+  for (std::uint64_t seed = 1; seed <= 2000 && !caught; ++seed)
+    caught = !simulateRandomDiskFailures(seed, true).empty();
   CHECK_TEXT(caught, "votes and acks without a sync were never caught");
 }
 
 TEST(failingDisk, aDiskWithLostRecordsVotesOnlyAfterCopyingFromAMajority) {
   std::size_t caught = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    STRCMP_EQUAL("", playLostRecords(seed, false).c_str());
-    caught += !playLostRecords(seed, true).empty();
+    STRCMP_EQUAL("", simulateLostRecords(seed, false).c_str());
+    caught += !simulateLostRecords(seed, true).empty();
   }
   CHECK_TEXT(caught > 0, "a damaged disk that votes on was never caught");
 }
--- a/tests/consensus/learner_test.cpp
+++ b/tests/consensus/learner_test.cpp
@@ -25,7 +25,7 @@
     cluster.run(1500);
     LONGS_EQUAL(4, cluster.members());
     LONGS_EQUAL(4, cluster.voters());
-    STRCMP_EQUAL("", healed(cluster).c_str());
+    STRCMP_EQUAL("", healAndCheck(cluster).c_str());
   }
 }
 
@@ -45,13 +45,13 @@
                      "the newcomer has no vote by what it copied as a learner");
     std::size_t const owner = cluster.ownerOf("members");
     std::size_t const other = owner == 0 ? 1 : 0;
-    cluster.power(other);
+    cluster.losePower(other);
     cluster.run(600);
     LONGS_EQUAL(3, cluster.voters());
     std::uint64_t const before = cluster.highestAcknowledged;
     write(cluster, 30);
     CHECK_TEXT(cluster.highestAcknowledged > before, "the newcomer copied from those who are left, and votes");
-    STRCMP_EQUAL("", healed(cluster).c_str());
+    STRCMP_EQUAL("", healAndCheck(cluster).c_str());
   }
 }
 
@@ -68,12 +68,12 @@
       CHECK(cluster.voters() >= 2);
     }
     LONGS_EQUAL(3, cluster.voters());
-    cluster.power(cluster.ownerOf("configuration"));
+    cluster.losePower(cluster.ownerOf("configuration"));
     cluster.run(400);
     std::uint64_t const before = cluster.highestAcknowledged;
     write(cluster, 30);
     CHECK_TEXT(cluster.highestAcknowledged > before, "the next loss is borne");
-    STRCMP_EQUAL("", healed(cluster).c_str());
+    STRCMP_EQUAL("", healAndCheck(cluster).c_str());
   }
 }
 
@@ -103,7 +103,7 @@
     cluster.unfreeze(away);
     cluster.run(1500);
     LONGS_EQUAL_TEXT(4, cluster.voters(), "it votes again, under another stay if it was replaced");
-    STRCMP_EQUAL("", healed(cluster).c_str());
+    STRCMP_EQUAL("", healAndCheck(cluster).c_str());
   }
 }
 
@@ -148,10 +148,10 @@
     cluster.step();
     for (sim::Cluster::Node const& node : cluster.nodes()) {
       Membership const& m = node.consensus->membership();
-      MembershipChange const wish{Member{NodeId(999), "new", "10.0.0.99", "z", false, true, 0}, false, m.number};
-      MembershipChange late = wish;
+      MembershipChange const request{Member{NodeId(999), "new", "10.0.0.99", "z", false, true, 0}, false, m.number};
+      MembershipChange late = request;
       late.copiedUnder = MembershipNumber(m.number.value - 1);
-      bool const may = policyOf(cluster).next(*node.consensus, wish, cluster.now()).has_value();
+      bool const may = policyOf(cluster).next(*node.consensus, request, cluster.now()).has_value();
       bool const newcomerVotes = m.members.size() == 3 || m.formerMembers.size() == m.members.size() ||
                                  node.consensus->isReady(m.members.back().id, cluster.now());
       CHECK_FALSE(policyOf(cluster).next(*node.consensus, late, cluster.now()).has_value());
@@ -180,8 +180,8 @@
     cluster.run(400);
     write(cluster, 20);
     std::size_t const bad = cluster.dice(3), other = (bad + 1) % 3;
-    cluster.power(other);
-    cluster.corrupt(bad);
+    cluster.losePower(other);
+    cluster.corruptDisk(bad);
     cluster.run(400);
     CHECK_FALSE_TEXT(cluster.nodes()[bad].consensus->holdsAllKeys(), "one disk is no majority to heal from");
     std::uint64_t const before = cluster.highestAcknowledged;
@@ -193,10 +193,10 @@
     cluster.start(other);
     cluster.run(1500);
     LONGS_EQUAL(3, cluster.voters());
-    cluster.power(other);
+    cluster.losePower(other);
     cluster.run(400);
     write(cluster, 30);
     CHECK(cluster.highestAcknowledged > before);
-    STRCMP_EQUAL("", healed(cluster).c_str());
+    STRCMP_EQUAL("", healAndCheck(cluster).c_str());
   }
 }
--- a/tests/consensus/membership_runs.hpp
+++ b/tests/consensus/membership_runs.hpp
@@ -15,7 +15,7 @@
   }
 }
 /// Runs until all eight are members that hold all keys, for so long at the most.
-inline void founded(Cluster& cluster) {
+inline void waitUntilAllAreMembers(Cluster& cluster) {
   for (int k = 0; k < 60; ++k) {
     cluster.run(100);
     std::size_t n = 0;
@@ -25,19 +25,19 @@
   }
 }
 /// So many disks don't hold all keys.
-inline std::size_t thin(vector<Cluster::Node> const& nodes) {
+inline std::size_t countIncompleteDisks(vector<Cluster::Node> const& nodes) {
   std::size_t n = 0;
-  for (Cluster::Node const& node : nodes) n += !node.whole;
+  for (Cluster::Node const& node : nodes) n += !node.diskHoldsAllKeys;
   return n;
 }
 /// Everyone is up again; says what is broken.
-inline string healed(Cluster& cluster) {
+inline string healAndCheck(Cluster& cluster) {
   cluster.heal();
-  for (int k = 0; k < 2500 && cluster.broken.empty(); ++k) {
+  for (int k = 0; k < 2500 && cluster.violation.empty(); ++k) {
     cluster.step();
     cluster.check();
   }
-  if (!cluster.broken.empty()) return cluster.broken;
+  if (!cluster.violation.empty()) return cluster.violation;
   std::size_t owners = 0;
   for (Cluster::Node const& node : cluster.nodes()) {
     owners += node.consensus->owns("configuration");
@@ -54,7 +54,7 @@
 inline void foundThree(Cluster& cluster) {
   cluster.joins = true;
   cluster.survive = 1;
-  for (std::size_t i = 0; i < 3; ++i) cluster.found(i);
+  for (std::size_t i = 0; i < 3; ++i) cluster.installFirstMembership(i);
 }
 inline void cutBoth(Cluster& cluster, std::size_t a, std::size_t b) {
   cluster.cuts.insert({a, b});
--- a/tests/consensus/membership_search.hpp
+++ b/tests/consensus/membership_search.hpp
@@ -20,7 +20,7 @@
 
 /// How often each event may happen on a path of the search.
 struct Budget {
-  int writes = 1, changes = 2, leads = 2, crashes = 1, wipes = 0, corruptions = 0, reads = 0, late = 0;
+  int writes = 1, changes = 2, takeovers = 2, crashes = 1, wipes = 0, corruptions = 0, reads = 0, lateMessages = 0;
 };
 
 /// A small world of real state machines; every event ends with what it sent delivered, lost or under way.
@@ -30,14 +30,13 @@
   struct Disk {
     std::shared_ptr<Consensus const> state;
     std::shared_ptr<vector<string> const> durable;
-    std::map<NodeId, std::shared_ptr<DiskCopy const>> copies, learned;
+    std::map<NodeId, std::shared_ptr<DiskCopy const>> copies, learnerCopies;
     MembershipNumber copiesUnder;
-    std::uint64_t hash = 0, stays = 0;
+    std::uint64_t hash = 0, lastIncarnation = 0;
     bool stale = true;
   };
 
-  World(std::size_t disks, std::size_t founders, Budget budget, InjectedFault broken)
-      : budget_(budget), broken_(broken) {
+  World(std::size_t disks, std::size_t founders, Budget budget, InjectedFault fault) : budget_(budget), fault_(fault) {
     Membership first;
     first.number = MembershipNumber(1);
     for (std::size_t i = 0; i < disks; ++i) {
@@ -52,16 +51,16 @@
       change(i).installMembership(first, i < founders);
       flush(i, 0);
     }
-    budget_.leads = 2;
-    lead(0, all(), "configuration");
-    lead(0, all(), "members");
+    budget_.takeovers = 2;
+    takeOver(0, all(), "configuration");
+    takeOver(0, all(), "members");
     inFlight_.clear();
     for (std::size_t i = founders; i < disks; ++i)
-      for (std::size_t j = 0; j < first.quorum(); ++j) disks_[i].learned[id(j)] = copyOf(j);
+      for (std::size_t j = 0; j < first.quorum(); ++j) disks_[i].learnerCopies[id(j)] = copyOf(j);
     budget_ = budget;
   }
 
-  string broken;  ///< what rule an event broke; empty if none
+  string violation;  ///< what rule an event broke; empty if none
   std::size_t size() const { return disks_.size(); }
   void allow(Budget b) { budget_ = b; }
   Set all() const { return (1u << size()) - 1; }
@@ -76,7 +75,7 @@
       w.check();
       visit(w);
     };
-    for (std::size_t k = 0; k < inFlight_.size(); ++k) visitIfAllowed(true, [k](World& w) { return w.late(k); });
+    for (std::size_t k = 0; k < inFlight_.size(); ++k) visitIfAllowed(true, [k](World& w) { return w.deliverLate(k); });
     for (std::size_t i = 0; i < size(); ++i) {
       Consensus const& c = at(i);
       for (std::size_t j = 0; j < size(); ++j) {
@@ -85,13 +84,13 @@
       }
       visitIfAllowed(budget_.crashes, [i](World& w) { return w.crash(i); });
       visitIfAllowed(budget_.wipes, [i](World& w) { return w.wipe(i); });
-      visitIfAllowed(budget_.corruptions && c.isMember(), [i](World& w) { return w.corrupt(i); });
+      visitIfAllowed(budget_.corruptions && c.isMember(), [i](World& w) { return w.corruptDisk(i); });
       for (Set s = 0; s <= all(); ++s)
         if (!(s & 1u << i)) forEachRound(i, s, visitIfAllowed);
     }
   }
 
-  bool late(std::size_t k) {
+  bool deliverLate(std::size_t k) {
     Message const m = inFlight_[k];
     inFlight_.erase(inFlight_.begin() + static_cast<std::ptrdiff_t>(k));
     std::optional<std::size_t> const to = indexOf(m.to), from = indexOf(m.from);
@@ -100,8 +99,8 @@
     flush(*to, 1u << *from);
     return true;
   }
-  bool lead(std::size_t i, Set reach, string const& keyspace) {
-    if (!at(i).holdsAllKeys() || !spend(budget_.leads)) return false;
+  bool takeOver(std::size_t i, Set reach, string const& keyspace) {
+    if (!at(i).holdsAllKeys() || !spend(budget_.takeovers)) return false;
     ConsensusProbe::takeOver(change(i), keyspace);
     flush(i, reach);
     if (at(i).owns("configuration") && keyspace == "configuration") checkHoldsKeys(i, acknowledgedKeys_, "an owner");
@@ -126,7 +125,8 @@
     if (leave ? !at(i).membership().find(id(j)) : at(j).isMember()) return false;
     Consensus& c = change(i);
     ConsensusProbe::forgetContacts(c);
-    if (!leave && at(j).isRetired() && broken_ != InjectedFault::keepsIncarnation) change(j).rejoin(++disks_[j].stays);
+    if (!leave && at(j).isRetired() && fault_ != InjectedFault::keepsIncarnation)
+      change(j).rejoin(++disks_[j].lastIncarnation);
     ProcessTime const own = c.heartbeat(ConsensusProbe::now()).sentAt;
     for (std::size_t k = 0; k < size(); ++k) {
       if (k == i || !(reach & 1u << k)) continue;
@@ -136,16 +136,16 @@
       c.receiveHeartbeat(h, ConsensusProbe::now());
     }
     MembershipPolicy const policy{Ms(3600), 1};
-    MembershipChange const wish{at(j).self(), leave, at(j).membership().number};
-    std::optional<Membership> next = policy.next(c, wish, ConsensusProbe::now());
-    if (!next && leave && broken_ == InjectedFault::removesAtAnyTime && c.membership().members.size() > 1 && i != j) {
+    MembershipChange const request{at(j).self(), leave, at(j).membership().number};
+    std::optional<Membership> next = policy.next(c, request, ConsensusProbe::now());
+    if (!next && leave && fault_ == InjectedFault::removesAtAnyTime && c.membership().members.size() > 1 && i != j) {
       next = c.membership();
       next->number = MembershipNumber(next->number.value + 1);
       next->formerMembers = c.membership().members;
       std::erase_if(next->members, [&](Member const& m) { return m.id == id(j); });
     }
     if (!next) return false;
-    if (broken_ == InjectedFault::listsOneFormerMember)
+    if (fault_ == InjectedFault::listsOneFormerMember)
       next->formerMembers.erase(next->formerMembers.begin(), next->formerMembers.end() - 1);
     --budget_.changes;
     std::uint64_t const op = c.propose("members", {{"membership", serialize(*next), false}}, ConsensusProbe::now());
@@ -157,10 +157,10 @@
   bool learn(std::size_t i, std::size_t j) {
     if (at(j).membership().number <= at(i).membership().number) return false;
     change(i).installMembership(at(j).membership(), false);
-    if (broken_ == InjectedFault::learnerVotesAtOnce && at(i).isMember() && !at(i).holdsAllKeys() &&
-        !disks_[i].learned.empty()) {
+    if (fault_ == InjectedFault::learnerVotesAtOnce && at(i).isMember() && !at(i).holdsAllKeys() &&
+        !disks_[i].learnerCopies.empty()) {
       vector<DiskCopy> l;
-      for (std::pair<NodeId const, std::shared_ptr<DiskCopy const>> const& c : disks_[i].learned)
+      for (std::pair<NodeId const, std::shared_ptr<DiskCopy const>> const& c : disks_[i].learnerCopies)
         l.push_back(*c.second);
       change(i).installCopies(l);
     }
@@ -191,7 +191,7 @@
     disks_[i].state = std::make_shared<Consensus>(std::move(c));
     disks_[i].stale = true;
     disks_[i].copies.clear();
-    disks_[i].learned.clear();
+    disks_[i].learnerCopies.clear();
     std::erase_if(writes_, [i](auto const& w) { return w.first % 16 == i; });
     std::erase_if(reads_, [i](auto const& r) { return r.first % 16 == i; });
     std::erase_if(changes_, [i](auto const& c) { return c.first % 16 == i; });
@@ -214,11 +214,11 @@
     return true;
   }
   /// The disk lost all records of keys, and knows that it lost some.
-  bool corrupt(std::size_t i) {
+  bool corruptDisk(std::size_t i) {
     if (!spend(budget_.corruptions) || disks_[i].durable->empty()) return false;
     Consensus c = fresh(at(i).self());
     c.replay(disks_[i].durable->front());
-    if (broken_ != InjectedFault::corruptDiskVotes) c.giveUpVote(++disks_[i].stays + 50);
+    if (fault_ != InjectedFault::corruptDiskVotes) c.giveUpVote(++disks_[i].lastIncarnation + 50);
     restart(i, std::move(c));
     return true;
   }
@@ -228,12 +228,12 @@
     for (Disk& d : disks_) {
       if (d.stale) d.hash = ConsensusProbe::hash(*d.state) ^ (d.durable ? hash64(serialize(*d.durable)) * 31 : 0);
       d.stale = false;
-      msgpack::pack(b, std::make_tuple(d.hash, d.copiesUnder, d.stays));
+      msgpack::pack(b, std::make_tuple(d.hash, d.copiesUnder, d.lastIncarnation));
       for (std::pair<NodeId const, std::shared_ptr<DiskCopy const>> const& c : d.copies) msgpack::pack(b, *c.second);
     }
     msgpack::pack(b, inFlight_);
     msgpack::pack(b, acknowledgedKeys_);
-    msgpack::pack(b, std::make_tuple(budget_.writes, budget_.changes, budget_.leads, budget_.crashes, budget_.wipes,
+    msgpack::pack(b, std::make_tuple(budget_.writes, budget_.changes, budget_.takeovers, budget_.crashes, budget_.wipes,
                                      budget_.corruptions, budget_.reads));
     return hash64(string(b.data(), b.size()));
   }
@@ -243,16 +243,17 @@
   template <class Try>
   void forEachRound(std::size_t i, Set s, Try const& visitIfAllowed) const {
     Consensus const& c = at(i);
-    bool const sense = (s & ~memberSet(i)) == 0;
+    bool const reachesOnlyMembers = (s & ~memberSet(i)) == 0;
     for (string const& k : {string("configuration"), string("members")})
-      visitIfAllowed(sense && budget_.leads && c.holdsAllKeys(), [i, s, k](World& w) { return w.lead(i, s, k); });
-    bool const owns = sense && c.owns("configuration");
+      visitIfAllowed(reachesOnlyMembers && budget_.takeovers && c.holdsAllKeys(),
+                     [i, s, k](World& w) { return w.takeOver(i, s, k); });
+    bool const owns = reachesOnlyMembers && c.owns("configuration");
     visitIfAllowed(owns && budget_.writes, [i, s](World& w) { return w.write(i, s, false); });
-    visitIfAllowed(owns && budget_.writes && budget_.late, [i, s](World& w) { return w.write(i, s, true); });
+    visitIfAllowed(owns && budget_.writes && budget_.lateMessages, [i, s](World& w) { return w.write(i, s, true); });
     visitIfAllowed(owns && budget_.reads, [i, s](World& w) { return w.read(i, s); });
     for (std::size_t j = 0; j < size(); ++j)
       for (bool const leave : {false, true})
-        visitIfAllowed(sense && c.owns("members") && budget_.changes,
+        visitIfAllowed(reachesOnlyMembers && c.owns("members") && budget_.changes,
                        [i, s, j, leave](World& w) { return w.changeMembers(i, s, j, leave); });
   }
   Set memberSet(std::size_t i) const {
@@ -302,7 +303,7 @@
       if (*j == i || (reach & 1u << *j && !(heldReplies & 1u << i))) {
         change(*j).receive(m, ConsensusProbe::now());
         flush(*j, reach | 1u << i, heldReplies);
-      } else if (inFlight_.size() < static_cast<std::size_t>(budget_.late)) {
+      } else if (inFlight_.size() < static_cast<std::size_t>(budget_.lateMessages)) {
         inFlight_.push_back(m);
       }
     }
@@ -321,7 +322,7 @@
 
   void checkHoldsKeys(std::size_t i, std::set<string> const& keys, string const& who) {
     for (string const& key : keys)
-      if (!at(i).committedValues("configuration").count(key)) broken = who + " lacks an acknowledged change";
+      if (!at(i).committedValues("configuration").count(key)) violation = who + " lacks an acknowledged change";
   }
   /// Of the newest membership no majority of disks that vote, or would once they learn of it, lacks
   /// an acknowledged change.
@@ -336,12 +337,12 @@
         bool const votes = m && m->incarnation == at(i).self().incarnation && at(i).holdsAllKeys();
         lacking += votes && !ConsensusProbe::holds(at(i), "configuration", key);
       }
-      if (lacking >= newest.quorum()) broken = "a majority that votes lacks an acknowledged change";
+      if (lacking >= newest.quorum()) violation = "a majority that votes lacks an acknowledged change";
     }
   }
 
   Budget budget_;
-  InjectedFault broken_;
+  InjectedFault fault_;
   vector<Disk> disks_;
   vector<Message> inFlight_;
   std::set<string> acknowledgedKeys_;
@@ -353,7 +354,7 @@
 /// Searches all orders of events up to a depth, each state once.
 class Search {
  public:
-  explicit Search(std::size_t most) : most_(most) {}
+  explicit Search(std::size_t maxStates) : maxStates_(maxStates) {}
   std::size_t states() const { return seen_.size(); }
   bool cut() const { return truncated_; }
   /// What is broken on some path, or nothing.
@@ -364,15 +365,15 @@
     if (!depth) return "";
     string found;
     w.each([&](World const& next) {
-      truncated_ = truncated_ || seen_.size() >= most_;
+      truncated_ = truncated_ || seen_.size() >= maxStates_;
       if (!found.empty() || truncated_) return;
-      found = next.broken.empty() ? run(next, depth - 1) : next.broken;
+      found = next.violation.empty() ? run(next, depth - 1) : next.violation;
     });
     return found;
   }
 
  private:
-  std::size_t most_;
+  std::size_t maxStates_;
   bool truncated_ = false;
   std::unordered_map<std::uint64_t, int> seen_;
 };
--- a/tests/consensus/membership_search_test.cpp
+++ b/tests/consensus/membership_search_test.cpp
@@ -19,7 +19,7 @@
   std::size_t disks;  ///< of which three found the membership
   int depth;
   Budget budget;
-  InjectedFault broken = InjectedFault::nothing;
+  InjectedFault fault = InjectedFault::nothing;
 };
 /// TEALSHELF_DEPTH deepens the search beyond what a quick run takes.
 int deeper() {
@@ -28,33 +28,33 @@
 }
 /// Searches on from a world; says how far it came, and what is broken.
 string search(Case const& c, World const& from) {
-  sim::Search s(c.broken == InjectedFault::nothing ? 3000000 : 400000);
-  int const depth = c.depth + (c.broken == InjectedFault::nothing ? deeper() : 0);
+  sim::Search s(c.fault == InjectedFault::nothing ? 3000000 : 400000);
+  int const depth = c.depth + (c.fault == InjectedFault::nothing ? deeper() : 0);
   string const found = s.run(from, depth);
   std::printf("%s: %zu states to depth %d\n", c.name, s.states(), depth);
   return s.cut() ? "cut short" : found;
 }
 World start(Case const& c) {
-  return World(c.disks, 3, c.budget, c.broken);
+  return World(c.disks, 3, c.budget, c.fault);
 }
 /// Disk 3 took the place of disk 2; disks 0 and 3 have an acknowledged change that disk 1 lacks.
 World replaced(Case const& c) {
-  World w(c.disks, 3, Budget{1, 1, 2}, c.broken);
+  World w(c.disks, 3, Budget{1, 1, 2}, c.fault);
   CHECK(w.changeMembers(0, 0b0010, 3, false));
   CHECK(w.learn(3, 0));
   CHECK(w.copyFrom(3, 0));
   CHECK(w.copyFrom(3, 1));
-  CHECK(w.lead(0, 0b1010, "configuration"));
-  CHECK(w.lead(0, 0b1010, "members"));
+  CHECK(w.takeOver(0, 0b1010, "configuration"));
+  CHECK(w.takeOver(0, 0b1010, "members"));
   CHECK(w.write(0, 0b1000, false));
   w.allow(c.budget);
   return w;
 }
 /// Disks 0 and 1 have an acknowledged change, and disk 2 decides on members.
 World othersDecide(Case const& c) {
-  World w(c.disks, 3, Budget{1, 0, 1}, c.broken);
+  World w(c.disks, 3, Budget{1, 0, 1}, c.fault);
   CHECK(w.write(0, 0b010, false));
-  CHECK(w.lead(2, 0b010, "members"));
+  CHECK(w.takeOver(2, 0b010, "members"));
   w.allow(c.budget);
   return w;
 }
@@ -62,26 +62,29 @@
 
 TEST(membershipSearch, noOrderOfEventsLetsAMajorityVoteWithoutAnAcknowledgedChange) {
   Case const cases[] = {
-      {"a learner is promoted", 4, 5, {.writes = 1, .changes = 1, .leads = 1, .crashes = 0}},
-      {"a learner is promoted, with a crash", 4, 4, {.writes = 1, .changes = 1, .leads = 1, .crashes = 1}},
-      {"two changes in a row", 4, 4, {.writes = 1, .changes = 2, .leads = 1, .crashes = 0}},
-      {"a disk is wiped and comes back", 3, 6, {.writes = 1, .changes = 1, .leads = 1, .crashes = 0, .wipes = 1}},
+      {"a learner is promoted", 4, 5, {.writes = 1, .changes = 1, .takeovers = 1, .crashes = 0}},
+      {"a learner is promoted, with a crash", 4, 4, {.writes = 1, .changes = 1, .takeovers = 1, .crashes = 1}},
+      {"two changes in a row", 4, 4, {.writes = 1, .changes = 2, .takeovers = 1, .crashes = 0}},
+      {"a disk is wiped and comes back", 3, 6, {.writes = 1, .changes = 1, .takeovers = 1, .crashes = 0, .wipes = 1}},
       {"a corrupt disk comes back",
        3,
        6,
-       {.writes = 1, .changes = 1, .leads = 0, .crashes = 0, .corruptions = 1, .late = 2}},
-      {"reads beside a change", 3, 5, {.writes = 1, .changes = 1, .leads = 1, .crashes = 0, .reads = 1, .late = 1}},
+       {.writes = 1, .changes = 1, .takeovers = 0, .crashes = 0, .corruptions = 1, .lateMessages = 2}},
+      {"reads beside a change",
+       3,
+       5,
+       {.writes = 1, .changes = 1, .takeovers = 1, .crashes = 0, .reads = 1, .lateMessages = 1}},
   };
   for (Case const& c : cases) STRCMP_EQUAL_TEXT("", search(c, start(c)).c_str(), c.name);
 }
 
 TEST(membershipSearch, noOrderOfEventsBringsAReplacedDiskBackWithItsOldVote) {
-  Case const c{"a replaced disk comes back", 4, 5, {.writes = 0, .changes = 1, .leads = 0, .crashes = 1}};
+  Case const c{"a replaced disk comes back", 4, 5, {.writes = 0, .changes = 1, .takeovers = 0, .crashes = 1}};
   STRCMP_EQUAL("", search(c, replaced(c)).c_str());
 }
 
 TEST(membershipSearch, noOrderOfEventsLetsMembersLeaveBeforeAllKeysAreRewritten) {
-  Case const c{"members leave one after the other", 3, 5, {.writes = 0, .changes = 2, .leads = 2, .crashes = 0}};
+  Case const c{"members leave one after the other", 3, 5, {.writes = 0, .changes = 2, .takeovers = 2, .crashes = 0}};
   STRCMP_EQUAL("", search(c, othersDecide(c)).c_str());
 }
 
@@ -91,17 +94,17 @@
       {"a promoted learner votes at once",
        4,
        3,
-       {.writes = 1, .changes = 1, .leads = 0, .crashes = 0},
+       {.writes = 1, .changes = 1, .takeovers = 0, .crashes = 0},
        InjectedFault::learnerVotesAtOnce},
       {"a newcomer copies from one disk",
        4,
        4,
-       {.writes = 1, .changes = 1, .leads = 0, .crashes = 0},
+       {.writes = 1, .changes = 1, .takeovers = 0, .crashes = 0},
        InjectedFault::listsOneFormerMember},
       {"a corrupt disk votes on",
        3,
        3,
-       {.writes = 1, .changes = 0, .leads = 0, .crashes = 0, .corruptions = 1},
+       {.writes = 1, .changes = 0, .takeovers = 0, .crashes = 0, .corruptions = 1},
        InjectedFault::corruptDiskVotes},
   };
   for (Case const& c : cases)
@@ -109,13 +112,13 @@
   Case const leave{"members leave at any time",
                    3,
                    5,
-                   {.writes = 0, .changes = 2, .leads = 1, .crashes = 0},
+                   {.writes = 0, .changes = 2, .takeovers = 1, .crashes = 0},
                    InjectedFault::removesAtAnyTime};
   STRCMP_EQUAL("a majority that votes lacks an acknowledged change", search(leave, othersDecide(leave)).c_str());
   Case const back{"a replaced disk keeps its stay",
                   4,
                   5,
-                  {.writes = 0, .changes = 1, .leads = 0, .crashes = 1},
+                  {.writes = 0, .changes = 1, .takeovers = 0, .crashes = 1},
                   InjectedFault::keepsIncarnation};
   STRCMP_EQUAL("a majority that votes lacks an acknowledged change", search(back, replaced(back)).c_str());
 }
--- a/tests/consensus/membership_test.cpp
+++ b/tests/consensus/membership_test.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 /// Joins, wipes of up to two disks at once, cuts, freezes and losses of power.
-string playMembership(std::uint64_t seed, bool keepIdentity, std::uint64_t& changes, bool corruptVotes = false) {
+string simulateMembership(std::uint64_t seed, bool keepIdentity, std::uint64_t& changes, bool corruptVotes = false) {
   sim::Cluster cluster(seed, 8, false, 3);
   cluster.joins = true;
   cluster.survive = 2;
   cluster.keepIdentity = keepIdentity;
-  for (std::size_t i = 0; i < 3; ++i) cluster.found(i);
-  founded(cluster);
+  for (std::size_t i = 0; i < 3; ++i) cluster.installFirstMembership(i);
+  waitUntilAllAreMembers(cluster);
   cluster.check();
   if (cluster.members() != 8) return "only " + std::to_string(cluster.members()) + " members after founding";
-  for (int k = 0; k < 6000 && cluster.broken.empty(); ++k) {
+  for (int k = 0; k < 6000 && cluster.violation.empty(); ++k) {
     cluster.step();
     if (cluster.dice(3) == 0) cluster.write();
     if (cluster.dice(5) == 0) cluster.read();
@@ -27,7 +27,7 @@
     sim::Cluster::Node& node = cluster.nodes()[i];
     switch (cluster.dice(12)) {
       case 0:
-        if (node.up) cluster.power(i);
+        if (node.up) cluster.losePower(i);
         break;
       case 1:
         if (node.up) cluster.kill(i);
@@ -52,22 +52,22 @@
         break;
       case 9:
       case 10:
-        if (thin(cluster.nodes()) < 2) {
+        if (countIncompleteDisks(cluster.nodes()) < 2) {
           cluster.wipe(keepIdentity ? cluster.dice(3) : i);
           ++changes;
           if (cluster.dice(3) == 0)
             for (std::size_t j = 0; j < 8; ++j)
-              if (j != i && cluster.nodes()[j].up) cluster.power(j);
+              if (j != i && cluster.nodes()[j].up) cluster.losePower(j);
         }
         break;
       case 11:
-        if (thin(cluster.nodes()) < 2) cluster.corrupt(i, corruptVotes);
+        if (countIncompleteDisks(cluster.nodes()) < 2) cluster.corruptDisk(i, corruptVotes);
         break;
       default:
         break;
     }
   }
-  return healed(cluster);
+  return healAndCheck(cluster);
 }
 }  // namespace
 
@@ -76,7 +76,7 @@
 TEST(membership, allGuaranteesHoldUnderWipesJoinsAndPartitions) {
   std::uint64_t wipes = 0;
   for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    string const b = playMembership(s, false, wipes);
+    string const b = simulateMembership(s, false, wipes);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
   CHECK(wipes > 10);
@@ -85,14 +85,14 @@
 TEST(membership, aCorruptDiskThatVotesIsDetected) {
   bool caught = false;
   std::uint64_t wipes = 0;
-  for (std::uint64_t s = 1; s <= 300 && !caught; ++s) caught = !playMembership(s, false, wipes, true).empty();
+  for (std::uint64_t s = 1; s <= 300 && !caught; ++s) caught = !simulateMembership(s, false, wipes, true).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 
 TEST(membership, aWipedDiskThatVotesIsDetected) {
   bool caught = false;
   std::uint64_t wipes = 0;
-  for (std::uint64_t s = 1; s <= 300 && !caught; ++s) caught = !playMembership(s, true, wipes).empty();
+  for (std::uint64_t s = 1; s <= 300 && !caught; ++s) caught = !simulateMembership(s, true, wipes).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 
@@ -101,8 +101,8 @@
     sim::Cluster cluster(500 + s, 8, false, 3);
     cluster.joins = true;
     cluster.survive = 2;
-    for (std::size_t i = 0; i < 3; ++i) cluster.found(i);
-    founded(cluster);
+    for (std::size_t i = 0; i < 3; ++i) cluster.installFirstMembership(i);
+    waitUntilAllAreMembers(cluster);
     LONGS_EQUAL(8, cluster.members());
     write(cluster, 60);
     CHECK(cluster.highestAcknowledged > 10);
@@ -111,10 +111,10 @@
       if (cluster.nodes()[i].consensus->owns("configuration")) owner = i;
     std::size_t const other = (owner + 1 + cluster.dice(7)) % 8;
     for (std::size_t i = 0; i < 8; ++i)
-      if (cluster.nodes()[i].up) cluster.power(i);
+      if (cluster.nodes()[i].up) cluster.losePower(i);
     cluster.wipe(owner);
     cluster.wipe(other);
-    string const b = healed(cluster);
+    string const b = healAndCheck(cluster);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
     std::size_t in = 0;
     for (sim::Cluster::Node const& node : cluster.nodes())
@@ -130,7 +130,7 @@
   sim::Cluster cluster(31, 8, false, 3);
   cluster.joins = true;
   cluster.survive = 2;
-  for (std::size_t i = 0; i < 3; ++i) cluster.found(i);
+  for (std::size_t i = 0; i < 3; ++i) cluster.installFirstMembership(i);
   cluster.run(1500);
   write(cluster, 20);
   for (std::size_t a = 0; a < 4; ++a)
@@ -142,7 +142,7 @@
   std::uint64_t const before = cluster.highestAcknowledged;
   write(cluster, 60);
   LONGS_EQUAL_TEXT(before, cluster.highestAcknowledged, "half of the membership is no majority");
-  STRCMP_EQUAL("", healed(cluster).c_str());
+  STRCMP_EQUAL("", healAndCheck(cluster).c_str());
   write(cluster, 20);
   CHECK(cluster.highestAcknowledged > before);
 }
@@ -152,7 +152,7 @@
   cluster.joins = true;
   cluster.survive = 1;
   for (std::size_t i = 3; i < 6; ++i) cluster.makeDiskless(i);
-  for (std::size_t i = 0; i < 3; ++i) cluster.found(i);
+  for (std::size_t i = 0; i < 3; ++i) cluster.installFirstMembership(i);
   cluster.run(1500);
   LONGS_EQUAL(3, cluster.members());
   write(cluster, 30);
@@ -168,7 +168,7 @@
   }
   cluster.run(400);
   LONGS_EQUAL(3, cluster.members());
-  STRCMP_EQUAL("", healed(cluster).c_str());
+  STRCMP_EQUAL("", healAndCheck(cluster).c_str());
 }
 
 TEST(membership, aNodeWithADiskReplacesADisklessFounder) {
@@ -176,7 +176,7 @@
   cluster.joins = true;
   cluster.survive = 1;
   cluster.makeDiskless(2);
-  for (std::size_t i = 0; i < 3; ++i) cluster.found(i);
+  for (std::size_t i = 0; i < 3; ++i) cluster.installFirstMembership(i);
   cluster.run(1500);
   LONGS_EQUAL(3, cluster.members());
   CHECK(cluster.nodes()[3].consensus->holdsAllKeys());
@@ -192,7 +192,7 @@
     cluster.survive = 2;
     // One founder installs the membership, and others lose power in the middle; they learn of it later.
     std::size_t const a = cluster.dice(3);
-    cluster.found(a);
+    cluster.installFirstMembership(a);
     cluster.run(cluster.dice(4));
     for (std::size_t i = 0; i < 3; ++i)
       if (i != a || cluster.dice(2)) cluster.kill(i);
@@ -201,12 +201,12 @@
       if (!cluster.nodes()[i].up) cluster.start(i);
     cluster.run(100);
     for (std::size_t i = 0; i < 3; ++i)
-      if (!cluster.nodes()[i].consensus->membership().number.value) cluster.found(i);
+      if (!cluster.nodes()[i].consensus->membership().number.value) cluster.installFirstMembership(i);
     cluster.run(1500);
     LONGS_EQUAL(5, cluster.members());
     write(cluster, 30);
     CHECK(cluster.highestAcknowledged > 5);
-    string const b = healed(cluster);
+    string const b = healAndCheck(cluster);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
 }
--- a/tests/consensus/overlapping_losses_test.cpp
+++ b/tests/consensus/overlapping_losses_test.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 /// A deployment: its control disks and how many of them may be lost at once.
-struct Site {
+struct Deployment {
   std::size_t disks, founders;
   std::int64_t survive;
 };
-constexpr Site sites[] = {{8, 3, 2}, {5, 3, 2}, {4, 3, 1}, {3, 3, 1}};
+constexpr Deployment deployments[] = {{8, 3, 2}, {5, 3, 2}, {4, 3, 1}, {3, 3, 1}};
 
 /// Cuts the machines into two halves, whichever they are; a cut that stands is replaced.
 void cutIntoHalves(Cluster& cluster) {
@@ -25,12 +25,13 @@
 }
 
 /// Loses as many disks as the site allows, while all others lose power at the same moment.
-std::uint64_t loseDisksAndPower(Cluster& cluster, Site const& site) {
+std::uint64_t loseDisksAndPower(Cluster& cluster, Deployment const& deployment) {
   std::uint64_t lost = 0;
-  for (std::size_t i = 0; i < site.disks; ++i)
-    if (cluster.nodes()[i].up) cluster.power(i);
-  for (std::size_t i = cluster.dice(site.disks); thin(cluster.nodes()) < static_cast<std::size_t>(site.survive);
-       i = cluster.dice(site.disks)) {
+  for (std::size_t i = 0; i < deployment.disks; ++i)
+    if (cluster.nodes()[i].up) cluster.losePower(i);
+  for (std::size_t i = cluster.dice(deployment.disks);
+       countIncompleteDisks(cluster.nodes()) < static_cast<std::size_t>(deployment.survive);
+       i = cluster.dice(deployment.disks)) {
     cluster.wipe(i);
     ++lost;
   }
@@ -42,7 +43,7 @@
   if (!node.up) return;
   switch (cluster.dice(4)) {
     case 0:
-      return cluster.power(i);
+      return cluster.losePower(i);
     case 1:
       return cluster.kill(i);
     case 2:
@@ -62,23 +63,23 @@
 }
 
 /// What the terms allow: halves whatever the site survives, any losses at once but those of disks.
-string play(Site const& site, std::uint64_t seed, std::uint64_t& wipes, std::uint64_t& writes) {
-  Cluster cluster(seed, site.disks, false, site.founders);
+string simulate(Deployment const& deployment, std::uint64_t seed, std::uint64_t& wipes, std::uint64_t& writes) {
+  Cluster cluster(seed, deployment.disks, false, deployment.founders);
   cluster.joins = true;
-  cluster.survive = site.survive;
-  for (std::size_t i = 0; i < site.founders; ++i) cluster.found(i);
-  for (int k = 0; k < 60 && thin(cluster.nodes()); ++k) {
+  cluster.survive = deployment.survive;
+  for (std::size_t i = 0; i < deployment.founders; ++i) cluster.installFirstMembership(i);
+  for (int k = 0; k < 60 && countIncompleteDisks(cluster.nodes()); ++k) {
     cluster.run(100);
     cluster.check();
   }
-  if (thin(cluster.nodes())) return "not all disks became members";
-  for (int k = 0; k < 5000 && cluster.broken.empty(); ++k) {
+  if (countIncompleteDisks(cluster.nodes())) return "not all disks became members";
+  for (int k = 0; k < 5000 && cluster.violation.empty(); ++k) {
     cluster.step();
     if (cluster.dice(3) == 0) cluster.write();
     if (cluster.dice(5) == 0) cluster.read();
     cluster.check();
     if (cluster.dice(60)) continue;
-    std::size_t const i = cluster.dice(site.disks);
+    std::size_t const i = cluster.dice(deployment.disks);
     switch (cluster.dice(12)) {
       case 0:
         cutIntoHalves(cluster);
@@ -92,10 +93,10 @@
         failOneNode(cluster, i);
         break;
       case 5:
-        if (cluster.dice(4) == 0) wipes += loseDisksAndPower(cluster, site);
+        if (cluster.dice(4) == 0) wipes += loseDisksAndPower(cluster, deployment);
         break;
       case 6:
-        if (thin(cluster.nodes()) < static_cast<std::size_t>(site.survive)) {
+        if (countIncompleteDisks(cluster.nodes()) < static_cast<std::size_t>(deployment.survive)) {
           cluster.wipe(i);
           ++wipes;
         }
@@ -105,10 +106,10 @@
         break;
     }
   }
-  if (cluster.broken.empty()) wipes += loseDisksAndPower(cluster, site);
+  if (cluster.violation.empty()) wipes += loseDisksAndPower(cluster, deployment);
   for (Cluster::Node& node : cluster.nodes()) node.syncTakes = Ms(5);
   writes += cluster.writes;
-  return healed(cluster);
+  return healAndCheck(cluster);
 }
 }  // namespace
 
@@ -118,11 +119,12 @@
 /// more disks lost than it allows; at the end disks are lost while all others lose power.
 TEST(overlappingLosses, noAcknowledgedWriteIsLostOrReadAsAnOlderOne) {
   std::uint64_t wipes = 0, writes = 0;
-  for (Site const& site : sites)
+  for (Deployment const& deployment : deployments)
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
-      string const broken = play(site, 7000 + seed, wipes, writes);
-      string const text = std::to_string(site.disks) + " disks, seed " + std::to_string(7000 + seed) + ": " + broken;
-      if (!broken.empty()) FAIL(text.c_str());
+      string const violation = simulate(deployment, 7000 + seed, wipes, writes);
+      string const text =
+          std::to_string(deployment.disks) + " disks, seed " + std::to_string(7000 + seed) + ": " + violation;
+      if (!violation.empty()) FAIL(text.c_str());
     }
   CHECK(wipes > 10);
   CHECK(writes > 100);
--- a/tests/consensus/start_together_test.cpp
+++ b/tests/consensus/start_together_test.cpp
@@ -29,7 +29,7 @@
   cluster.delay = longestDelayMs;
   cluster.run(stepsBefore);
   std::uint64_t const before = highestEpoch(cluster);
-  for (std::size_t i = 0; i < nodeCount; ++i) cluster.power(i);
+  for (std::size_t i = 0; i < nodeCount; ++i) cluster.losePower(i);
   for (std::size_t i = 0; i < nodeCount; ++i) {
     cluster.start(i);
     cluster.run(cluster.dice(mostStepsBetweenStarts));
--- a/tests/duties/duty_fleet_sim.cpp
+++ b/tests/duties/duty_fleet_sim.cpp
@@ -55,7 +55,7 @@
   cluster_.heal();
   for (; turn_ < troubledTurns + calmTurns && violation_.empty(); ++turn_) advance();
   if (violation_.empty()) checkEnd();
-  return violation_.empty() ? cluster_.broken : violation_;
+  return violation_.empty() ? cluster_.violation : violation_;
 }
 
 void DutyFleet::advance() {
@@ -82,7 +82,7 @@
       if (state.up) cluster_.kill(node);
       break;
     case 1:
-      if (state.up) cluster_.power(node);
+      if (state.up) cluster_.losePower(node);
       break;
     case 2:
       state.frozen = state.frozen || state.up;
@@ -114,10 +114,10 @@
 void DutyFleet::liveAsHolder(std::size_t node) {
   Cluster::Node& state = cluster_.nodes()[node];
   Holder& holder = holders_[node];
-  if (holder.life != state.life) {
+  if (holder.life != state.processNumber) {
     Ms const clockStep = holder.clockStep;
     holder = Holder();
-    holder.life = state.life;
+    holder.life = state.processNumber;
     holder.clockStep = clockStep;
     state.consensus->addKeyspace(duties);
   }
