--- a/tests/consensus/consensus_probe.hpp
+++ b/tests/consensus/consensus_probe.hpp
@@ -3,13 +3,13 @@
 
 namespace tealshelf {
 
-/// Reaches into the state machine: the search decides who takes a keyspace over, and knows states by their content.
+/// Gives tests access to private state: the search chooses which node takes over, and compares states by content.
 struct ConsensusProbe {
   static TimePoint now() { return TimePoint() + std::chrono::hours(10); }
   static void takeOver(Consensus& consensus, string const& keyspace) {
     if (consensus.mayVote()) consensus.startTakeover(keyspace, consensus.keyspaces_[keyspace], now());
   }
-  /// Forgets whom it heard, and for how long.
+  /// Forgets which nodes were heard, and for how long they have been silent.
   static void forgetContacts(Consensus& consensus) {
     consensus.contacts_.reset(TimePoint() + std::chrono::hours(1), now());
   }
--- a/tests/consensus/consensus_sim.cpp
+++ b/tests/consensus/consensus_sim.cpp
@@ -130,8 +130,8 @@
     std::uint64_t const n = std::strtoull(v->at("current").c_str(), nullptr, 10);
     for (std::pair<string const, string> const& p : *v)
       if (p.first != "current" && refused_.count(std::strtoull(p.second.c_str(), nullptr, 10)))
-        fail("a write that was refused is in force at " + node.self.name);
-    if (n < node.highestValueSeen) fail("a settled view went back at " + node.self.name);
+        fail("a refused write is in effect on " + node.self.name);
+    if (n < node.highestValueSeen) fail("the committed value decreased on " + node.self.name);
     node.highestValueSeen = n;
   }
 }
@@ -169,9 +169,9 @@
   std::size_t const j = dice(nodes_.size());
   Node& peer = nodes_[j];
   if (!reaches(i, j) || !peer.consensus->owns("members") || !peer.changes.empty()) return;
-  MembershipPolicy const rule{deadAfter, std::max<std::size_t>(3, MembershipPolicy::membersToSurvive(survive))};
+  MembershipPolicy const policy{deadAfter, std::max<std::size_t>(3, MembershipPolicy::membersToSurvive(survive))};
   MembershipChange const request{node.consensus->self(), false, node.learnerCopiedUnder};
-  std::optional<tealshelf::Membership> const n = rule.next(*peer.consensus, request, now_);
+  std::optional<tealshelf::Membership> const n = policy.next(*peer.consensus, request, now_);
   if (!n) return;
   msgpack::sbuffer b;
   msgpack::pack(b, *n);
@@ -243,13 +243,13 @@
     if (o.result != OperationResult::committed) return;
     if (op.write) {
       ++writes;
-      if (op.value <= op.floor) fail("a write was acknowledged over an older value");
+      if (op.value <= op.floor) fail("an acknowledged write did not increase the acknowledged value");
       highestAcknowledged = std::max(highestAcknowledged, op.value);
-      ackedAt_ = now_;
-      ackedBy_ = node;
+      acknowledgedAt_ = now_;
+      acknowledgedBy_ = node;
     } else {
       ++reads;
-      if (value(nodes_[node]) < op.floor) fail("a confirmed read missed an acknowledged write");
+      if (value(nodes_[node]) < op.floor) fail("a confirmed read did not see an acknowledged write");
     }
     return;
   }
--- a/tests/consensus/consensus_sim.hpp
+++ b/tests/consensus/consensus_sim.hpp
@@ -5,30 +5,30 @@
 
 namespace tealshelf::sim {
 
-/// A membership of registries on a virtual clock, a lossy network and disks that lose power.
+/// Simulates control nodes with a virtual clock, a lossy network, and disks that can lose power or fail.
 class Cluster {
  public:
   struct Node {
     std::unique_ptr<Consensus> consensus;
     Member self;
-    vector<string> disk, cached, unsynced;  ///< records synced, left unsynced by a killed process, and not yet synced
+    vector<string> disk, cached, unsynced;  ///< records: synced, left unsynced by a killed process, not yet synced
     std::deque<std::pair<std::size_t, Output>>
-        waiting;  ///< batches that wait for a sync, with the disk length they need
+        waiting;  ///< outputs waiting for a sync, with the number of synced records they need
     bool up = true, frozen = false;
-    bool diskFails = false;  ///< its disk syncs nothing
+    bool diskFails = false;  ///< the disk syncs nothing
     std::uint64_t processNumber = 0;
     TimePoint syncAt;
-    Ms syncTakes = Ms(5);                                    ///< how long a write and its sync take
-    std::uint64_t highestValueSeen = 0;                      ///< highest settled version in this life
-    bool hasDisk = true;                                     ///< without a disk its state ends with its process
-    std::map<std::uint64_t, tealshelf::Membership> changes;  ///< memberships proposed by this life, by operation
-    std::set<std::size_t> copies;  ///< members copied from under the membership in copiedMembership
+    Ms syncTakes = Ms(5);                                    ///< time from a write to the end of its sync
+    std::uint64_t highestValueSeen = 0;                      ///< highest committed value that this process has shown
+    bool hasDisk = true;                                     ///< a node without a disk loses its state with its process
+    std::map<std::uint64_t, tealshelf::Membership> changes;  ///< memberships that this process proposed, by operation
+    std::set<std::size_t> copies;                            ///< nodes whose keys were copied, under copiedMembership
     MembershipNumber copiedMembership;
-    Position known;                 ///< how far the owner of the configuration has committed, by its last heartbeat
-    bool diskHoldsAllKeys = false;  ///< its disk is known to hold all keys
+    Position known;                 ///< committed position in the last heartbeat of the configuration's owner
+    bool diskHoldsAllKeys = false;  ///< it holds all keys, and all of its records are synced
     vector<DiskCopy> copied;
-    bool copiesAsMember = false;          ///< copies are for a vote, not a learner's
-    MembershipNumber learnerCopiedUnder;  ///< as a learner it copied from a majority under this number
+    bool copiesAsMember = false;          ///< copies are made as a member, not as a learner
+    MembershipNumber learnerCopiedUnder;  ///< membership from a majority of which it copied as a learner
     vector<DiskCopy> learnerCopies;
   };
   struct Op {
@@ -36,7 +36,7 @@
     std::uint64_t value = 0, floor = 0, node = 0, processNumber = 0, op = 0, mark = 0;
   };
 
-  /// Some nodes found the membership; the others, if any, join it.
+  /// `founders` nodes form the first membership, which tests install; the others join. 0: all nodes form it at once.
   Cluster(std::uint64_t seed, std::size_t n, bool skipsSync = false, std::size_t founders = 0)
       : random_(seed), skipsSync_(skipsSync), nodes_(n), founders_(founders ? founders : n) {
     for (std::size_t i = 0; i < n; ++i)
@@ -46,17 +46,17 @@
     if (!founders)
       for (std::size_t i = 0; i < n; ++i) installFirstMembership(i);
   }
-  /// A founder that reaches all others installs the first membership.
+  /// Installs the first membership on a node.
   void installFirstMembership(std::size_t i);
-  bool joins = false;          ///< nodes outside the membership ask to join, new members copy
-  bool keepIdentity = false;   ///< the broken variant: a wiped disk comes back under its old identity, and votes
-  bool sendsUnsynced = false;  ///< the broken variant: what a refusing disk should back is said all the same
-  bool installsLearnerCopies = false;  ///< the broken variant: a promoted learner votes with what it copied before
+  bool joins = false;                  ///< nodes outside the membership ask to join, and new members copy all keys
+  bool keepIdentity = false;           ///< injected fault: a wiped node keeps its identity and votes
+  bool sendsUnsynced = false;          ///< injected fault: messages are sent although a failing disk didn't sync
+  bool installsLearnerCopies = false;  ///< injected fault: a promoted learner votes with its earlier copies
   Ms deadAfter = Ms(3600);
   std::int64_t survive = 0;
-  /// The disk is lost: the node starts again empty, with a new identity.
+  /// Loses the disk: the node restarts empty, under a new identity.
   void wipe(std::size_t i);
-  /// Records in the middle of the log are lost; the disk knows, and gives up its vote unless it is broken.
+  /// Loses records in the middle of the log. The node detects it and gives up its vote, unless `keepsVoting`.
   void corruptDisk(std::size_t i, bool keepsVoting = false);
   void makeDiskless(std::size_t i) {
     nodes_[i].hasDisk = false;
@@ -70,7 +70,7 @@
       if (node.up && node.consensus->membership().number > membership.number) membership = node.consensus->membership();
     return membership;
   }
-  /// How many running members vote, or will once they learn of the newest membership.
+  /// How many running members vote, or will vote once they know the newest membership.
   std::size_t voters() const {
     tealshelf::Membership const membership = newest();
     std::size_t n = 0;
@@ -95,29 +95,29 @@
   TimePoint now() const { return now_; }
   vector<Node>& nodes() { return nodes_; }
   double loss = 0;
-  std::uint64_t delay = 0;                             ///< packets come up to so many ms later
-  bool countsUnknownAsRefused = false;                 ///< the broken variant: an unknown end counts as a refusal
-  bool datesContactByArrival = false;                  ///< the broken variant: contact counts from the arrival
-  bool syncAtStart = true;                             ///< a start syncs what a killed process left unsynced
-  std::set<std::pair<std::size_t, std::size_t>> cuts;  ///< one-way
+  std::uint64_t delay = 0;                             ///< maximum extra delay of a packet in milliseconds
+  bool countsUnknownAsRefused = false;                 ///< injected fault: an unknown outcome counts as a refusal
+  bool datesContactByArrival = false;                  ///< injected fault: contact is dated by the time of arrival
+  bool syncAtStart = true;                             ///< a restart syncs what a killed process left unsynced
+  std::set<std::pair<std::size_t, std::size_t>> cuts;  ///< one-way, from and to
 
-  /// One step of 5 ms.
+  /// Advances the clock by 5 ms.
   void step();
   void run(std::size_t steps) {
     for (std::size_t i = 0; i < steps; ++i) step();
   }
-  /// Loses power: what was not synced is gone, or partly there.
+  /// Loses power: unsynced records are lost, all or in part.
   void losePower(std::size_t i);
   void kill(std::size_t i);
-  bool keepsVoting = false;  ///< the broken variant: a disk with lost records goes on voting
-  /// Starts a node of whose disk the newest synced records are lost.
+  bool keepsVoting = false;  ///< injected fault: a node that lost records continues to vote
+  /// Starts a node whose disk has lost its newest synced records.
   void startWithLostRecords(std::size_t i);
   void start(std::size_t i);
 
-  /// The configuration keyspace as a counter: each write adds one to what the owner holds.
+  /// Uses the configuration keyspace as a counter: each write sets the owner's value plus one.
   void write();
   void read();
-  /// Starts an operation of a test's own at a node; its end is told unless the node's life ends first.
+  /// Starts an operation on a node; `end` is called with its success unless the process ends first.
   void begin(std::size_t i, std::function<std::uint64_t(Consensus&)> const& start, std::function<void(bool)> end) {
     Node& node = nodes_[i];
     testOperations_[{i, node.processNumber, start(*node.consensus)}] = std::move(end);
@@ -128,35 +128,35 @@
     std::map<string, string>::const_iterator const c = v.find("current");
     return c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10);
   }
-  /// Gives the owner of the configuration many keys at once.
+  /// Writes many keys at once to the configuration on its owner.
   void fill(std::size_t i, std::size_t keys, std::size_t bytes) {
     vector<KeyChange> cs;
     for (std::size_t k = 0; k < keys; ++k) cs.push_back({"f" + std::to_string(k), string(bytes, 'x'), false});
     nodes_[i].consensus->propose("configuration", cs, now_);
     flushOutput(nodes_[i]);
   }
-  std::size_t pieces = 0, largestChunkBytes = 0;
+  std::size_t chunks = 0, largestChunkBytes = 0;  ///< of the transfers to lagging members
   bool writing(std::size_t i) const { return writing_.count(i) != 0; }
   std::uint64_t highestAcknowledged = 0, reads = 0, writes = 0, unknown = 0;
   string violation;
 
-  /// Nobody's settled view goes back within a life, nor is ahead of what was ever proposed.
+  /// Checks that no process's committed value decreases, and that no node shows a refused write.
   void check();
 
  private:
-  /// Who says that it is in touch with a majority has sent what a majority received, within the bound.
+  /// Checks that a node claims contact with a majority only if a majority received a recent heartbeat from it.
   void checkContact(Node const& node) {
     if (!node.consensus->inContactWithMajority(now_)) return;
-    vector<TimePoint> truth;
+    vector<TimePoint> lastReceived;
     for (Member const& m : node.consensus->membership().members)
-      truth.push_back(m.id == node.self.id ? now_ : received_[{node.self.id, m.id}]);
-    std::sort(truth.begin(), truth.end(), std::greater<TimePoint>());
-    TimePoint const proof = truth[node.consensus->membership().quorum() - 1];
-    if (now_ - proof <= Ms(750)) return;
+      lastReceived.push_back(m.id == node.self.id ? now_ : received_[{node.self.id, m.id}]);
+    std::sort(lastReceived.begin(), lastReceived.end(), std::greater<TimePoint>());
+    TimePoint const contact = lastReceived[node.consensus->membership().quorum() - 1];
+    if (now_ - contact <= Ms(750)) return;
     std::size_t const i = static_cast<std::size_t>(&node - nodes_.data());
-    bool const overtaken = ackedAt_ > proof && ackedBy_ != i;
-    fail(node.self.name + (overtaken ? " claims a majority while another owner acknowledged a newer write"
-                                     : " claims a majority on an old proof"));
+    bool const superseded = acknowledgedAt_ > contact && acknowledgedBy_ != i;
+    fail(node.self.name + (superseded ? " claims contact with a majority while another owner acknowledged a newer write"
+                                      : " claims contact with a majority on outdated evidence"));
   }
   void fail(string const& s) {
     if (violation.empty()) violation = s;
@@ -177,7 +177,7 @@
   }
   void sync(Node& node) {
     if (node.diskFails) return;
-    // A sync covers the log that this life writes, not what an earlier life left.
+    // A sync covers the records of this process, not those that an earlier process left unsynced.
     for (string& r : node.unsynced) node.disk.push_back(std::move(r));
     node.unsynced.clear();
     std::deque<std::pair<std::size_t, Output>> w;
@@ -190,7 +190,7 @@
       if (!std::holds_alternative<TransferChunk>(m.body)) continue;
       msgpack::sbuffer packed;
       msgpack::pack(packed, m);
-      ++pieces;
+      ++chunks;
       largestChunkBytes = std::max(largestChunkBytes, packed.size());
     }
     for (Message& m : b.messages)
@@ -240,18 +240,18 @@
     peer.consensus->receiveHeartbeat(p, now_);
     flushOutput(peer);
   }
-  /// What the driver does: join, change the membership, copy.
+  /// Does the work of MembershipManager: joins, changes the membership, copies all keys.
   void join(std::size_t i);
   bool reaches(std::size_t i, std::size_t j) const {
     return i != j && nodes_[j].up && !nodes_[j].frozen && !cuts.count({i, j}) && !cuts.count({j, i});
   }
-  /// Copies from one disk, as a learner or for the vote.
+  /// Copies all keys from other nodes, as a learner or as a member without a vote.
   void copy(Node& node, std::size_t i);
   void outcome(std::size_t node, OperationOutcome const& o);
 
  public:
   void unfreeze(std::size_t i);
-  /// Ends every cut, loss, stop and freeze.
+  /// Restores all connections, starts all stopped nodes and unfreezes all frozen ones.
   void heal();
 
  private:
@@ -267,10 +267,11 @@
   std::set<std::size_t> writing_;
   std::map<std::tuple<std::size_t, std::uint64_t, std::uint64_t>, std::function<void(bool)>> testOperations_;
   std::uint64_t lastMark_ = 0;
-  std::set<std::uint64_t> refused_;  ///< marks of writes that were said never to come into force
-  std::map<std::pair<NodeId, NodeId>, TimePoint> received_;  ///< when the latest heartbeat that arrived was sent
-  TimePoint ackedAt_;
-  std::size_t ackedBy_ = 0;
+  std::set<std::uint64_t> refused_;  ///< marks of writes that were reported as never taking effect
+  std::map<std::pair<NodeId, NodeId>, TimePoint>
+      received_;  ///< send time of the latest received heartbeat, by sender and receiver
+  TimePoint acknowledgedAt_;
+  std::size_t acknowledgedBy_ = 0;
   vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> heldMessages_;
 };
 
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -73,11 +73,11 @@
     if (node.consensus->owns("configuration") && cluster.value(node) < cluster.highestAcknowledged)
       return "the owner lost an acknowledged write";
     std::optional<std::map<string, string>> const v = node.consensus->lastKnownValues("configuration");
-    if (!v) return node.self.name + " has no settled view after all was healed";
+    if (!v) return node.self.name + " knows no committed values after all faults ended";
     if (std::strtoull(v->at("current").c_str(), nullptr, 10) < cluster.highestAcknowledged)
-      return node.self.name + " lags after all was healed";
+      return node.self.name + " lags after all faults ended";
   }
-  return owners == 1 ? "" : std::to_string(owners) + " owners after all was healed";
+  return owners == 1 ? "" : std::to_string(owners) + " owners after all faults ended, expected 1";
 }
 }
 ;
@@ -102,16 +102,16 @@
 
 TEST(consensus, aReplyBeforeItsSyncIsDetected) {
   std::uint64_t w = 0, r = 0;
-  bool caught = false;
-  for (std::uint64_t s = 1; s <= 3000 && !caught; ++s) caught = !simulate(s, 3, true, w, r).empty();
-  CHECK_TEXT(caught, "the broken variant was never caught");
+  bool detected = false;
+  for (std::uint64_t s = 1; s <= 3000 && !detected; ++s) detected = !simulate(s, 3, true, w, r).empty();
+  CHECK_TEXT(detected, "the injected fault was never detected");
 }
 
 TEST(consensus, aRestartThatDoesNotSyncIsDetected) {
   std::uint64_t w = 0, r = 0;
-  bool caught = false;
-  for (std::uint64_t s = 1; s <= 3000 && !caught; ++s) caught = !simulate(s, 3, false, w, r, false).empty();
-  CHECK_TEXT(caught, "the broken variant was never caught");
+  bool detected = false;
+  for (std::uint64_t s = 1; s <= 3000 && !detected; ++s) detected = !simulate(s, 3, false, w, r, false).empty();
+  CHECK_TEXT(detected, "the injected fault was never detected");
 }
 
 TEST(consensus, restartedMemberLearnsOfNextVersions) {
@@ -135,7 +135,7 @@
     cluster.run(200);
     for (sim::Cluster::Node const& node : cluster.nodes()) {
       std::optional<std::map<string, string>> const v = node.consensus->lastKnownValues("configuration");
-      CHECK_TEXT(v.has_value(), (node.self.name + " is not settled").c_str());
+      CHECK_TEXT(v.has_value(), (node.self.name + " knows no committed values").c_str());
       CHECK(std::strtoull(v->at("current").c_str(), nullptr, 10) >= cluster.highestAcknowledged);
     }
   }
@@ -162,7 +162,7 @@
   CHECK(cluster.highestAcknowledged > before);
   cluster.losePower(other);
   cluster.losePower(owner);
-  // The owner's disk is gone; its new identity has no vote, so the stale one and the other decide.
+  // The owner's disk is wiped; its new identity has no vote, so the stale member and the other one decide.
   sim::Cluster::Node& w = cluster.nodes()[owner];
   w.disk.clear();
   w.self.id = NodeId(777);
@@ -178,11 +178,11 @@
     CHECK(cluster.value(cluster.nodes()[i]) >= cluster.highestAcknowledged);
     return;
   }
-  FAIL("nobody owns the configuration");
+  FAIL("no node owns the configuration");
 }
 
 namespace {
-/// Cuts a node off, in one direction or both, freezes it or delays all packets; all heal in between.
+/// Repeatedly isolates a node in one direction or both, freezes it or delays all packets, then ends the fault.
 string simulateIsolation(std::uint64_t seed, bool datesContactByArrival, std::uint64_t& writes) {
   sim::Cluster cluster(seed, 3 + seed % 2);
   cluster.datesContactByArrival = datesContactByArrival;
@@ -195,12 +195,11 @@
     }
     cluster.nodes()[i].frozen = kind == 3;
     cluster.delay = kind == 4 ? 2000 : 0;
-    bool const thaws = kind == 3;
     for (std::size_t k = 0; k < 1600 && cluster.violation.empty(); ++k) {
       if (k == 800) {
         cluster.cuts.clear();
         cluster.delay = 0;
-        if (thaws) cluster.unfreeze(i);
+        if (kind == 3) cluster.unfreeze(i);
         cluster.check();
       }
       cluster.step();
@@ -210,7 +209,7 @@
     if (!cluster.violation.empty()) return cluster.violation;
     for (sim::Cluster::Node const& node : cluster.nodes())
       if (!node.consensus->inContactWithMajority(cluster.now()))
-        return node.self.name + " is not in touch again after the heal";
+        return node.self.name + " has no contact with a majority after the fault ended";
   }
   writes += cluster.writes;
   return "";
@@ -227,11 +226,11 @@
 }
 
 TEST(consensus, contactDatedByArrivalIsDetected) {
-  bool caught = false;
+  bool detected = false;
   std::uint64_t writes = 0;
-  for (std::uint64_t s = 1; s <= 60 && !caught; ++s)
-    caught = simulateIsolation(s, true, writes).find("acknowledged a newer write") != string::npos;
-  CHECK_TEXT(caught, "the old dating was never caught");
+  for (std::uint64_t s = 1; s <= 60 && !detected; ++s)
+    detected = simulateIsolation(s, true, writes).find("acknowledged a newer write") != string::npos;
+  CHECK_TEXT(detected, "contact dated by arrival was never detected");
 }
 
 namespace {
@@ -254,11 +253,11 @@
       if (s % 3 != 2) cluster.cuts.insert({j, owner});
     }
     std::uint64_t const before = c.epochOf("configuration").number;
-    std::size_t const open = cluster.unknown;
+    std::size_t const unknownBefore = cluster.unknown;
     while (!cluster.writing(owner)) cluster.write();
-    cluster.run(130);  // the bound of an open write, and a tick
-    CHECK_EQUAL(open + 1, cluster.unknown);
-    CHECK_FALSE_TEXT(c.owns("configuration"), "it builds on after an unknown end");
+    cluster.run(130);  // the operation timeout and a tick
+    CHECK_EQUAL(unknownBefore + 1, cluster.unknown);
+    CHECK_FALSE_TEXT(c.owns("configuration"), "it still owns the keyspace after an unknown outcome");
     cluster.run(310);
     CHECK_FALSE(c.owns("members"));
     CHECK(ownerOf(cluster) != owner && ownerOf(cluster) < 3);
@@ -271,8 +270,8 @@
 }
 
 TEST(consensus, anUnknownOutcomeTakenForARefusalIsDetected) {
-  bool caught = false;
-  for (std::uint64_t s = 1; s <= 60 && !caught; ++s) {
+  bool detected = false;
+  for (std::uint64_t s = 1; s <= 60 && !detected; ++s) {
     sim::Cluster cluster(s, 3);
     cluster.countsUnknownAsRefused = true;
     cluster.run(400);
@@ -282,13 +281,13 @@
       if (cluster.dice(60) == 0) injectFault(cluster);
       cluster.check();
     }
-    caught = cluster.violation.find("refused is in force") != string::npos;
+    detected = cluster.violation.find("a refused write is in effect") != string::npos;
   }
-  CHECK_TEXT(caught, "the broken variant was never caught");
+  CHECK_TEXT(detected, "the injected fault was never detected");
 }
 
 namespace {
-/// What a node would have shown by the old rule, which wanted that nothing was under way.
+/// The values that a node would show if it did so only while no write is pending, as an earlier rule required.
 std::optional<std::map<string, string>> valuesWhenIdle(sim::Cluster::Node const& node, TimePoint now) {
   Position applied;
   for (KeyspaceProgress const& k : node.consensus->heartbeat(now).keyspaces)
@@ -304,7 +303,7 @@
     }
   return v;
 }
-/// Four members under unbroken writes, one of them restarted midway; says where a view is missing or lags.
+/// Four members under constant writes, one of them restarted midway. Returns where a node shows no values or lags.
 string simulateConstantWrites(std::uint64_t seed, bool onlyWhenIdle, std::uint64_t& writes) {
   sim::Cluster cluster(seed, 4);
   cluster.run(600);
@@ -321,7 +320,7 @@
       if (node.consensus->owns("configuration") || (i == restarted && k >= 2500 && k < 3200)) continue;
       std::optional<std::map<string, string>> const v =
           onlyWhenIdle ? valuesWhenIdle(node, cluster.now()) : node.consensus->lastKnownValues("configuration");
-      if (!v) return node.self.name + " has no view at step " + std::to_string(k);
+      if (!v) return node.self.name + " shows no values at step " + std::to_string(k);
       if (std::strtoull(v->at("current").c_str(), nullptr, 10) + 12 < cluster.highestAcknowledged)
         return node.self.name + " lags at step " + std::to_string(k);
     }
@@ -342,7 +341,8 @@
 
 TEST(consensus, readsOnlyFromAnIdleKeyspaceAreDetected) {
   std::uint64_t writes = 0;
-  for (std::uint64_t s = 1; s <= 6; ++s) CHECK(simulateConstantWrites(s, true, writes).find("no view") != string::npos);
+  for (std::uint64_t s = 1; s <= 6; ++s)
+    CHECK(simulateConstantWrites(s, true, writes).find("shows no values") != string::npos);
 }
 
 TEST(consensus, aLaggingMemberCatchesUpInChunksDuringWrites) {
@@ -353,7 +353,7 @@
     cluster.fill(owner, 3000, 200);
     cluster.run(100);
     cluster.loss = s % 2 ? 0.05 : 0;
-    // The first time away is short, the second long; the third ends in the middle of the pieces.
+    // The first absence is short, the second long; the third is followed by a restart during the transfer.
     for (int const steps : {60, 3000, 30, 600}) {
       cluster.kill(away);
       if (steps == 3000) cluster.fill(owner, 3000, 200);
@@ -362,22 +362,23 @@
         cluster.step();
       }
       cluster.start(away);
-      std::size_t const before = cluster.pieces;
+      std::size_t const before = cluster.chunks;
       for (int k = 0; k < (steps == 30 ? 110 : 900); ++k) {
         cluster.write();
         cluster.step();
         if (k % 50 == 0) cluster.check();
       }
       if (steps == 60 && !cluster.loss)
-        CHECK_TEXT(cluster.pieces - before < 4, "a short time away costs the whole state");
+        CHECK_TEXT(cluster.chunks - before < 4, "a short absence causes a transfer of the whole state");
     }
-    CHECK(cluster.pieces > 10);
-    CHECK_TEXT(cluster.largestChunkBytes < 100000, "a piece is over its bound");
+    CHECK(cluster.chunks > 10);
+    CHECK_TEXT(cluster.largestChunkBytes < 100000, "a chunk exceeds its maximum size");
     cluster.loss = 0;
     cluster.run(400);
     STRCMP_EQUAL("", cluster.violation.c_str());
     std::map<string, string> const v = cluster.nodes()[owner].consensus->committedValues("configuration");
     CHECK(v.size() > 3000 && cluster.nodes()[owner].consensus->owns("configuration"));
-    CHECK_TEXT(cluster.nodes()[away].consensus->lastKnownValues("configuration") == v, "the member that was away lags");
+    CHECK_TEXT(cluster.nodes()[away].consensus->lastKnownValues("configuration") == v,
+               "the member that was absent still lags");
   }
 }
--- a/tests/consensus/epoch_test.cpp
+++ b/tests/consensus/epoch_test.cpp
@@ -17,11 +17,11 @@
   }
 }
 
-/// A sync that takes long, but not so long that the disk counts as stalled.
+/// A slow sync, still below the limit at which the disk counts as stalled.
 constexpr Ms slowSync(600);
 
-/// The preferred owner starts again with a disk slower than the others', and acknowledges before its own vote is
-/// synced. Then all lose power at once and start again, on a network that loses packets.
+/// The preferred owner restarts with a slower disk than the others and could acknowledge writes before its own vote is
+/// synced. Then all nodes lose power at once and restart, on a network that loses packets.
 string ownerWithASlowDisk(std::uint64_t seed, std::uint64_t& acknowledgedBefore) {
   sim::Cluster cluster(seed, 3);
   cluster.run(400);
@@ -46,7 +46,7 @@
   load(cluster, 400);
   if (!cluster.violation.empty()) return cluster.violation;
   std::size_t const last = cluster.ownerOf("configuration");
-  if (last == 3) return "no owner after all started again";
+  if (last == 3) return "no owner after all nodes restarted";
   return cluster.value(cluster.nodes()[last]) < cluster.highestAcknowledged ? "the owner lost an acknowledged write"
                                                                             : "";
 }
@@ -54,7 +54,7 @@
 
 TEST_GROUP(epochs){};
 
-/// An epoch under which an owner wrote must never be taken by it a second time, also if it lost power.
+/// An owner must never use an epoch again under which it wrote before a power loss.
 TEST(epochs, aPowerLossOfAnOwnerWithASlowDiskLosesNoWrite) {
   std::uint64_t acknowledged = 0;
   std::size_t broken = 0;
@@ -69,7 +69,7 @@
   CHECK(acknowledged > 0);
 }
 
-/// The way in which an epoch could come twice: others vote and store, while the owner's own vote isn't synced yet.
+/// An epoch could be used twice if the others voted and stored writes while the owner's own vote wasn't synced.
 TEST(epochs, noNodeOwnsAKeyspaceBeforeItsOwnVoteIsSynced) {
   sim::Cluster cluster(3, 3);
   cluster.run(400);
@@ -85,7 +85,7 @@
   }
 }
 
-/// A change that builds on values read under an earlier ownership is refused, also by the same node.
+/// A change based on values read under an earlier ownership is refused, even by the same node.
 TEST(epochs, aChangeUnderAnEarlierOwnershipIsRefused) {
   sim::Cluster cluster(5, 3);
   cluster.run(400);
--- a/tests/consensus/failing_disk_test.cpp
+++ b/tests/consensus/failing_disk_test.cpp
@@ -12,7 +12,7 @@
     if (c.nodes()[i].consensus->owns("configuration")) return i;
   return c.nodes().size();
 }
-/// Changes that are confirmed while the owner's disk refuses, and again after it is well.
+/// Writes acknowledged while the owner's disk fails and after it has recovered.
 struct Refusal {
   std::uint64_t during = 0, after = 0;
   std::size_t nextOwner = 0, lastOwner = 0, first = 0;
@@ -39,7 +39,7 @@
   load(400);
   o.during = load(400);
   o.nextOwner = owner(c);
-  // The process may die before its disk is well; then it starts from what was synced.
+  // The process may lose power before its disk recovers; it then restarts from the synced records.
   if (c.dice(2)) {
     c.losePower(o.first);
     c.run(200);
@@ -54,7 +54,7 @@
   return o;
 }
 
-/// Disks that refuse and losses of power at random; what broke, if anything.
+/// Random disk failures and power losses. Returns the first violation, or nothing.
 string simulateRandomDiskFailures(std::uint64_t seed, bool sendsUnsynced) {
   sim::Cluster c(seed, 3);
   c.sendsUnsynced = sendsUnsynced;
@@ -80,8 +80,8 @@
   return c.violation;
 }
 
-/// A change is acknowledged by the owner and one other; that one restarts with its newest records
-/// lost, and at once the owner is down and the third is back.
+/// Writes are acknowledged by the owner and a second node. The second one restarts without its newest records, while
+/// the owner goes down and the third node returns.
 string simulateLostRecords(std::uint64_t seed, bool keepsVoting) {
   sim::Cluster c(seed, 3);
   c.keepsVoting = keepsVoting;
@@ -108,7 +108,8 @@
   c.start(first);
   load(800);
   if (c.violation.empty() && load(400) == 0) return "writes stopped";
-  if (c.violation.empty() && !c.nodes()[damaged].consensus->holdsAllKeys()) return "the damaged disk was not healed";
+  if (c.violation.empty() && !c.nodes()[damaged].consensus->holdsAllKeys())
+    return "the node with lost records did not become a voter again";
   return c.violation;
 }
 }  // namespace
@@ -128,24 +129,24 @@
       Refusal const kept = simulateWithFailingDisk(seed, false, nodes);
       stuck += kept.nextOwner == kept.first;
     }
-  CHECK_TEXT(stuck > 0, "an owner that keeps its keyspaces with a refusing disk was never caught");
+  CHECK_TEXT(stuck > 0, "an owner that keeps its keyspaces with a failing disk was never detected");
 }
 
 TEST(failingDisk, aNodeWithAFailingDiskSendsNothingUnsynced) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) STRCMP_EQUAL("", simulateRandomDiskFailures(seed, false).c_str());
-  bool caught = false;
-  for (std::uint64_t seed = 1; seed <= 2000 && !caught; ++seed)
-    caught = !simulateRandomDiskFailures(seed, true).empty();
-  CHECK_TEXT(caught, "votes and acks without a sync were never caught");
+  bool detected = false;
+  for (std::uint64_t seed = 1; seed <= 2000 && !detected; ++seed)
+    detected = !simulateRandomDiskFailures(seed, true).empty();
+  CHECK_TEXT(detected, "votes and acknowledgements without a sync were never detected");
 }
 
 TEST(failingDisk, aDiskWithLostRecordsVotesOnlyAfterCopyingFromAMajority) {
-  std::size_t caught = 0;
+  std::size_t detected = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     STRCMP_EQUAL("", simulateLostRecords(seed, false).c_str());
-    caught += !simulateLostRecords(seed, true).empty();
+    detected += !simulateLostRecords(seed, true).empty();
   }
-  CHECK_TEXT(caught > 0, "a damaged disk that votes on was never caught");
+  CHECK_TEXT(detected > 0, "a node that votes with lost records was never detected");
 }
 
 TEST(failingDisk, noMembershipRestoresALostVote) {
@@ -157,13 +158,13 @@
   third = first;
   third.number = MembershipNumber(3);
   third.members[0].incarnation = 7;
-  third.members[0].founder = false;  // as the disk itself says from then on
+  third.members[0].founder = false;  // as the node reports itself after giving up its vote
   Consensus x(first.members[0], Consensus::Timeouts{Ms(750), Ms(100), Ms(1500), Ms(600)}, 1), y = x;
   x.installMembership(first, true);
   x.giveUpVote(7);
   for (string const& record : x.snapshot()) y.replay(record);
   for (Consensus* const c : {&x, &y}) {
-    // Neither a membership that still names its former stay nor one that takes it in again makes it vote.
+    // Neither a membership with its former incarnation nor one with its new incarnation makes it vote.
     c->installMembership(second, true);
     CHECK_FALSE(c->holdsAllKeys());
     c->installMembership(third, false);
--- a/tests/consensus/forward_to_owner_test.cpp
+++ b/tests/consensus/forward_to_owner_test.cpp
@@ -5,7 +5,7 @@
 using namespace tealshelf;
 
 namespace {
-/// Nodes that each have a view of who owns a keyspace, right or wrong; calls between them are function calls.
+/// Nodes that each have their own, possibly wrong, view of a keyspace's owner. Calls between them are function calls.
 struct Nodes {
   struct Node;
   struct View {
@@ -13,7 +13,7 @@
     bool owns(string const&) const { return node.owner == node.ip; }
   };
   struct Node {
-    string ip, owner;  ///< this node and the one it takes for the owner
+    string ip, owner;  ///< this node, and the one it considers the owner
     bool silent = false;
     View consensus() const { return View{*this}; }
     std::optional<Address> ownerAddress(string const&) const {
@@ -48,7 +48,7 @@
     if (other) co_return *other;
     co_return Reply{ip, message.budgetMs};
   }
-  /// Who answered a call to the first node, or the code of the error.
+  /// The node that answered a call to the first node, or the status and code of the error.
   string result() {
     string text;
     asio::co_spawn(
@@ -58,7 +58,7 @@
             Message const message{0, 40};
             Reply const reply = co_await handle("a", message);
             text = reply.by;
-            if (reply.budgetMs > 40) text = "a budget that grew";
+            if (reply.budgetMs > 40) text = "the budget increased";
           } catch (Error const& error) {
             text = std::to_string(error.status()) + " E" + std::to_string(static_cast<int>(error.code()));
           }
@@ -74,7 +74,7 @@
 
 TEST(forwardToOwner, callsReachTheOwnerOrEndInTime) {
   struct {
-    char const *a, *b, *c;  ///< whom each takes for the owner
+    char const *a, *b, *c;  ///< the node that each considers the owner
     bool silent;            ///< b doesn't answer
     char const* result;
     int calls;
@@ -82,7 +82,7 @@
       {"a", "a", "a", false, "a", 0},
       {"b", "b", "b", false, "b", 1},
       {"b", "c", "c", false, "c", 2},
-      {"b", "a", "c", false, "503 E400", 2},  // each takes the other for the owner
+      {"b", "a", "c", false, "503 E400", 2},  // each considers the other the owner
       {"b", "c", "b", false, "503 E400", 2},
       {"", "b", "b", false, "503 E400", 0},
       {"b", "b", "b", true, "502 E502", 1},  // shown to the caller as 503
--- a/tests/consensus/learner_test.cpp
+++ b/tests/consensus/learner_test.cpp
@@ -19,7 +19,7 @@
     cluster.kill(2);
     cluster.run(300);
     write(cluster, 30);
-    CHECK_TEXT(cluster.highestAcknowledged > before, "one loss is borne beside a learner");
+    CHECK_TEXT(cluster.highestAcknowledged > before, "one loss is tolerated while there is a learner");
     cluster.start(2);
     cluster.cuts.clear();
     cluster.run(1500);
@@ -42,7 +42,7 @@
       CHECK(cluster.voters() >= cluster.newest().quorum());
     }
     CHECK_FALSE_TEXT(cluster.nodes()[3].consensus->holdsAllKeys(),
-                     "the newcomer has no vote by what it copied as a learner");
+                     "the copies made as a learner give the new member no vote");
     std::size_t const owner = cluster.ownerOf("members");
     std::size_t const other = owner == 0 ? 1 : 0;
     cluster.losePower(other);
@@ -50,7 +50,7 @@
     LONGS_EQUAL(3, cluster.voters());
     std::uint64_t const before = cluster.highestAcknowledged;
     write(cluster, 30);
-    CHECK_TEXT(cluster.highestAcknowledged > before, "the newcomer copied from those who are left, and votes");
+    CHECK_TEXT(cluster.highestAcknowledged > before, "the new member copied from the remaining members and votes");
     STRCMP_EQUAL("", healAndCheck(cluster).c_str());
   }
 }
@@ -72,7 +72,7 @@
     cluster.run(400);
     std::uint64_t const before = cluster.highestAcknowledged;
     write(cluster, 30);
-    CHECK_TEXT(cluster.highestAcknowledged > before, "the next loss is borne");
+    CHECK_TEXT(cluster.highestAcknowledged > before, "the next loss is tolerated");
     STRCMP_EQUAL("", healAndCheck(cluster).c_str());
   }
 }
@@ -83,7 +83,7 @@
     Ms deadAfter;
     bool stays;
   };
-  // The last row is the bound as it was: half of inTouch.
+  // Last row: with half of inTouch as deadAfter, a short absence removes the member.
   for (Case const& c : {Case{680, Ms(3600), true}, Case{1200, Ms(3600), false}, Case{680, Ms(1500), false}}) {
     sim::Cluster cluster(950, 4, false, 3);
     foundThree(cluster);
@@ -97,12 +97,12 @@
     cluster.unfreeze(3);
     for (int k = 100; k < c.frozen; ++k) {
       cluster.step();
-      CHECK_TEXT(cluster.members() == 3, "while one is silent nobody is added");
+      CHECK_TEXT(cluster.members() == 3, "no member is added while one is silent");
     }
     CHECK_EQUAL_TEXT(c.stays, cluster.newest().find(id) != nullptr, std::to_string(c.frozen).c_str());
     cluster.unfreeze(away);
     cluster.run(1500);
-    LONGS_EQUAL_TEXT(4, cluster.voters(), "it votes again, under another stay if it was replaced");
+    LONGS_EQUAL_TEXT(4, cluster.voters(), "it votes again, under another incarnation if it was replaced");
     STRCMP_EQUAL("", healAndCheck(cluster).c_str());
   }
 }
@@ -111,7 +111,7 @@
   struct Case {
     std::size_t disks;
     std::int64_t survive;
-    bool tight;
+    bool lacksTolerance;
   };
   for (Case const& c : {Case{3, 1, true}, Case{4, 1, true}, Case{5, 1, false}, Case{7, 2, false}, Case{8, 2, false},
                         Case{6, 2, true}}) {
@@ -119,9 +119,9 @@
     cluster.run(400);
     cluster.kill(1);
     cluster.run(400);
-    bool const tight = MembershipPolicy::lacksFaultTolerance(*cluster.nodes()[0].consensus, cluster.nodes()[1].self.id,
-                                                             c.survive, cluster.now());
-    CHECK_EQUAL_TEXT(c.tight, tight, std::to_string(c.disks).c_str());
+    bool const lacksTolerance = MembershipPolicy::lacksFaultTolerance(
+        *cluster.nodes()[0].consensus, cluster.nodes()[1].self.id, c.survive, cluster.now());
+    CHECK_EQUAL_TEXT(c.lacksTolerance, lacksTolerance, std::to_string(c.disks).c_str());
   }
 }
 
@@ -152,15 +152,15 @@
       MembershipChange late = request;
       late.copiedUnder = MembershipNumber(m.number.value - 1);
       bool const may = policyOf(cluster).next(*node.consensus, request, cluster.now()).has_value();
-      bool const newcomerVotes = m.members.size() == 3 || m.formerMembers.size() == m.members.size() ||
-                                 node.consensus->isReady(m.members.back().id, cluster.now());
+      bool const newMemberVotes = m.members.size() == 3 || m.formerMembers.size() == m.members.size() ||
+                                  node.consensus->isReady(m.members.back().id, cluster.now());
       CHECK_FALSE(policyOf(cluster).next(*node.consensus, late, cluster.now()).has_value());
       granted += may;
       if (!node.consensus->owns("members")) {
         ++refused;
         CHECK_FALSE(may);
       }
-      if (node.consensus->owns("members") && !newcomerVotes &&
+      if (node.consensus->owns("members") && !newMemberVotes &&
           node.consensus->isAlive(m.members.back().id, cluster.now())) {
         ++open;
         CHECK_FALSE(may);
@@ -183,7 +183,7 @@
     cluster.losePower(other);
     cluster.corruptDisk(bad);
     cluster.run(400);
-    CHECK_FALSE_TEXT(cluster.nodes()[bad].consensus->holdsAllKeys(), "one disk is no majority to heal from");
+    CHECK_FALSE_TEXT(cluster.nodes()[bad].consensus->holdsAllKeys(), "one node is no majority to copy from");
     std::uint64_t const before = cluster.highestAcknowledged;
     write(cluster, 10);
     LONGS_EQUAL(before, cluster.highestAcknowledged);
--- a/tests/consensus/membership_runs.hpp
+++ b/tests/consensus/membership_runs.hpp
@@ -2,7 +2,7 @@
 #include "tests/consensus/consensus_sim.hpp"
 #include "tests/seeds.hpp"
 
-/// Steps that the tests of the membership have in common.
+/// Steps shared by the membership tests.
 namespace tealshelf::sim {
 
 inline std::uint64_t seeds() {
@@ -14,7 +14,7 @@
     cluster.run(3);
   }
 }
-/// Runs until all eight are members that hold all keys, for so long at the most.
+/// Runs until all eight nodes are members that hold all keys, for 30 s of simulated time at most.
 inline void waitUntilAllAreMembers(Cluster& cluster) {
   for (int k = 0; k < 60; ++k) {
     cluster.run(100);
@@ -24,13 +24,13 @@
     if (n == 8) return;
   }
 }
-/// So many disks don't hold all keys.
+/// The number of disks that aren't known to hold all keys.
 inline std::size_t countIncompleteDisks(vector<Cluster::Node> const& nodes) {
   std::size_t n = 0;
   for (Cluster::Node const& node : nodes) n += !node.diskHoldsAllKeys;
   return n;
 }
-/// Everyone is up again; says what is broken.
+/// Ends all faults, runs on and returns the violation found, or nothing.
 inline string healAndCheck(Cluster& cluster) {
   cluster.heal();
   for (int k = 0; k < 2500 && cluster.violation.empty(); ++k) {
@@ -44,13 +44,13 @@
     if (node.consensus->owns("configuration") && cluster.value(node) < cluster.highestAcknowledged)
       return "the owner lost an acknowledged write";
   }
-  if (owners != 1) return std::to_string(owners) + " owners after all was healed";
+  if (owners != 1) return std::to_string(owners) + " owners after all faults ended, expected 1";
   std::set<std::uint64_t> numbers;
   for (Cluster::Node const& node : cluster.nodes())
     if (node.consensus->membership().find(node.self.id)) numbers.insert(node.consensus->membership().number.value);
   return numbers.size() == 1 ? "" : "members know different memberships";
 }
-/// Three disks of four found the membership.
+/// Installs a first membership of three nodes; others join it.
 inline void foundThree(Cluster& cluster) {
   cluster.joins = true;
   cluster.survive = 1;
--- a/tests/consensus/membership_search.hpp
+++ b/tests/consensus/membership_search.hpp
@@ -8,7 +8,7 @@
 
 namespace sim {
 
-/// Faults built in on purpose, to show that the search finds them.
+/// Deliberate faults, which the search must find.
 enum class InjectedFault {
   nothing,
   learnerVotesAtOnce,
@@ -18,15 +18,16 @@
   listsOneFormerMember
 };
 
-/// How often each event may happen on a path of the search.
+/// How often each kind of event may occur on a path of the search.
 struct Budget {
   int writes = 1, changes = 2, takeovers = 2, crashes = 1, wipes = 0, corruptions = 0, reads = 0, lateMessages = 0;
 };
 
-/// A small world of real state machines; every event ends with what it sent delivered, lost or under way.
+/// A state of the search: a few real state machines and the messages between them. After each event, the messages that
+/// it sent are delivered, lost or in flight.
 class World {
  public:
-  using Set = unsigned;  ///< of disks, by bits
+  using Set = unsigned;  ///< bit set of disks
   struct Disk {
     std::shared_ptr<Consensus const> state;
     std::shared_ptr<vector<string> const> durable;
@@ -60,12 +61,12 @@
     budget_ = budget;
   }
 
-  string violation;  ///< what rule an event broke; empty if none
+  string violation;  ///< the rule that an event violated; empty if none
   std::size_t size() const { return disks_.size(); }
   void allow(Budget b) { budget_ = b; }
   Set all() const { return (1u << size()) - 1; }
 
-  /// All worlds that one event leads to.
+  /// Visits all worlds that one event leads to.
   template <class Visit>
   void each(Visit visit) const {
     auto const visitIfAllowed = [&](bool may, auto event) {
@@ -119,7 +120,7 @@
     flush(i, reach);
     return true;
   }
-  /// The disks in reach beat, the others are silent; the owner decides on a wish of disk j.
+  /// The owner, disk i, decides on a join or leave of disk j. It has heartbeats only from the disks in reach.
   bool changeMembers(std::size_t i, Set reach, std::size_t j, bool leave) {
     if (!at(i).owns("members") || budget_.changes < 1) return false;
     if (leave ? !at(i).membership().find(id(j)) : at(j).isMember()) return false;
@@ -153,7 +154,7 @@
     flush(i, reach);
     return true;
   }
-  /// What a heartbeat brings; it is not synced before this disk sends something.
+  /// Disk i learns disk j's membership, as from a heartbeat; it syncs this before it next sends something.
   bool learn(std::size_t i, std::size_t j) {
     if (at(j).membership().number <= at(i).membership().number) return false;
     change(i).installMembership(at(j).membership(), false);
@@ -213,7 +214,7 @@
     disks_[i].durable = std::make_shared<vector<string>>();
     return true;
   }
-  /// The disk lost all records of keys, and knows that it lost some.
+  /// The disk loses all records of keys and detects the loss.
   bool corruptDisk(std::size_t i) {
     if (!spend(budget_.corruptions) || disks_[i].durable->empty()) return false;
     Consensus c = fresh(at(i).self());
@@ -239,7 +240,7 @@
   }
 
  private:
-  /// All rounds of messages that disk i may start with some disks in reach.
+  /// Visits all operations that disk i may start while the disks in `s` are in reach.
   template <class Try>
   void forEachRound(std::size_t i, Set s, Try const& visitIfAllowed) const {
     Consensus const& c = at(i);
@@ -292,7 +293,7 @@
     return std::nullopt;
   }
 
-  /// Syncs what a disk wrote, then sends: to the disks in reach at once, to others later or never.
+  /// Syncs a disk's records, then sends its messages: at once to the disks in reach, later or never to others.
   void flush(std::size_t i, Set reach, Set heldReplies = 0) {
     Output b = change(i).takeOutput();
     disks_[i].durable = std::make_shared<vector<string>>(at(i).snapshot());
@@ -324,8 +325,8 @@
     for (string const& key : keys)
       if (!at(i).committedValues("configuration").count(key)) violation = who + " lacks an acknowledged change";
   }
-  /// Of the newest membership no majority of disks that vote, or would once they learn of it, lacks
-  /// an acknowledged change.
+  /// Checks that no majority of the newest membership, counting disks that vote or will once they know it, lacks an
+  /// acknowledged change.
   void check() {
     Membership newest;
     for (Disk const& d : disks_)
@@ -351,13 +352,13 @@
   std::map<std::uint64_t, Membership> changes_;
 };
 
-/// Searches all orders of events up to a depth, each state once.
+/// Searches all orders of events up to a depth; visits a state again only with more depth remaining.
 class Search {
  public:
   explicit Search(std::size_t maxStates) : maxStates_(maxStates) {}
   std::size_t states() const { return seen_.size(); }
   bool cut() const { return truncated_; }
-  /// What is broken on some path, or nothing.
+  /// The violation found on some path, or nothing.
   string run(World w, int depth) {
     int& known = seen_[w.hash()];
     if (known > depth) return "";
--- a/tests/consensus/membership_search_test.cpp
+++ b/tests/consensus/membership_search_test.cpp
@@ -10,26 +10,26 @@
 using sim::InjectedFault;
 using sim::World;
 
-/// All orders of a few events, over the real state machine: see membership_search.hpp.
+/// Checks all orders of a few events on the real state machine, see membership_search.hpp.
 TEST_GROUP(membershipSearch){};
 
 namespace {
 struct Case {
   char const* name;
-  std::size_t disks;  ///< of which three found the membership
+  std::size_t disks;  ///< three of them form the first membership
   int depth;
   Budget budget;
   InjectedFault fault = InjectedFault::nothing;
 };
-/// TEALSHELF_DEPTH deepens the search beyond what a quick run takes.
-int deeper() {
+/// Additional search depth from the environment variable TEALSHELF_DEPTH, for long runs.
+int additionalDepth() {
   char const* const s = std::getenv("TEALSHELF_DEPTH");
   return s ? std::atoi(s) : 0;
 }
-/// Searches on from a world; says how far it came, and what is broken.
+/// Searches from a world; prints the states searched and returns the violation found.
 string search(Case const& c, World const& from) {
   sim::Search s(c.fault == InjectedFault::nothing ? 3000000 : 400000);
-  int const depth = c.depth + (c.fault == InjectedFault::nothing ? deeper() : 0);
+  int const depth = c.depth + (c.fault == InjectedFault::nothing ? additionalDepth() : 0);
   string const found = s.run(from, depth);
   std::printf("%s: %zu states to depth %d\n", c.name, s.states(), depth);
   return s.cut() ? "cut short" : found;
@@ -37,7 +37,7 @@
 World start(Case const& c) {
   return World(c.disks, 3, c.budget, c.fault);
 }
-/// Disk 3 took the place of disk 2; disks 0 and 3 have an acknowledged change that disk 1 lacks.
+/// Disk 3 has replaced disk 2; disks 0 and 3 have an acknowledged change that disk 1 lacks.
 World replaced(Case const& c) {
   World w(c.disks, 3, Budget{1, 1, 2}, c.fault);
   CHECK(w.changeMembers(0, 0b0010, 3, false));
@@ -50,7 +50,7 @@
   w.allow(c.budget);
   return w;
 }
-/// Disks 0 and 1 have an acknowledged change, and disk 2 decides on members.
+/// Disks 0 and 1 have an acknowledged change; disk 2 owns the members keyspace.
 World othersDecide(Case const& c) {
   World w(c.disks, 3, Budget{1, 0, 1}, c.fault);
   CHECK(w.write(0, 0b010, false));
@@ -96,12 +96,12 @@
        3,
        {.writes = 1, .changes = 1, .takeovers = 0, .crashes = 0},
        InjectedFault::learnerVotesAtOnce},
-      {"a newcomer copies from one disk",
+      {"a new member copies from one disk",
        4,
        4,
        {.writes = 1, .changes = 1, .takeovers = 0, .crashes = 0},
        InjectedFault::listsOneFormerMember},
-      {"a corrupt disk votes on",
+      {"a corrupt disk continues to vote",
        3,
        3,
        {.writes = 1, .changes = 0, .takeovers = 0, .crashes = 0, .corruptions = 1},
@@ -115,7 +115,7 @@
                    {.writes = 0, .changes = 2, .takeovers = 1, .crashes = 0},
                    InjectedFault::removesAtAnyTime};
   STRCMP_EQUAL("a majority that votes lacks an acknowledged change", search(leave, othersDecide(leave)).c_str());
-  Case const back{"a replaced disk keeps its stay",
+  Case const back{"a replaced disk keeps its incarnation",
                   4,
                   5,
                   {.writes = 0, .changes = 1, .takeovers = 0, .crashes = 1},
--- a/tests/consensus/membership_test.cpp
+++ b/tests/consensus/membership_test.cpp
@@ -6,7 +6,7 @@
 using namespace tealshelf::sim;
 
 namespace {
-/// Joins, wipes of up to two disks at once, cuts, freezes and losses of power.
+/// Joins, wipes of up to two disks at once, partitions, freezes and power losses.
 string simulateMembership(std::uint64_t seed, bool keepIdentity, std::uint64_t& changes, bool corruptVotes = false) {
   sim::Cluster cluster(seed, 8, false, 3);
   cluster.joins = true;
@@ -15,13 +15,14 @@
   for (std::size_t i = 0; i < 3; ++i) cluster.installFirstMembership(i);
   waitUntilAllAreMembers(cluster);
   cluster.check();
-  if (cluster.members() != 8) return "only " + std::to_string(cluster.members()) + " members after founding";
+  if (cluster.members() != 8)
+    return "only " + std::to_string(cluster.members()) + " members after the start, expected 8";
   for (int k = 0; k < 6000 && cluster.violation.empty(); ++k) {
     cluster.step();
     if (cluster.dice(3) == 0) cluster.write();
     if (cluster.dice(5) == 0) cluster.read();
     cluster.check();
-    // The broken variant is caught by rare rows of trouble only, so it gets more of it.
+    // Only rare sequences of faults reveal a kept identity, so faults are more frequent then.
     if (cluster.dice(keepIdentity ? 20 : 70)) continue;
     std::size_t const i = cluster.dice(8);
     sim::Cluster::Node& node = cluster.nodes()[i];
@@ -83,17 +84,17 @@
 }
 
 TEST(membership, aCorruptDiskThatVotesIsDetected) {
-  bool caught = false;
+  bool detected = false;
   std::uint64_t wipes = 0;
-  for (std::uint64_t s = 1; s <= 300 && !caught; ++s) caught = !simulateMembership(s, false, wipes, true).empty();
-  CHECK_TEXT(caught, "the broken variant was never caught");
+  for (std::uint64_t s = 1; s <= 300 && !detected; ++s) detected = !simulateMembership(s, false, wipes, true).empty();
+  CHECK_TEXT(detected, "the injected fault was never detected");
 }
 
 TEST(membership, aWipedDiskThatVotesIsDetected) {
-  bool caught = false;
+  bool detected = false;
   std::uint64_t wipes = 0;
-  for (std::uint64_t s = 1; s <= 300 && !caught; ++s) caught = !simulateMembership(s, true, wipes).empty();
-  CHECK_TEXT(caught, "the broken variant was never caught");
+  for (std::uint64_t s = 1; s <= 300 && !detected; ++s) detected = !simulateMembership(s, true, wipes).empty();
+  CHECK_TEXT(detected, "the injected fault was never detected");
 }
 
 TEST(membership, twoWipedDisksAndAPowerLossOfTheRestLoseNoWrite) {
@@ -160,7 +161,7 @@
     CHECK_FALSE(cluster.nodes()[i].consensus->holdsAllKeys());
     CHECK_FALSE(cluster.nodes()[i].consensus->owns("configuration"));
     CHECK_TEXT(cluster.nodes()[i].consensus->inContactWithMajority(cluster.now()),
-               "it hears the membership and can forward");
+               "it has contact with the membership and can forward calls");
   }
   for (std::size_t i = 3; i < 6; ++i) {
     cluster.kill(i);
@@ -190,7 +191,7 @@
     sim::Cluster cluster(600 + s, 5, false, 3);
     cluster.joins = true;
     cluster.survive = 2;
-    // One founder installs the membership, and others lose power in the middle; they learn of it later.
+    // One founder installs the membership while others are killed; they learn of it later.
     std::size_t const a = cluster.dice(3);
     cluster.installFirstMembership(a);
     cluster.run(cluster.dice(4));
--- a/tests/consensus/overlapping_losses_test.cpp
+++ b/tests/consensus/overlapping_losses_test.cpp
@@ -6,25 +6,25 @@
 using namespace tealshelf::sim;
 
 namespace {
-/// A deployment: its control disks and how many of them may be lost at once.
+/// A deployment's control disks, and how many of them may be lost at once.
 struct Deployment {
   std::size_t disks, founders;
   std::int64_t survive;
 };
 constexpr Deployment deployments[] = {{8, 3, 2}, {5, 3, 2}, {4, 3, 1}, {3, 3, 1}};
 
-/// Cuts the machines into two halves, whichever they are; a cut that stands is replaced.
+/// Partitions the machines into two random groups; replaces an earlier partition.
 void cutIntoHalves(Cluster& cluster) {
   cluster.cuts.clear();
   std::size_t const disks = cluster.nodes().size();
-  vector<bool> left(disks);
-  for (std::size_t i = 0; i < disks; ++i) left[i] = cluster.dice(2);
+  vector<bool> inFirstGroup(disks);
+  for (std::size_t i = 0; i < disks; ++i) inFirstGroup[i] = cluster.dice(2);
   for (std::size_t a = 0; a < disks; ++a)
     for (std::size_t b = 0; b < disks; ++b)
-      if (left[a] != left[b]) cluster.cuts.insert({a, b});
+      if (inFirstGroup[a] != inFirstGroup[b]) cluster.cuts.insert({a, b});
 }
 
-/// Loses as many disks as the site allows, while all others lose power at the same moment.
+/// Loses as many disks as the deployment allows, while all others lose power at the same moment.
 std::uint64_t loseDisksAndPower(Cluster& cluster, Deployment const& deployment) {
   std::uint64_t lost = 0;
   for (std::size_t i = 0; i < deployment.disks; ++i)
@@ -62,7 +62,8 @@
     cluster.unfreeze(i);
 }
 
-/// What the terms allow: halves whatever the site survives, any losses at once but those of disks.
+/// Random faults within the guarantees: partitions and any number of simultaneous crashes, but no more lost disks than
+/// the deployment allows.
 string simulate(Deployment const& deployment, std::uint64_t seed, std::uint64_t& wipes, std::uint64_t& writes) {
   Cluster cluster(seed, deployment.disks, false, deployment.founders);
   cluster.joins = true;
@@ -115,8 +116,8 @@
 
 TEST_GROUP(overlappingLosses){};
 
-/// Halves that are cut, kills, freezes, slow disks and losses of power overlap beyond what a site survives, with no
-/// more disks lost than it allows; at the end disks are lost while all others lose power.
+/// Partitions, kills, freezes, slow disks and power losses overlap beyond what a deployment survives, with no more
+/// disks lost than it allows; at the end disks are lost while all others lose power.
 TEST(overlappingLosses, noAcknowledgedWriteIsLostOrReadAsAnOlderOne) {
   std::uint64_t wipes = 0, writes = 0;
   for (Deployment const& deployment : deployments)
--- a/tests/consensus/start_together_test.cpp
+++ b/tests/consensus/start_together_test.cpp
@@ -1,4 +1,4 @@
-// Nodes that start together, as after a loss of all power: each knows only some of the others at first.
+// Nodes that start at the same time, as after a power loss: each knows only some of the others at first.
 #include "tests/consensus/consensus_sim.hpp"
 #include "tests/seeds.hpp"
 
@@ -19,11 +19,11 @@
 }
 
 struct Start {
-  std::uint64_t takeovers = 0;   ///< of the configuration, by the epochs
-  std::size_t stepsToOwner = 0;  ///< from the start of the last node to an owner that stays to the end
+  std::uint64_t takeovers = 0;   ///< of the configuration, counted by epochs
+  std::size_t stepsToOwner = 0;  ///< from the start of the last node to the last change of the owner
 };
 
-/// All power is lost; then the nodes start one after the other.
+/// All nodes lose power, then start one after the other.
 Start startTogether(std::uint64_t seed) {
   sim::Cluster cluster(seed, nodeCount);
   cluster.delay = longestDelayMs;
@@ -50,7 +50,7 @@
 
 TEST_GROUP(startTogether){};
 
-/// A takeover that is under way is left alone, so that each node takes over once at the most.
+/// A node leaves another node's takeover undisturbed, so that each takes over at most once.
 TEST(startTogether, nodesDoNotSupersedeEachOtherRepeatedly) {
   for (std::uint64_t seed = 1; seed <= seedCount(200); ++seed) {
     Start const start = startTogether(seed);
