--- a/tests/consensus/consensus_sim.cpp
+++ b/tests/consensus/consensus_sim.cpp
@@ -93,21 +93,21 @@
   std::size_t const i = dice(nodes_.size());
   Node& node = nodes_[i];
   if (!node.up || node.frozen || !node.consensus->owns("configuration") || writing_.count(i)) return;
-  std::map<string, string> const& v = node.consensus->committedValues("configuration");
-  std::map<string, string>::const_iterator const c = v.find("current");
-  std::uint64_t const value = (c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10)) + 1;
+  std::map<string, string> const& values = node.consensus->committedValues("configuration");
+  std::map<string, string>::const_iterator const entry = values.find("current");
+  std::uint64_t const value = (entry == values.end() ? 0 : std::strtoull(entry->second.c_str(), nullptr, 10)) + 1;
   string const mark = std::to_string(++lastMark_);
   vector<KeyChange> const changes{{"current", std::to_string(value), false},
                                   {"k" + std::to_string(value % 7), mark, false}};
-  Op const o{true,
-             value,
-             highestAcknowledged,
-             i,
-             node.processNumber,
-             node.consensus->propose("configuration", changes, now_),
-             lastMark_};
+  Operation const operation{true,
+                            value,
+                            highestAcknowledged,
+                            i,
+                            node.processNumber,
+                            node.consensus->propose("configuration", changes, now_),
+                            lastMark_};
   writing_.insert(i);
-  ops_.push_back(o);
+  ops_.push_back(operation);
   flushOutput(node);
 }
 
@@ -115,8 +115,8 @@
   std::size_t const i = dice(nodes_.size());
   Node& node = nodes_[i];
   if (!node.up || node.frozen || !node.consensus->owns("configuration")) return;
-  ops_.push_back(Op{false, 0, highestAcknowledged, i, node.processNumber,
-                    node.consensus->confirmOwnership("configuration", now_)});
+  ops_.push_back(Operation{false, 0, highestAcknowledged, i, node.processNumber,
+                           node.consensus->confirmOwnership("configuration", now_)});
   flushOutput(node);
 }
 
@@ -125,10 +125,10 @@
     if (!node.up) continue;
     if (node.consensus->holdsAllKeys() && node.unsynced.empty()) node.diskHoldsAllKeys = true;
     if (!node.frozen) checkContact(node);
-    std::optional<std::map<string, string>> const v = node.consensus->lastKnownValues("configuration");
-    if (!v || !v->count("current")) continue;
-    std::uint64_t const n = std::strtoull(v->at("current").c_str(), nullptr, 10);
-    for (std::pair<string const, string> const& p : *v)
+    std::optional<std::map<string, string>> const values = node.consensus->lastKnownValues("configuration");
+    if (!values || !values->count("current")) continue;
+    std::uint64_t const n = std::strtoull(values->at("current").c_str(), nullptr, 10);
+    for (std::pair<string const, string> const& p : *values)
       if (p.first != "current" && refused_.count(std::strtoull(p.second.c_str(), nullptr, 10)))
         fail("a refused write is in effect on " + node.self.name);
     if (n < node.highestValueSeen) fail("the committed value decreased on " + node.self.name);
@@ -142,11 +142,11 @@
   if (membership.number.value && node.consensus->isMember()) {
     if (!node.consensus->holdsAllKeys()) copy(node, i);
     if (node.consensus->owns("members")) {
-      std::map<string, string> const& v = node.consensus->committedValues("members");
-      std::map<string, string>::const_iterator const c = v.find("membership");
-      if (c != v.end()) {
+      std::map<string, string> const& values = node.consensus->committedValues("members");
+      std::map<string, string>::const_iterator const entry = values.find("membership");
+      if (entry != values.end()) {
         tealshelf::Membership const committed =
-            msgpack::unpack(c->second.data(), c->second.size()).get().as<tealshelf::Membership>();
+            msgpack::unpack(entry->second.data(), entry->second.size()).get().as<tealshelf::Membership>();
         if (committed.number > membership.number) {
           node.consensus->installMembership(committed, false);
           flushOutput(node);
@@ -171,13 +171,13 @@
   if (!reaches(i, j) || !peer.consensus->owns("members") || !peer.changes.empty()) return;
   MembershipPolicy const policy{deadAfter, std::max<std::size_t>(3, MembershipPolicy::membersToSurvive(survive))};
   MembershipChange const request{node.consensus->self(), false, node.learnerCopiedUnder};
-  std::optional<tealshelf::Membership> const n = policy.next(*peer.consensus, request, now_);
-  if (!n) return;
-  msgpack::sbuffer b;
-  msgpack::pack(b, *n);
+  std::optional<tealshelf::Membership> const next = policy.next(*peer.consensus, request, now_);
+  if (!next) return;
+  msgpack::sbuffer buffer;
+  msgpack::pack(buffer, *next);
   std::uint64_t const op =
-      peer.consensus->propose("members", {{"membership", string(b.data(), b.size()), false}}, now_);
-  peer.changes[op] = *n;
+      peer.consensus->propose("members", {{"membership", string(buffer.data(), buffer.size()), false}}, now_);
+  peer.changes[op] = *next;
   flushOutput(peer);
 }
 
@@ -216,31 +216,32 @@
   node.copied.clear();
 }
 
-void Cluster::outcome(std::size_t node, OperationOutcome const& o) {
+void Cluster::outcome(std::size_t node, OperationOutcome const& ended) {
   Node& m = nodes_[node];
   if (std::function<void(bool)> const end =
-          std::exchange(testOperations_[{node, m.processNumber, o.operation}], nullptr))
-    return end(o.result == OperationResult::committed);
-  if (std::map<std::uint64_t, tealshelf::Membership>::iterator const c = m.changes.find(o.operation);
-      c != m.changes.end()) {
-    tealshelf::Membership const membership = c->second;
-    m.changes.erase(c);
-    if (o.result == OperationResult::committed &&
+          std::exchange(testOperations_[{node, m.processNumber, ended.operation}], nullptr))
+    return end(ended.result == OperationResult::committed);
+  if (std::map<std::uint64_t, tealshelf::Membership>::iterator const entry = m.changes.find(ended.operation);
+      entry != m.changes.end()) {
+    tealshelf::Membership const membership = entry->second;
+    m.changes.erase(entry);
+    if (ended.result == OperationResult::committed &&
         m.consensus->membership().number.value + 1 == membership.number.value) {
       m.consensus->installMembership(membership, false);
       flushOutput(m);
     }
     return;
   }
-  for (std::deque<Op>::iterator i = ops_.begin(); i != ops_.end(); ++i) {
-    if (i->node != node || i->processNumber != nodes_[node].processNumber || i->op != o.operation) continue;
-    Op const op = *i;
+  for (std::deque<Operation>::iterator i = ops_.begin(); i != ops_.end(); ++i) {
+    if (i->node != node || i->processNumber != nodes_[node].processNumber || i->op != ended.operation) continue;
+    Operation const op = *i;
     ops_.erase(i);
     if (op.write) writing_.erase(node);
-    if (o.result == OperationResult::notOwner || (countsUnknownAsRefused && o.result == OperationResult::unknown))
+    if (ended.result == OperationResult::notOwner ||
+        (countsUnknownAsRefused && ended.result == OperationResult::unknown))
       refused_.insert(op.mark);
-    if (op.write) unknown += o.result == OperationResult::unknown;
-    if (o.result != OperationResult::committed) return;
+    if (op.write) unknown += ended.result == OperationResult::unknown;
+    if (ended.result != OperationResult::committed) return;
     if (op.write) {
       ++writes;
       if (op.value <= op.floor) fail("an acknowledged write did not increase the acknowledged value");
@@ -257,9 +258,9 @@
 
 void Cluster::unfreeze(std::size_t i) {
   nodes_[i].frozen = false;
-  vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> l;
-  l.swap(heldMessages_);
-  for (std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>& p : l) {
+  vector<std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>> held;
+  held.swap(heldMessages_);
+  for (std::pair<std::size_t, std::variant<Message, Heartbeat, HeartbeatAnswer>>& p : held) {
     if (p.first != i) {
       heldMessages_.push_back(std::move(p));
       continue;
--- a/tests/consensus/consensus_sim.hpp
+++ b/tests/consensus/consensus_sim.hpp
@@ -31,7 +31,7 @@
     MembershipNumber learnerCopiedUnder;  ///< membership from a majority of which it copied as a learner
     vector<DiskCopy> learnerCopies;
   };
-  struct Op {
+  struct Operation {
     bool write = false;
     std::uint64_t value = 0, floor = 0, node = 0, processNumber = 0, op = 0, mark = 0;
   };
@@ -124,9 +124,9 @@
     flushOutput(node);
   }
   std::uint64_t value(Node const& node) const {
-    std::map<string, string> const& v = node.consensus->committedValues("configuration");
-    std::map<string, string>::const_iterator const c = v.find("current");
-    return c == v.end() ? 0 : std::strtoull(c->second.c_str(), nullptr, 10);
+    std::map<string, string> const& values = node.consensus->committedValues("configuration");
+    std::map<string, string>::const_iterator const entry = values.find("current");
+    return entry == values.end() ? 0 : std::strtoull(entry->second.c_str(), nullptr, 10);
   }
   /// Writes many keys at once to the configuration on its owner.
   void fill(std::size_t i, std::size_t keys, std::size_t bytes) {
@@ -164,15 +164,15 @@
   void make(Node& node);
   void stop(Node& node);
   void flushOutput(Node& node) {
-    Output b = node.consensus->takeOutput();
-    for (string& r : b.records) node.unsynced.push_back(std::move(r));
-    if (node.diskFails && b.needsSync && !sendsUnsynced) b.messages.clear();
-    if (node.diskFails) return send(node, std::move(b));
-    if (b.needsSync && !skipsSync_) {
-      node.waiting.emplace_back(node.disk.size() + node.unsynced.size(), std::move(b));
+    Output output = node.consensus->takeOutput();
+    for (string& r : output.records) node.unsynced.push_back(std::move(r));
+    if (node.diskFails && output.needsSync && !sendsUnsynced) output.messages.clear();
+    if (node.diskFails) return send(node, std::move(output));
+    if (output.needsSync && !skipsSync_) {
+      node.waiting.emplace_back(node.disk.size() + node.unsynced.size(), std::move(output));
       if (node.syncAt < now_) node.syncAt = now_ + node.syncTakes;
     } else {
-      send(node, std::move(b));
+      send(node, std::move(output));
     }
   }
   void sync(Node& node) {
@@ -184,19 +184,19 @@
     w.swap(node.waiting);
     for (std::pair<std::size_t, Output>& p : w) send(node, std::move(p.second));
   }
-  void send(Node& node, Output b) {
+  void send(Node& node, Output output) {
     std::size_t const from = static_cast<std::size_t>(&node - nodes_.data());
-    for (Message const& m : b.messages) {
+    for (Message const& m : output.messages) {
       if (!std::holds_alternative<TransferChunk>(m.body)) continue;
       msgpack::sbuffer packed;
       msgpack::pack(packed, m);
       ++chunks;
       largestChunkBytes = std::max(largestChunkBytes, packed.size());
     }
-    for (Message& m : b.messages)
+    for (Message& m : output.messages)
       for (std::size_t j = 0; j < nodes_.size(); ++j)
         if (nodes_[j].self.id == m.to) deliver(from, j, m);
-    for (OperationOutcome const& o : b.outcomes) outcome(from, o);
+    for (OperationOutcome const& ended : output.outcomes) outcome(from, ended);
   }
   template <class M>
   void deliver(std::size_t from, std::size_t to, M m) {
@@ -247,7 +247,7 @@
   }
   /// Copies all keys from other nodes, as a learner or as a member without a vote.
   void copy(Node& node, std::size_t i);
-  void outcome(std::size_t node, OperationOutcome const& o);
+  void outcome(std::size_t node, OperationOutcome const& ended);
 
  public:
   void unfreeze(std::size_t i);
@@ -262,7 +262,7 @@
   TimePoint now_ = TimePoint() + std::chrono::hours(1);
   std::uint64_t turn_ = 0, lastIdentity_ = 0;
   std::multimap<TimePoint, std::function<void()>> network_;
-  std::deque<Op> ops_;
+  std::deque<Operation> ops_;
   Consensus::Timeouts times_{Ms(750), Ms(100), Ms(1500), Ms(600)};
   std::set<std::size_t> writing_;
   std::map<std::tuple<std::size_t, std::uint64_t, std::uint64_t>, std::function<void(bool)>> testOperations_;
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -83,34 +83,36 @@
 ;
 
 TEST(consensus, threeNodesKeepAllGuarantees) {
-  std::uint64_t w = 0, r = 0;
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    string const b = simulate(s, 3, false, w, r);
-    if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
+  std::uint64_t writes = 0, reads = 0;
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    string const violation = simulate(seed, 3, false, writes, reads);
+    if (!violation.empty()) FAIL(("seed " + std::to_string(seed) + ": " + violation).c_str());
   }
-  CHECK(w > 100 && r > 100);
+  CHECK(writes > 100 && reads > 100);
 }
 
 TEST(consensus, fourNodesKeepAllGuarantees) {
-  std::uint64_t w = 0, r = 0;
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    string const b = simulate(1000 + s, 4, false, w, r);
-    if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
+  std::uint64_t writes = 0, reads = 0;
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    string const violation = simulate(1000 + seed, 4, false, writes, reads);
+    if (!violation.empty()) FAIL(("seed " + std::to_string(seed) + ": " + violation).c_str());
   }
-  CHECK(w > 100 && r > 100);
+  CHECK(writes > 100 && reads > 100);
 }
 
 TEST(consensus, aReplyBeforeItsSyncIsDetected) {
-  std::uint64_t w = 0, r = 0;
+  std::uint64_t writes = 0, reads = 0;
   bool detected = false;
-  for (std::uint64_t s = 1; s <= 3000 && !detected; ++s) detected = !simulate(s, 3, true, w, r).empty();
+  for (std::uint64_t seed = 1; seed <= 3000 && !detected; ++seed)
+    detected = !simulate(seed, 3, true, writes, reads).empty();
   CHECK_TEXT(detected, "the injected fault was never detected");
 }
 
 TEST(consensus, aRestartThatDoesNotSyncIsDetected) {
-  std::uint64_t w = 0, r = 0;
+  std::uint64_t writes = 0, reads = 0;
   bool detected = false;
-  for (std::uint64_t s = 1; s <= 3000 && !detected; ++s) detected = !simulate(s, 3, false, w, r, false).empty();
+  for (std::uint64_t seed = 1; seed <= 3000 && !detected; ++seed)
+    detected = !simulate(seed, 3, false, writes, reads, false).empty();
   CHECK_TEXT(detected, "the injected fault was never detected");
 }
 
@@ -163,14 +165,14 @@
   cluster.losePower(other);
   cluster.losePower(owner);
   // The owner's disk is wiped; its new identity has no vote, so the stale member and the other one decide.
-  sim::Cluster::Node& w = cluster.nodes()[owner];
-  w.disk.clear();
-  w.self.id = NodeId(777);
-  w.self.founder = false;
+  sim::Cluster::Node& wiped = cluster.nodes()[owner];
+  wiped.disk.clear();
+  wiped.self.id = NodeId(777);
+  wiped.self.founder = false;
   cluster.start(owner);
   cluster.start(other);
   cluster.run(300);
-  CHECK(!w.consensus->owns("configuration"));
+  CHECK(!wiped.consensus->owns("configuration"));
   cluster.start(stale);
   cluster.run(600);
   for (std::size_t i : {stale, other}) {
@@ -218,9 +220,9 @@
 
 TEST(consensus, contactIsDatedByOwnClockReadings) {
   std::uint64_t writes = 0;
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    string const b = simulateIsolation(s, false, writes);
-    if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    string const violation = simulateIsolation(seed, false, writes);
+    if (!violation.empty()) FAIL(("seed " + std::to_string(seed) + ": " + violation).c_str());
   }
   CHECK(writes > 100);
 }
@@ -228,8 +230,8 @@
 TEST(consensus, contactDatedByArrivalIsDetected) {
   bool detected = false;
   std::uint64_t writes = 0;
-  for (std::uint64_t s = 1; s <= 60 && !detected; ++s)
-    detected = simulateIsolation(s, true, writes).find("acknowledged a newer write") != string::npos;
+  for (std::uint64_t seed = 1; seed <= 60 && !detected; ++seed)
+    detected = simulateIsolation(seed, true, writes).find("acknowledged a newer write") != string::npos;
   CHECK_TEXT(detected, "contact dated by arrival was never detected");
 }
 
@@ -242,15 +244,15 @@
 }  // namespace
 
 TEST(consensus, anIsolatedOwnerStepsDownAndItsPendingWriteEndsAsUnknown) {
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    sim::Cluster cluster(s, 3);
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    sim::Cluster cluster(seed, 3);
     cluster.run(400);
     std::size_t const owner = ownerOf(cluster);
     CHECK(owner < 3);
     Consensus& c = *cluster.nodes()[owner].consensus;
     for (std::size_t j = 0; j < 3; ++j) {
-      if (s % 3 != 1) cluster.cuts.insert({owner, j});
-      if (s % 3 != 2) cluster.cuts.insert({j, owner});
+      if (seed % 3 != 1) cluster.cuts.insert({owner, j});
+      if (seed % 3 != 2) cluster.cuts.insert({j, owner});
     }
     std::uint64_t const before = c.epochOf("configuration").number;
     std::size_t const unknownBefore = cluster.unknown;
@@ -271,8 +273,8 @@
 
 TEST(consensus, anUnknownOutcomeTakenForARefusalIsDetected) {
   bool detected = false;
-  for (std::uint64_t s = 1; s <= 60 && !detected; ++s) {
-    sim::Cluster cluster(s, 3);
+  for (std::uint64_t seed = 1; seed <= 60 && !detected; ++seed) {
+    sim::Cluster cluster(seed, 3);
     cluster.countsUnknownAsRefused = true;
     cluster.run(400);
     for (int k = 0; k < 6000 && cluster.violation.empty(); ++k) {
@@ -332,27 +334,27 @@
 
 TEST(consensus, allMembersSeeCommittedValuesUnderConstantWrites) {
   std::uint64_t writes = 0;
-  for (std::uint64_t s = 1; s <= seeds() / 2; ++s) {
-    string const b = simulateConstantWrites(s, false, writes);
-    if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
+  for (std::uint64_t seed = 1; seed <= seeds() / 2; ++seed) {
+    string const violation = simulateConstantWrites(seed, false, writes);
+    if (!violation.empty()) FAIL(("seed " + std::to_string(seed) + ": " + violation).c_str());
   }
   CHECK(writes > 1000 * seeds() / 2);
 }
 
 TEST(consensus, readsOnlyFromAnIdleKeyspaceAreDetected) {
   std::uint64_t writes = 0;
-  for (std::uint64_t s = 1; s <= 6; ++s)
-    CHECK(simulateConstantWrites(s, true, writes).find("shows no values") != string::npos);
+  for (std::uint64_t seed = 1; seed <= 6; ++seed)
+    CHECK(simulateConstantWrites(seed, true, writes).find("shows no values") != string::npos);
 }
 
 TEST(consensus, aLaggingMemberCatchesUpInChunksDuringWrites) {
-  for (std::uint64_t s = 1; s <= 4; ++s) {
-    sim::Cluster cluster(s, 4);
+  for (std::uint64_t seed = 1; seed <= 4; ++seed) {
+    sim::Cluster cluster(seed, 4);
     cluster.run(600);
     std::size_t const owner = ownerOf(cluster), away = (owner + 1) % 4;
     cluster.fill(owner, 3000, 200);
     cluster.run(100);
-    cluster.loss = s % 2 ? 0.05 : 0;
+    cluster.loss = seed % 2 ? 0.05 : 0;
     // The first absence is short, the second long; the third is followed by a restart during the transfer.
     for (int const steps : {60, 3000, 30, 600}) {
       cluster.kill(away);
--- a/tests/consensus/failing_disk_test.cpp
+++ b/tests/consensus/failing_disk_test.cpp
@@ -7,110 +7,110 @@
 namespace {
 
 /// The node that owns the configuration; the number of nodes if none does.
-std::size_t owner(sim::Cluster& c) {
-  for (std::size_t i = 0; i < c.nodes().size(); ++i)
-    if (c.nodes()[i].consensus->owns("configuration")) return i;
-  return c.nodes().size();
+std::size_t owner(sim::Cluster& cluster) {
+  for (std::size_t i = 0; i < cluster.nodes().size(); ++i)
+    if (cluster.nodes()[i].consensus->owns("configuration")) return i;
+  return cluster.nodes().size();
 }
 /// Writes acknowledged while the owner's disk fails and after it has recovered.
-struct Refusal {
+struct DiskFailureResult {
   std::uint64_t during = 0, after = 0;
   std::size_t nextOwner = 0, lastOwner = 0, first = 0;
   string violation;
 };
-Refusal simulateWithFailingDisk(std::uint64_t seed, bool ineligible, std::size_t nodes) {
-  sim::Cluster c(seed, nodes);
-  c.run(400);
-  Refusal o;
-  o.first = owner(c);
-  sim::Cluster::Node& x = c.nodes()[o.first];
-  auto const load = [&c](std::size_t steps) {
-    std::uint64_t const before = c.writes;
+DiskFailureResult simulateWithFailingDisk(std::uint64_t seed, bool ineligible, std::size_t nodes) {
+  sim::Cluster cluster(seed, nodes);
+  cluster.run(400);
+  DiskFailureResult result;
+  result.first = owner(cluster);
+  sim::Cluster::Node& node = cluster.nodes()[result.first];
+  auto const load = [&cluster](std::size_t steps) {
+    std::uint64_t const before = cluster.writes;
     for (std::size_t k = 0; k < steps; ++k) {
-      c.step();
-      if (k % 7 == 0) c.write();
-      if (k % 11 == 0) c.read();
-      c.check();
+      cluster.step();
+      if (k % 7 == 0) cluster.write();
+      if (k % 11 == 0) cluster.read();
+      cluster.check();
     }
-    return c.writes - before;
+    return cluster.writes - before;
   };
-  x.diskFails = true;
-  x.consensus->setIneligibleAsOwner(ineligible);
+  node.diskFails = true;
+  node.consensus->setIneligibleAsOwner(ineligible);
   load(400);
-  o.during = load(400);
-  o.nextOwner = owner(c);
+  result.during = load(400);
+  result.nextOwner = owner(cluster);
   // The process may lose power before its disk recovers; it then restarts from the synced records.
-  if (c.dice(2)) {
-    c.losePower(o.first);
-    c.run(200);
-    c.start(o.first);
+  if (cluster.dice(2)) {
+    cluster.losePower(result.first);
+    cluster.run(200);
+    cluster.start(result.first);
   }
-  x.diskFails = false;
-  x.consensus->setIneligibleAsOwner(false);
+  node.diskFails = false;
+  node.consensus->setIneligibleAsOwner(false);
   load(400);
-  o.after = load(400);
-  o.lastOwner = owner(c);
-  o.violation = c.violation;
-  return o;
+  result.after = load(400);
+  result.lastOwner = owner(cluster);
+  result.violation = cluster.violation;
+  return result;
 }
 
 /// Random disk failures and power losses. Returns the first violation, or nothing.
 string simulateRandomDiskFailures(std::uint64_t seed, bool sendsUnsynced) {
-  sim::Cluster c(seed, 3);
-  c.sendsUnsynced = sendsUnsynced;
-  c.run(400);
+  sim::Cluster cluster(seed, 3);
+  cluster.sendsUnsynced = sendsUnsynced;
+  cluster.run(400);
   for (std::size_t k = 0; k < 6000; ++k) {
-    c.step();
-    if (k % 5 == 0) c.write();
-    if (k % 11 == 0) c.read();
-    c.check();
+    cluster.step();
+    if (k % 5 == 0) cluster.write();
+    if (k % 11 == 0) cluster.read();
+    cluster.check();
     if (k % 60 != 0) continue;
-    std::size_t const i = c.dice(3);
-    sim::Cluster::Node& x = c.nodes()[i];
+    std::size_t const i = cluster.dice(3);
+    sim::Cluster::Node& node = cluster.nodes()[i];
     std::size_t up = 0;
-    for (sim::Cluster::Node const& n : c.nodes()) up += n.up;
-    if (!x.up)
-      c.start(i);
-    else if (up == 3 && c.dice(2))
-      c.losePower(i);
+    for (sim::Cluster::Node const& n : cluster.nodes()) up += n.up;
+    if (!node.up)
+      cluster.start(i);
+    else if (up == 3 && cluster.dice(2))
+      cluster.losePower(i);
     else
-      x.diskFails = !x.diskFails;
-    if (x.up) x.consensus->setIneligibleAsOwner(x.diskFails);
+      node.diskFails = !node.diskFails;
+    if (node.up) node.consensus->setIneligibleAsOwner(node.diskFails);
   }
-  return c.violation;
+  return cluster.violation;
 }
 
 /// Writes are acknowledged by the owner and a second node. The second one restarts without its newest records, while
 /// the owner goes down and the third node returns.
 string simulateLostRecords(std::uint64_t seed, bool keepsVoting) {
-  sim::Cluster c(seed, 3);
-  c.keepsVoting = keepsVoting;
-  c.joins = true;
-  c.run(400);
-  auto const load = [&c](std::size_t steps) {
-    std::uint64_t const before = c.writes;
+  sim::Cluster cluster(seed, 3);
+  cluster.keepsVoting = keepsVoting;
+  cluster.joins = true;
+  cluster.run(400);
+  auto const load = [&cluster](std::size_t steps) {
+    std::uint64_t const before = cluster.writes;
     for (std::size_t k = 0; k < steps; ++k) {
-      c.step();
-      if (k % 5 == 0) c.write();
-      if (k % 11 == 0) c.read();
-      c.check();
+      cluster.step();
+      if (k % 5 == 0) cluster.write();
+      if (k % 11 == 0) cluster.read();
+      cluster.check();
     }
-    return c.writes - before;
+    return cluster.writes - before;
   };
-  std::size_t const first = owner(c), away = (first + 1) % 3, damaged = (first + 2) % 3;
-  c.losePower(away);
+  std::size_t const first = owner(cluster), away = (first + 1) % 3, damaged = (first + 2) % 3;
+  cluster.losePower(away);
   load(100);
-  c.losePower(damaged);
-  c.startWithLostRecords(damaged);
-  c.start(away);
-  c.losePower(first);
+  cluster.losePower(damaged);
+  cluster.startWithLostRecords(damaged);
+  cluster.start(away);
+  cluster.losePower(first);
   load(600);
-  c.start(first);
+  cluster.start(first);
   load(800);
-  if (c.violation.empty() && load(400) == 0) return "writes stopped";
-  if (c.violation.empty() && !c.nodes()[damaged].consensus->holdsAllKeys())
+  if (cluster.violation.empty() && load(400) == 0) return "writes stopped";
+  if (cluster.violation.empty() && !cluster.nodes()[damaged].consensus->holdsAllKeys())
     return "the node with lost records did not become a voter again";
-  return c.violation;
+  return cluster.violation;
 }
 }  // namespace
 
@@ -120,13 +120,13 @@
   std::size_t stuck = 0;
   for (std::size_t const nodes : {3u, 4u, 5u})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      Refusal const o = simulateWithFailingDisk(seed, true, nodes);
-      STRCMP_EQUAL("", o.violation.c_str());
-      CHECK(o.during > 0);
-      CHECK(o.nextOwner != o.first);
-      CHECK(o.after > 0);
-      LONGS_EQUAL(o.first, o.lastOwner);
-      Refusal const kept = simulateWithFailingDisk(seed, false, nodes);
+      DiskFailureResult const result = simulateWithFailingDisk(seed, true, nodes);
+      STRCMP_EQUAL("", result.violation.c_str());
+      CHECK(result.during > 0);
+      CHECK(result.nextOwner != result.first);
+      CHECK(result.after > 0);
+      LONGS_EQUAL(result.first, result.lastOwner);
+      DiskFailureResult const kept = simulateWithFailingDisk(seed, false, nodes);
       stuck += kept.nextOwner == kept.first;
     }
   CHECK_TEXT(stuck > 0, "an owner that keeps its keyspaces with a failing disk was never detected");
--- a/tests/consensus/learner_test.cpp
+++ b/tests/consensus/learner_test.cpp
@@ -8,8 +8,8 @@
 TEST_GROUP(learner){};
 
 TEST(learner, aLearnerIsNotPromotedBeforeItCopiedFromAMajority) {
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    sim::Cluster cluster(700 + s, 4, false, 3);
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    sim::Cluster cluster(700 + seed, 4, false, 3);
     foundThree(cluster);
     cutBoth(cluster, 3, 1);
     cutBoth(cluster, 3, 2);
@@ -30,8 +30,8 @@
 }
 
 TEST(learner, aLossIsToleratedWhileANewMemberHasNoVoteYet) {
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    sim::Cluster cluster(800 + s, 4, false, 3);
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    sim::Cluster cluster(800 + seed, 4, false, 3);
     foundThree(cluster);
     cluster.nodes()[3].frozen = true;
     cluster.run(400);
@@ -56,8 +56,8 @@
 }
 
 TEST(learner, aWipedDiskIsReplacedWithoutAnyOtherLosingItsVote) {
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    sim::Cluster cluster(900 + s, 3, false, 3);
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    sim::Cluster cluster(900 + seed, 3, false, 3);
     foundThree(cluster);
     cluster.run(400);
     write(cluster, 20);
@@ -174,8 +174,8 @@
 }
 
 TEST(learner, aCorruptDiskVotesOnlyAfterCopyingFromAMajority) {
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    sim::Cluster cluster(980 + s, 3, false, 3);
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    sim::Cluster cluster(980 + seed, 3, false, 3);
     foundThree(cluster);
     cluster.run(400);
     write(cluster, 20);
--- a/tests/consensus/membership_test.cpp
+++ b/tests/consensus/membership_test.cpp
@@ -76,9 +76,9 @@
 
 TEST(membership, allGuaranteesHoldUnderWipesJoinsAndPartitions) {
   std::uint64_t wipes = 0;
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    string const b = simulateMembership(s, false, wipes);
-    if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    string const violation = simulateMembership(seed, false, wipes);
+    if (!violation.empty()) FAIL(("seed " + std::to_string(seed) + ": " + violation).c_str());
   }
   CHECK(wipes > 10);
 }
@@ -86,20 +86,22 @@
 TEST(membership, aCorruptDiskThatVotesIsDetected) {
   bool detected = false;
   std::uint64_t wipes = 0;
-  for (std::uint64_t s = 1; s <= 300 && !detected; ++s) detected = !simulateMembership(s, false, wipes, true).empty();
+  for (std::uint64_t seed = 1; seed <= 300 && !detected; ++seed)
+    detected = !simulateMembership(seed, false, wipes, true).empty();
   CHECK_TEXT(detected, "the injected fault was never detected");
 }
 
 TEST(membership, aWipedDiskThatVotesIsDetected) {
   bool detected = false;
   std::uint64_t wipes = 0;
-  for (std::uint64_t s = 1; s <= 300 && !detected; ++s) detected = !simulateMembership(s, true, wipes).empty();
+  for (std::uint64_t seed = 1; seed <= 300 && !detected; ++seed)
+    detected = !simulateMembership(seed, true, wipes).empty();
   CHECK_TEXT(detected, "the injected fault was never detected");
 }
 
 TEST(membership, twoWipedDisksAndAPowerLossOfTheRestLoseNoWrite) {
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    sim::Cluster cluster(500 + s, 8, false, 3);
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    sim::Cluster cluster(500 + seed, 8, false, 3);
     cluster.joins = true;
     cluster.survive = 2;
     for (std::size_t i = 0; i < 3; ++i) cluster.installFirstMembership(i);
@@ -115,8 +117,8 @@
       if (cluster.nodes()[i].up) cluster.losePower(i);
     cluster.wipe(owner);
     cluster.wipe(other);
-    string const b = healAndCheck(cluster);
-    if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
+    string const violation = healAndCheck(cluster);
+    if (!violation.empty()) FAIL(("seed " + std::to_string(seed) + ": " + violation).c_str());
     std::size_t in = 0;
     for (sim::Cluster::Node const& node : cluster.nodes())
       in += node.consensus->holdsAllKeys() && node.consensus->membership().find(node.self.id);
@@ -187,8 +189,8 @@
 }
 
 TEST(membership, anInterruptedBootstrapCreatesOneMembership) {
-  for (std::uint64_t s = 1; s <= seeds(); ++s) {
-    sim::Cluster cluster(600 + s, 5, false, 3);
+  for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
+    sim::Cluster cluster(600 + seed, 5, false, 3);
     cluster.joins = true;
     cluster.survive = 2;
     // One founder installs the membership while others are killed; they learn of it later.
@@ -207,7 +209,7 @@
     LONGS_EQUAL(5, cluster.members());
     write(cluster, 30);
     CHECK(cluster.highestAcknowledged > 5);
-    string const b = healAndCheck(cluster);
-    if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
+    string const violation = healAndCheck(cluster);
+    if (!violation.empty()) FAIL(("seed " + std::to_string(seed) + ": " + violation).c_str());
   }
 }
