--- a/edge/edge_node.cpp
+++ b/edge/edge_node.cpp
@@ -191,7 +191,7 @@
   bool mayContinue = true;
   while (mayContinue) {
     mayContinue = co_await awaitRequest(*client);
-    if (mayContinue) goesOn = co_await serveRequest(*client);
+    if (mayContinue) mayContinue = co_await serveRequest(*client);
   }
   client->close();
 }
