--- a/tests/lots/full_stores_test.cpp
+++ b/tests/lots/full_stores_test.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 constexpr std::size_t largeLotBytes = 150u << 10;
-constexpr int maxLots = 40;
+constexpr int maxSubmittedLots = 40;
 
 /// Submits lots until the stores' small disks are full; returns the ids of the accepted ones.
 vector<string> fillWithLots(StoreFleet& fleet) {
   vector<string> accepted;
   fleet.runUntil([&fleet] { return fleet.submit("first", largeLotBytes) == 0; }, Ms(20000));
   accepted.emplace_back("first");
-  for (int number = 0; number < maxLots; ++number) {
+  for (int number = 0; number < maxSubmittedLots; ++number) {
     string const id = "lot-" + std::to_string(number);
     if (fleet.submit(id, largeLotBytes) == 0) accepted.push_back(id);
   }
