--- a/lots/execution/lot_runner.cpp
+++ b/lots/execution/lot_runner.cpp
@@ -28,9 +28,9 @@
 void LotRunner::start(RpcServer& server) {
   server.on<ReadResults>([this](ReadResults request) { return readResults(std::move(request)); });
   server.on<ReadItem>([this](ReadItem request) { return readItem(std::move(request)); });
-  spawnTask(io_, "start of items", startItemsLoop());
-  spawnTask(io_, "listing of results", listResultsLoop());
-  spawnTask(io_, "lot sweep", sweepLoop());
+  spawnTask(io_, "item start loop", startItemsLoop());
+  spawnTask(io_, "result listing loop", listResultsLoop());
+  spawnTask(io_, "lot runner sweep loop", sweepLoop());
 }
 
 LotRun const* LotRunner::find(LotKey const& key) const {
