--- a/tests/lots/clocks_and_seeds_test.cpp
+++ b/tests/lots/clocks_and_seeds_test.cpp
@@ -24,8 +24,8 @@
     std::map<string, Membership> const before = known;
     for (string const& ip : ips) {
       bool const member = before.at(ip).number.value != 0;
-      vector<Address> const called = member && !membersCallSeeds ? vector<Address>() : seeds;
-      for (string const& to : heartbeatTargets(before.at(ip), ip, called))
+      vector<Address> const calledSeeds = member && !membersCallSeeds ? vector<Address>() : seeds;
+      for (string const& to : heartbeatTargets(before.at(ip), ip, calledSeeds))
         if (known[to].number < before.at(ip).number) known[to] = before.at(ip);
     }
   }
--- a/tests/lots/lot_api_test.cpp
+++ b/tests/lots/lot_api_test.cpp
@@ -54,7 +54,7 @@
     settings.bounds.settleWithin = Ms(300);
     return settings;
   }
-  void holdAt(int port) { record.holders = {StoreRef{NodeId(), "s-1", "z", {ip, port}}}; }
+  void setPrimaryPort(int port) { record.holders = {StoreRef{NodeId(), "s-1", "z", {ip, port}}}; }
   void run(Ms duration) {
     io.restart();
     io.run_for(duration);
@@ -82,12 +82,12 @@
   string askedFor;                   ///< the lot in the last request to the control node
 };
 
-void readThroughATakeover(string const& target, Ms hold) {
+void readAfterChangeOfPrimary(string const& target, Ms hold) {
   LotApiRig rig;
-  rig.holdAt(17695);
+  rig.setPrimaryPort(17695);
   rig.call(target, hold);
   // Another store becomes the primary while the edge node has the former one cached.
-  rig.holdAt(17696);
+  rig.setPrimaryPort(17696);
   rig.call(target, hold);
   LONGS_EQUAL(200, rig.call(target, hold));
 }
@@ -97,10 +97,10 @@
 TEST_GROUP(lotApi){};
 
 TEST(lotApi, resultsAreReadFromTheNewPrimaryIfTheFormerOneIsUnresponsive) {
-  readThroughATakeover("/lots/lot?startAfter=0", Ms(300));
+  readAfterChangeOfPrimary("/lots/lot?startAfter=0", Ms(300));
 }
 TEST(lotApi, itemsAreReadFromTheNewPrimaryIfTheFormerOneIsUnresponsive) {
-  readThroughATakeover("/items/lot?serverId=item-0", Ms(0));
+  readAfterChangeOfPrimary("/items/lot?serverId=item-0", Ms(0));
 }
 
 /// A client gets a 4xx status only for errors about the lot or the request itself.
@@ -123,7 +123,7 @@
 
 TEST(lotsOfTenants, eachTenantReadsOnlyItsOwnLots) {
   LotApiRig rig;
-  rig.holdAt(17696);
+  rig.setPrimaryPort(17696);
   LONGS_EQUAL(200, rig.call("/lots/lot?startAfter=0", Ms(0), "lantern"));
   STRCMP_EQUAL("lantern/lot", rig.askedFor.c_str());
   rig.call("/items/lot?serverId=i", Ms(0), "ferry");
