--- a/lots/coordination/recovery_need.hpp
+++ b/lots/coordination/recovery_need.hpp
@@ -15,7 +15,9 @@
 };
 std::string_view nameOf(RecoveryNeed need);
 
-/// How an attempt ended. Every outcome but `done` leaves the record unchanged, and the replicas it names readable.
+/// How an attempt ended; all outcomes but `done` are retried. The replicas that the record names stay readable until
+/// they are settled. A new record may be committed after `done`, `tooFewStores` and `copiesRefused`, or unnoticed after
+/// `recordNotWritten`; all other outcomes leave the record unchanged.
 enum class RecoveryOutcome {
   none,              ///< not attempted yet
   done,              ///< the record is committed, or nothing had to change
