--- a/consensus/membership_manager.cpp
+++ b/consensus/membership_manager.cpp
@@ -32,7 +32,8 @@
     co_return HelloReply{consensus_.self(), consensus_.membership(), settings_.firstBoot, !settings_.dataFolder.empty(),
                          consensus_.holdsAllKeys()};
   });
-  server.on<CopyRequest>([this](CopyRequest request) -> Task<CopyReply> { co_return co_await answerCopy(request); });
+  server.on<CopyRequest>(
+      [this](CopyRequest request) -> Task<CopyReply> { co_return co_await handleCopyRequest(request); });
   server.on<MembershipChangeRequest>([this](MembershipChangeRequest request) -> Task<Acknowledgement> {
     co_return Acknowledgement{co_await handleChangeRequest(request)};
   });
@@ -66,10 +67,10 @@
     co_await discoverOrBootstrap();
     publish();
   } else if (!member && !driver_.isLeaving() && mayJoin()) {
-    promoted = co_await askToJoin();
+    promoted = co_await requestJoin();
     driver_.flush();
   } else if (member && driver_.isLeaving()) {
-    co_await askToLeave();
+    co_await requestRemoval();
   } else if (member && !consensus_.holdsAllKeys()) {
     co_await copyAll();
     publish();
@@ -120,7 +121,7 @@
   return std::none_of(members.begin(), members.end(), [](Member const& member) { return member.hasDisk; });
 }
 
-Task<bool> MembershipManager::askToJoin() {
+Task<bool> MembershipManager::requestJoin() {
   if (consensus_.isRetired()) consensus_.rejoin(randomId());
   if (learnerCopiedUnder_ != consensus_.membership().number) co_await copyAll();
   MembershipChangeRequest request;
@@ -142,7 +143,7 @@
   co_return false;
 }
 
-Task<void> MembershipManager::askToLeave() {
+Task<void> MembershipManager::requestRemoval() {
   if (consensus_.membership().members.size() <= minMembers()) co_return;
   NodeId const self = consensus_.self().id;
   if (!MembershipPolicy::lacksFaultTolerance(consensus_, self, settings_.surviveMachines, Clock::now())) co_return;
@@ -170,7 +171,7 @@
                                " members with disks are needed");
 }
 
-Task<CopyReply> MembershipManager::answerCopy(CopyRequest const& request) {
+Task<CopyReply> MembershipManager::handleCopyRequest(CopyRequest const& request) {
   std::optional<Member> const source = consensus_.copySource();
   if (request.membership != consensus_.membership().number || !source) throw Error(ErrorCode::notMember);
   CopyReply answer;
--- a/consensus/membership_manager.hpp
+++ b/consensus/membership_manager.hpp
@@ -31,9 +31,9 @@
   Task<void> discoverOrBootstrap();
   bool mayJoin() const;
   /// Copies all keys as a learner, then asks the members and the seeds to be promoted. True if this node was promoted.
-  Task<bool> askToJoin();
+  Task<bool> requestJoin();
   /// Asks to remove this leaving node at once if, as long as it is a member, the others tolerate too few losses.
-  Task<void> askToLeave();
+  Task<void> requestRemoval();
   void warnIfTooSmall();
 
   /// Copies all keys. A learner copies from a majority of the voters, so that little is left to copy after its
@@ -43,7 +43,7 @@
   void requestCopy(Member const& source, MembershipNumber membership, std::shared_ptr<PendingCopies> copies,
                    std::size_t needed);
   void installCopies(std::map<NodeId, DiskCopy> copies);
-  Task<CopyReply> answerCopy(CopyRequest const& request);
+  Task<CopyReply> handleCopyRequest(CopyRequest const& request);
 
   /// Changes the membership, or forwards the request to the owner of the members keyspace. True if the change was made
   /// or the node is a member already.
