--- a/consensus/control_messages.hpp
+++ b/consensus/control_messages.hpp
@@ -80,11 +80,11 @@
 struct MembershipChangeRequest {
   using Reply = Acknowledgement;
   static constexpr RpcMethod method = RpcMethod::join;
-  Member who;
+  Member member;
   int hops = 0;
-  bool leaves = false;
+  bool isRemoval = false;
   MembershipNumber copiedUnder;  ///< see MembershipChange
-  MSGPACK_DEFINE(who, hops, leaves, copiedUnder)
+  MSGPACK_DEFINE(member, hops, isRemoval, copiedUnder)
 };
 
 }  // namespace tealshelf
--- a/consensus/membership_manager.cpp
+++ b/consensus/membership_manager.cpp
@@ -125,7 +125,7 @@
   if (consensus_.isRetired()) consensus_.rejoin(randomId());
   if (learnerCopiedUnder_ != consensus_.membership().number) co_await copyAll();
   MembershipChangeRequest request;
-  request.who = consensus_.self();
+  request.member = consensus_.self();
   request.copiedUnder = learnerCopiedUnder_;
   vector<string> ips;
   for (Member const& member : consensus_.membership().members) ips.push_back(member.ip);
@@ -150,8 +150,8 @@
   std::optional<Address> const owner = driver_.ownerAddress(membersKeyspace);
   if (!owner || owner->ip == settings_.ip) co_return;
   MembershipChangeRequest request;
-  request.who = consensus_.self();
-  request.leaves = true;
+  request.member = consensus_.self();
+  request.isRemoval = true;
   try {
     co_await rpc_.call(*owner, request, settings_.bounds.inTouch / 2);
   } catch (Error const&) {
@@ -237,8 +237,8 @@
 }
 
 Task<bool> MembershipManager::handleChangeRequest(MembershipChangeRequest request) {
-  Member const* const known = consensus_.membership().find(request.who.id);
-  if (!request.leaves && known && known->incarnation == request.who.incarnation) co_return true;
+  Member const* const known = consensus_.membership().find(request.member.id);
+  if (!request.isRemoval && known && known->incarnation == request.member.incarnation) co_return true;
   if (!consensus_.owns(membersKeyspace)) {
     std::optional<Address> const owner = driver_.ownerAddress(membersKeyspace);
     if (!owner || request.hops >= maxChangeRequestHops || owner->ip == settings_.ip) co_return false;
@@ -262,7 +262,7 @@
 Task<bool> MembershipManager::changeMembership(MembershipChangeRequest const& request) {
   MembershipNumber const previous = consensus_.membership().number;
   MembershipPolicy const policy{MembershipPolicy::deadAfterFor(settings_.bounds), minMembers()};
-  MembershipChange const change{request.who, request.leaves, request.copiedUnder};
+  MembershipChange const change{request.member, request.isRemoval, request.copiedUnder};
   std::optional<Membership> const next = policy.next(consensus_, change, Clock::now());
   if (!next) co_return false;
   vector<KeyChange> changes(1, KeyChange{membershipKey, serialize(*next), false});
@@ -270,8 +270,8 @@
   if (result != OperationResult::committed || consensus_.membership().number != previous) co_return false;
   consensus_.installMembership(*next, false);
   logInfo("membership", "membership " + std::to_string(next->number.value) + " has " +
-                            std::to_string(next->members.size()) + " members; " + request.who.name +
-                            (request.leaves ? " left" : " joined"));
+                            std::to_string(next->members.size()) + " members; " + request.member.name +
+                            (request.isRemoval ? " left" : " joined"));
   co_return true;
 }
 
@@ -298,9 +298,9 @@
     Ms const limit = urgent ? MembershipPolicy::deadAfterFor(settings_.bounds) : Ms(2 * settings_.bounds.catchUp);
     if (consensus_.silentFor(member.id, now) <= limit) continue;
     MembershipChangeRequest request;
-    request.who = member;
+    request.member = member;
     request.hops = maxChangeRequestHops;  // prevents forwarding if this node has lost the keyspace meanwhile
-    request.leaves = true;
+    request.isRemoval = true;
     co_await handleChangeRequest(request);
     co_return;
   }
--- a/consensus/membership_policy.cpp
+++ b/consensus/membership_policy.cpp
@@ -62,25 +62,25 @@
   return voters >= next.quorum();
 }
 
-bool remove(Membership& next, MembershipPolicy const& policy, Consensus const& consensus, Member const& who,
+bool remove(Membership& next, MembershipPolicy const& policy, Consensus const& consensus, Member const& removed,
             TimePoint now) {
-  if (next.members.size() <= policy.minMembers || who.id == consensus.self().id) return false;
+  if (next.members.size() <= policy.minMembers || removed.id == consensus.self().id) return false;
   if (!consensus.allKeyspacesRewritten(now)) return false;
-  return std::erase_if(next.members, [&who](Member const& member) { return member.id == who.id; }) > 0;
+  return std::erase_if(next.members, [&removed](Member const& member) { return member.id == removed.id; }) > 0;
 }
 
 bool promote(Membership& next, MembershipPolicy const& policy, Consensus const& consensus,
              MembershipChange const& change, TimePoint now) {
   Membership const& current = consensus.membership();
-  if (change.copiedUnder != current.number || (!change.who.hasDisk && anyHasDisk(current))) return false;
-  Promotion const promotion = promotionFor(consensus, change.who, policy.deadAfter, now);
+  if (change.copiedUnder != current.number || (!change.member.hasDisk && anyHasDisk(current))) return false;
+  Promotion const promotion = promotionFor(consensus, change.member, policy.deadAfter, now);
   if (promotion.kind == Promotion::Kind::wait || promotion.replaced == consensus.self().id) return false;
   if (promotion.kind == Promotion::Kind::add) {
-    next.members.push_back(change.who);
+    next.members.push_back(change.member);
     return true;
   }
   for (Member& member : next.members)
-    if (member.id == promotion.replaced) member = change.who;
+    if (member.id == promotion.replaced) member = change.member;
   return true;
 }
 }  // namespace
@@ -117,8 +117,8 @@
   next.number = MembershipNumber(current.number.value + 1);
   next.members = current.members;
   next.formerMembers = current.members;
-  bool const changed =
-      change.leaves ? remove(next, *this, consensus, change.who, now) : promote(next, *this, consensus, change, now);
+  bool const changed = change.isRemoval ? remove(next, *this, consensus, change.member, now)
+                                        : promote(next, *this, consensus, change, now);
   if (!changed || !remainingVotersAreQuorum(consensus, next, now)) return std::nullopt;
   return next;
 }
--- a/consensus/membership_policy.hpp
+++ b/consensus/membership_policy.hpp
@@ -6,8 +6,8 @@
 
 /// A requested change of the membership: a node asks to join, or is to be removed.
 struct MembershipChange {
-  Member who;
-  bool leaves = false;
+  Member member;
+  bool isRemoval = false;
   /// The membership from a majority of which the joining node copied all keys as a learner.
   MembershipNumber copiedUnder;
 };
