--- a/consensus/contact_tracker.hpp
+++ b/consensus/contact_tracker.hpp
@@ -27,8 +27,8 @@
   /// The latest time t such that a majority, this node included, is known to have received a heartbeat sent at t or
   /// later; TimePoint() if there is none.
   TimePoint majorityContact(Membership const& membership, TimePoint now) const;
-  /// How long a node was heard neither by this node nor by the peers that this node hears; counted only while this
-  /// process was running without a suspension.
+  /// How long neither this node nor any peer that it hears has heard a node; time before the start or the last
+  /// suspension of this process doesn't count.
   Ms silentFor(NodeId node, TimePoint now) const;
 
   ProcessTime clockReading(TimePoint now) const { return {processId_, now.time_since_epoch().count()}; }
@@ -42,7 +42,7 @@
  private:
   struct Peer {
     TimePoint lastArrival;
-    TimePoint lastContact;  ///< the latest own clock reading that the peer sent back
+    TimePoint lastContact;  ///< the latest clock reading of this node that the peer echoed
     Heartbeat heartbeat;
   };
 
