--- a/control/usage_collector.hpp
+++ b/control/usage_collector.hpp
@@ -2,8 +2,8 @@
 #include "control/duty_holder.hpp"
 #include "control/node_directory.hpp"
 #include "duties/call_backoff.hpp"
-#include "duties/load_board.hpp"
-#include "duties/true_time.hpp"
+#include "duties/cluster_clock.hpp"
+#include "duties/service_load_table.hpp"
 #include "duties/usage_ledger.hpp"
 
 namespace tealshelf {
--- a/duties/true_time.cpp
+++ b/duties/cluster_clock.cpp
@@ -1,4 +1,4 @@
-#include "duties/true_time.hpp"
+#include "duties/cluster_clock.hpp"
 
 namespace tealshelf {
 
--- a/duties/load_board.cpp
+++ b/duties/service_load_table.cpp
@@ -1,4 +1,4 @@
-#include "duties/load_board.hpp"
+#include "duties/service_load_table.hpp"
 
 namespace tealshelf {
 
--- a/duties/usage_reporter.hpp
+++ b/duties/usage_reporter.hpp
@@ -1,6 +1,6 @@
 #pragma once
 #include "base/metrics.hpp"
-#include "duties/true_time.hpp"
+#include "duties/cluster_clock.hpp"
 #include "duties/usage_ledger.hpp"
 #include "updates/fleet_view.hpp"
 
--- a/tests/duties/duties_test.cpp
+++ b/tests/duties/duties_test.cpp
@@ -1,9 +1,9 @@
 // The pure parts of the duties: lease, contact with the platform, time of day, table and ledger of usage.
+#include "duties/cluster_clock.hpp"
 #include "duties/duty_lease.hpp"
 #include "duties/duty_preference.hpp"
-#include "duties/load_board.hpp"
 #include "duties/platform_contact.hpp"
-#include "duties/true_time.hpp"
+#include "duties/service_load_table.hpp"
 #include "duties/usage_ledger.hpp"
 
 #include <CppUTest/TestHarness.h>
