--- a/control/capacity_controller.cpp
+++ b/control/capacity_controller.cpp
@@ -72,8 +72,8 @@
     for (ScalingOrder const& wanted : decision.orders) {
       if (!duties_.mayAct() || fence_ != duties_.fence()) co_return;
       bool const isAccepted = co_await order(name, wanted, decision.reason);
-      if (!isAccepted) co_return backoff_.noteNotTaken();
-      backoff_.noteTaken();
+      if (!isAccepted) co_return backoff_.recordNotAccepted();
+      backoff_.recordAccepted();
     }
   }
 }
--- a/control/duty_holder.cpp
+++ b/control/duty_holder.cpp
@@ -91,7 +91,7 @@
   bool const isConfirmed = co_await driver_.confirmOwnership(dutiesKeyspace, settings_.bounds.lease / 2);
   if (!isConfirmed) co_return;
   lease_.noteConfirmed(epoch, requestedAt);
-  platform_.noteExtended();
+  platform_.extendCallDeadlines();
 }
 
 void DutyHolder::relinquish(string const& reason) {
@@ -142,7 +142,7 @@
 void DutyHolder::receive(HeartbeatMessage const& message) {
   std::optional<Ms> silence;
   if (message.platformSilenceMs >= 0) silence = Ms(message.platformSilenceMs);
-  contact_.notePeer(message.heartbeat.sender.id, silence, Clock::now());
+  contact_.recordPeerSilence(message.heartbeat.sender.id, silence, Clock::now());
 }
 
 void DutyHolder::fillHeartbeat(HeartbeatMessage& message) const {
--- a/control/usage_collector.cpp
+++ b/control/usage_collector.cpp
@@ -97,13 +97,13 @@
 }
 
 Task<void> UsageCollector::forwardUsageTo(Address holder) {
-  std::uint64_t const sentRevision = holder_.toldTo(holder);
+  std::uint64_t const sentRevision = holder_.revisionSentTo(holder);
   std::uint64_t const revision = table_.revision();
   CollectUsage message{settings_.nodeName, table_.changedSince(sentRevision), {}};
   for (auto& [service, load] : loads()) message.loads.push_back(load);
   if (message.nodes.empty() && message.loads.empty()) co_return;
   UsageReceipt const receipt = co_await rpc_.call(holder, message, settings_.bounds.reportWindow / roundsPerWindow * 2);
-  holder_.noteTaken(holder, receipt.process, sentRevision, revision);
+  holder_.recordAccepted(holder, receipt.process, sentRevision, revision);
 }
 
 vector<string> UsageCollector::unfinishedFor(WindowNumber window) const {
@@ -171,11 +171,11 @@
     (isRejected ? failed_ : sent_).increment();
     acknowledged_.insert(record.window);
     rejections_.erase(record.window);
-    backoff_.noteTaken();
+    backoff_.recordAccepted();
     co_return;
   }
   failed_.increment();
-  backoff_.noteNotTaken();
+  backoff_.recordNotAccepted();
   logDebug("duties", "the report of usage window " + std::to_string(record.window.value) +
                          " will be sent again; answer of the platform: " + lastAnswer_);
 }
--- a/control/usage_collector.hpp
+++ b/control/usage_collector.hpp
@@ -57,9 +57,9 @@
   UsageLedger ledger_;
   std::uint64_t process_ = randomId();
   UsageTable table_;
-  UsageReceiver holder_;
-  LoadBoard loads_;
-  TrueTime time_;
+  UsageSendProgress holder_;
+  ServiceLoadTable loads_;
+  MedianClock time_;
   CallBackoff backoff_;                  ///< of reports
   std::set<WindowNumber> acknowledged_;  ///< acknowledged by the platform, not yet recorded in the keyspace
   std::map<WindowNumber, int> rejections_;
--- a/duties/call_backoff.hpp
+++ b/duties/call_backoff.hpp
@@ -7,8 +7,8 @@
 class CallBackoff {
  public:
   explicit CallBackoff(Ms lease) : lease_(lease) {}
-  void noteTaken() { pause_ = Ms(0); }
-  void noteNotTaken() { pause_ = std::clamp(2 * pause_, lease_ / firstPart, lease_ / longestPart); }
+  void recordAccepted() { pause_ = Ms(0); }
+  void recordNotAccepted() { pause_ = std::clamp(2 * pause_, lease_ / firstPart, lease_ / longestPart); }
   Ms pause() const { return pause_; }
 
  private:
--- a/duties/cluster_clock.cpp
+++ b/duties/cluster_clock.cpp
@@ -8,11 +8,11 @@
 }
 }  // namespace
 
-void TrueTime::noteReading(NodeId node, std::int64_t wallMs, TimePoint now) {
+void MedianClock::noteReading(NodeId node, std::int64_t wallMs, TimePoint now) {
   readings_[node] = Reading{wallMs - steadyMs(now), now};
 }
 
-std::optional<std::int64_t> TrueTime::nowMs(TimePoint now) const {
+std::optional<std::int64_t> MedianClock::nowMs(TimePoint now) const {
   vector<std::int64_t> offsets;
   for (auto const& [node, reading] : readings_)
     if (now - reading.at <= expiry_) offsets.push_back(reading.offsetMs);
@@ -23,13 +23,13 @@
   return steadyMs(now) + lower + (offsets[middle] - lower) / 2;
 }
 
-void FollowedTime::noteAnswer(std::int64_t trueMs, TimePoint askedAt, TimePoint now) {
+void FollowerClock::noteAnswer(std::int64_t clusterTimeMs, TimePoint askedAt, TimePoint now) {
   Ms const trip = std::chrono::duration_cast<Ms>(now - askedAt);
-  if (trip > longestTrip_) return;
-  offsetMs_ = trueMs + trip.count() / 2 - steadyMs(now);
+  if (trip > maxRoundTrip_) return;
+  offsetMs_ = clusterTimeMs + trip.count() / 2 - steadyMs(now);
 }
 
-std::int64_t FollowedTime::at(TimePoint moment) const {
+std::int64_t FollowerClock::at(TimePoint moment) const {
   if (offsetMs_) return steadyMs(moment) + *offsetMs_;
   TimePoint const now = Clock::now();
   return wallClockMs() - std::chrono::duration_cast<Ms>(now - moment).count();
--- a/duties/cluster_clock.hpp
+++ b/duties/cluster_clock.hpp
@@ -8,10 +8,10 @@
 ///
 /// Each node tells its time of day with its heartbeats. The median over the nodes is wrong only if the clocks of half
 /// of them are. A message that was held back makes its sender's clock look slow until the next one comes.
-class TrueTime {
+class MedianClock {
  public:
   /// Readings older than `expiry` don't count.
-  explicit TrueTime(Ms expiry) : expiry_(expiry) {}
+  explicit MedianClock(Ms expiry) : expiry_(expiry) {}
   /// Takes the time of day of a node, this one included, in milliseconds since 1970.
   void noteReading(NodeId node, std::int64_t wallMs, TimePoint now);
   /// Milliseconds since 1970; nothing without a recent reading.
@@ -27,19 +27,19 @@
 };
 
 /// The time of day of a process that follows another one's; its own before it heard of that.
-class FollowedTime {
+class FollowerClock {
  public:
-  /// An answer that took longer than `longestTrip` says too little.
-  explicit FollowedTime(Ms longestTrip) : longestTrip_(longestTrip) {}
+  /// An answer that took longer than `maxRoundTrip` says too little.
+  explicit FollowerClock(Ms maxRoundTrip) : maxRoundTrip_(maxRoundTrip) {}
   /// Takes the time of an answer to a question asked at `askedAt`.
-  void noteAnswer(std::int64_t trueMs, TimePoint askedAt, TimePoint now);
+  void noteAnswer(std::int64_t clusterTimeMs, TimePoint askedAt, TimePoint now);
   /// False before the other process was heard.
-  bool isFollowing() const { return offsetMs_.has_value(); }
+  bool isSynchronized() const { return offsetMs_.has_value(); }
   /// The time of day at a reading of the steady clock, in milliseconds since 1970.
   std::int64_t at(TimePoint moment) const;
 
  private:
-  Ms longestTrip_;
+  Ms maxRoundTrip_;
   std::optional<std::int64_t> offsetMs_;
 };
 
--- a/duties/platform_client.cpp
+++ b/duties/platform_client.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 /// Part of the platform's rate that one holder uses.
-constexpr double usedRate = 0.5;
+constexpr double rateFraction = 0.5;
 /// Leases that a call waits for its answer at the most.
-constexpr int longestLeases = 3;
+constexpr int maxCallLeases = 3;
 
 PlatformAnswer answerFor(unsigned status) {
   if (status >= 200 && status < 300) return PlatformAnswer::taken;
@@ -38,18 +38,18 @@
     : io_(io),
       settings_(settings),
       lease_(lease),
-      distance_(std::max<std::int64_t>(
-          1, static_cast<std::int64_t>(1000 / (usedRate * settings.provider.dutiesPerSecond)))) {}
+      callInterval_(std::max<std::int64_t>(
+          1, static_cast<std::int64_t>(1000 / (rateFraction * settings.provider.dutiesPerSecond)))) {}
 
-Task<void> PlatformClient::awaitTurn() {
+Task<void> PlatformClient::waitForRateLimit() {
   TimePoint const turn = std::max(nextCallAt_, Clock::now());
-  nextCallAt_ = turn + distance_;
+  nextCallAt_ = turn + callInterval_;
   Ms const wait(remainingMs(turn));
   if (wait > Ms(0)) co_await sleepFor(wait);
 }
 
 Task<PlatformAnswer> PlatformClient::call(PlatformCall call) {
-  co_await awaitTurn();
+  co_await waitForRateLimit();
   http::request<http::string_body> request(http::verb::post, call.path, 11);
   request.set(http::field::host, settings_.provider.address.text());
   request.set("Duty-Owner", settings_.nodeName);
@@ -67,7 +67,7 @@
   std::uint64_t const fence = lease_.fence();
   tcp::socket socket(io_);
   SocketDeadline deadline(io_, socket);
-  Pending pending{&deadline, begin + longestLeases * settings_.bounds.lease};
+  Pending pending{&deadline, begin + maxCallLeases * settings_.bounds.lease};
   deadline.expireAt(std::min(lease_.endsAt(), pending.longest));
   pending_.insert(&pending);
   error_code error;
@@ -77,7 +77,7 @@
   bool const isConnected = !error && !deadline.expired();
   http::response<http::string_body> response;
   if (isConnected && mayStillSend) {
-    setSocketOptions(socket, longestLeases * settings_.bounds.lease);
+    setSocketOptions(socket, maxCallLeases * settings_.bounds.lease);
     co_await http::async_write(socket, request, asio::redirect_error(asio::use_awaitable, error));
     beast::flat_buffer buffer;
     if (!error) co_await http::async_read(socket, buffer, response, asio::redirect_error(asio::use_awaitable, error));
@@ -88,7 +88,7 @@
   co_return answerFor(response.result_int());
 }
 
-void PlatformClient::noteExtended() {
+void PlatformClient::extendCallDeadlines() {
   for (Pending* const pending : pending_) pending->deadline->expireAt(std::min(lease_.endsAt(), pending->longest));
 }
 
--- a/duties/platform_client.hpp
+++ b/duties/platform_client.hpp
@@ -31,7 +31,7 @@
   /// takes: a holder before this one may have made some.
   Task<PlatformAnswer> call(PlatformCall call);
   /// The lease was extended: calls under way may go on as long.
-  void noteExtended();
+  void extendCallDeadlines();
 
  private:
   /// A call that waits for its answer.
@@ -39,13 +39,13 @@
     SocketDeadline* deadline;
     TimePoint longest;  ///< until when it waits at the most
   };
-  Task<void> awaitTurn();
+  Task<void> waitForRateLimit();
   Task<PlatformAnswer> exchange(http::request<http::string_body> const& request);
 
   asio::io_context& io_;
   Settings const& settings_;
   DutyLease const& lease_;
-  Ms distance_;  ///< between two calls
+  Ms callInterval_;  ///< between two calls
   TimePoint nextCallAt_;
   std::set<Pending*> pending_;
 };
--- a/duties/platform_contact.cpp
+++ b/duties/platform_contact.cpp
@@ -2,7 +2,7 @@
 
 namespace tealshelf {
 
-void PlatformContact::notePeer(NodeId peer, std::optional<Ms> silence, TimePoint now) {
+void PlatformContact::recordPeerSilence(NodeId peer, std::optional<Ms> silence, TimePoint now) {
   if (silence)
     peers_[peer] = Word{*silence, now};
   else
--- a/duties/platform_contact.hpp
+++ b/duties/platform_contact.hpp
@@ -16,7 +16,7 @@
   /// How long ago this node last reached the platform, or started.
   Ms silence(TimePoint now) const { return std::chrono::duration_cast<Ms>(now - reachedAt_); }
   /// What another node says of itself; nothing if it doesn't say.
-  void notePeer(NodeId peer, std::optional<Ms> silence, TimePoint now);
+  void recordPeerSilence(NodeId peer, std::optional<Ms> silence, TimePoint now);
   /// The nodes to pass over as holders; none if no node is better off.
   std::set<NodeId> unfit(TimePoint now) const;
 
--- a/duties/scaling_policy.cpp
+++ b/duties/scaling_policy.cpp
@@ -4,16 +4,16 @@
 
 namespace {
 /// Parts of the slots that the peak of the demand takes: workers are added above the one, taken away below the other.
-constexpr double highestUtilization = 0.9, lowestUtilization = 0.65;
+constexpr double maxUtilization = 0.9, minUtilization = 0.65;
 /// Start times of a worker for which demand is remembered, and that lie between two reductions.
-constexpr int memoryInStartTimes = 3, reductionsInStartTime = 1;
+constexpr int demandWindowStartTimes = 3, reductionsPerStartTime = 1;
 /// Part of the memory that must be filled before workers are taken away.
-constexpr double leastKnownPart = 0.3;
+constexpr double minFilledFraction = 0.3;
 /// Part of the peak that is added to it while nothing is remembered.
-constexpr double reserveOfUnknown = 0.75;
-constexpr Ms shortestStartTime{1000};
+constexpr double reserveWithoutHistory = 0.75;
+constexpr Ms minStartTime{1000};
 /// Part of a zone's workers that may be taken away at once.
-constexpr double largestReduction = 0.25;
+constexpr double maxReductionFraction = 0.25;
 
 std::uint64_t workersFor(double demand, double slots, ServiceScaling const& scaling) {
   std::uint64_t const needed = static_cast<std::uint64_t>(std::ceil(demand / slots));
@@ -22,14 +22,14 @@
 }  // namespace
 
 void ScalingPolicy::noteDemand(double slots, Ms memory, TimePoint now) {
-  if (slots > 0 && !loadedSince_) loadedSince_ = now;
+  if (slots > 0 && !firstDemandAt_) firstDemandAt_ = now;
   demands_.push_back({now, slots});
   while (now - demands_.front().at > memory) demands_.pop_front();
 }
 
-double ScalingPolicy::knownPart(Ms memory, TimePoint now) const {
-  if (!loadedSince_) return 0;
-  double const known = static_cast<double>(std::chrono::duration_cast<Ms>(now - *loadedSince_).count());
+double ScalingPolicy::filledFraction(Ms memory, TimePoint now) const {
+  if (!firstDemandAt_) return 0;
+  double const known = static_cast<double>(std::chrono::duration_cast<Ms>(now - *firstDemandAt_).count());
   return std::min(1.0, known / static_cast<double>(memory.count()));
 }
 
@@ -44,13 +44,13 @@
   if (present < decision.least) return ScalingOrder{zone, decision.least, false};
   if (present <= decision.most) return std::nullopt;
   std::uint64_t const step =
-      std::max<std::uint64_t>(1, static_cast<std::uint64_t>(static_cast<double>(present) * largestReduction));
+      std::max<std::uint64_t>(1, static_cast<std::uint64_t>(static_cast<double>(present) * maxReductionFraction));
   return ScalingOrder{zone, std::max(decision.most, present - step), true};
 }
 
 ScalingDecision ScalingPolicy::decide(ScalingInputs const& inputs, TimePoint now) {
-  Ms const startTime = std::max(inputs.scaling.startTime, shortestStartTime);
-  Ms const memory = memoryInStartTimes * startTime;
+  Ms const startTime = std::max(inputs.scaling.startTime, minStartTime);
+  Ms const memory = demandWindowStartTimes * startTime;
   noteDemand(inputs.load.inFlight + inputs.load.backlog, memory, now);
   ScalingDecision decision;
   for (Demand const& demand : demands_) decision.peakDemand = std::max(decision.peakDemand, demand.slots);
@@ -62,16 +62,16 @@
     return decision;
   }
   double const slots = static_cast<double>(inputs.slotsPerWorker * zones.size());
-  double const known = knownPart(memory, now);
-  double const withReserve = decision.peakDemand * (1 + reserveOfUnknown * (1 - known));
-  decision.least = workersFor(decision.peakDemand, slots * highestUtilization, inputs.scaling);
-  decision.most = std::max(decision.least, workersFor(withReserve, slots * lowestUtilization, inputs.scaling));
+  double const known = filledFraction(memory, now);
+  double const demandWithReserve = decision.peakDemand * (1 + reserveWithoutHistory * (1 - known));
+  decision.least = workersFor(decision.peakDemand, slots * maxUtilization, inputs.scaling);
+  decision.most = std::max(decision.least, workersFor(demandWithReserve, slots * minUtilization, inputs.scaling));
   // Before that the registry of workers may still be filling.
-  if (!loadedSince_) decision.reason = "no demand was seen yet";
+  if (!firstDemandAt_) decision.reason = "no demand was seen yet";
   if (inputs.isRollingOut) decision.reason = "a rollout is under way";
-  if (!loadedSince_ || inputs.isRollingOut) return decision;
-  bool const isSettled = !reducedAt_ || now - *reducedAt_ >= startTime / reductionsInStartTime;
-  bool const mayReduce = known >= leastKnownPart && isSettled;
+  if (!firstDemandAt_ || inputs.isRollingOut) return decision;
+  bool const isSettled = !reducedAt_ || now - *reducedAt_ >= startTime / reductionsPerStartTime;
+  bool const mayReduce = known >= minFilledFraction && isSettled;
   decision.reason = mayReduce ? "by demand" : "by demand, no reduction yet";
   for (string const& zone : zones) {
     std::optional<ScalingOrder> order = orderFor(zone, inputs.zones.at(zone), decision);
--- a/duties/scaling_policy.hpp
+++ b/duties/scaling_policy.hpp
@@ -55,14 +55,14 @@
   };
   void noteDemand(double slots, Ms memory, TimePoint now);
   /// The part of the memory that is filled, from 0 to 1.
-  double knownPart(Ms memory, TimePoint now) const;
+  double filledFraction(Ms memory, TimePoint now) const;
   /// The workers that a zone has or was last ordered to have.
   std::uint64_t presentIn(string const& zone, ZoneWorkers const& workers) const;
   std::optional<ScalingOrder> orderFor(string const& zone, ZoneWorkers const& workers,
                                        ScalingDecision const& decision) const;
 
   std::deque<Demand> demands_;
-  std::optional<TimePoint> loadedSince_;  ///< when the first demand was seen
+  std::optional<TimePoint> firstDemandAt_;  ///< when the first demand was seen
   std::map<string, std::uint64_t> ordered_;
   std::optional<TimePoint> reducedAt_;
 };
--- a/duties/service_load_table.cpp
+++ b/duties/service_load_table.cpp
@@ -2,12 +2,12 @@
 
 namespace tealshelf {
 
-void LoadBoard::note(string const& reporter, vector<ServiceLoad> loads, TimePoint now) {
+void ServiceLoadTable::note(string const& reporter, vector<ServiceLoad> loads, TimePoint now) {
   std::erase_if(entries_, [this, now](auto const& item) { return now - item.second.at > expiry_; });
   entries_[reporter] = Entry{std::move(loads), now};
 }
 
-std::map<string, ServiceLoad> LoadBoard::sums(TimePoint now) const {
+std::map<string, ServiceLoad> ServiceLoadTable::sums(TimePoint now) const {
   std::map<string, ServiceLoad> sums;
   for (auto const& [reporter, entry] : entries_) {
     if (now - entry.at > expiry_) continue;
--- a/duties/service_load_table.hpp
+++ b/duties/service_load_table.hpp
@@ -4,10 +4,10 @@
 namespace tealshelf {
 
 /// The latest loads of services by who told them; no input or output of its own.
-class LoadBoard {
+class ServiceLoadTable {
  public:
   /// What wasn't told anew for so long doesn't count.
-  explicit LoadBoard(Ms expiry) : expiry_(expiry) {}
+  explicit ServiceLoadTable(Ms expiry) : expiry_(expiry) {}
   void note(string const& reporter, vector<ServiceLoad> loads, TimePoint now);
   /// Sums over all reporters, by service.
   std::map<string, ServiceLoad> sums(TimePoint now) const;
--- a/duties/usage_ledger.cpp
+++ b/duties/usage_ledger.cpp
@@ -15,8 +15,8 @@
 }
 }  // namespace
 
-WindowNumber UsageLedger::finalAt(std::int64_t trueMs) const {
-  return WindowNumber(windowAt(trueMs - timing_.latestCounts.count()).value - 1);
+WindowNumber UsageLedger::finalAt(std::int64_t clusterTimeMs) const {
+  return WindowNumber(windowAt(clusterTimeMs - timing_.countsGrace.count()).value - 1);
 }
 
 std::optional<UsageProgress> UsageLedger::progressIn(Values const& values) {
@@ -41,10 +41,10 @@
   return table.firstWindow();
 }
 
-bool UsageLedger::mayClose(WindowNumber window, std::int64_t trueMs, vector<string> const& unfinished) const {
-  std::int64_t const sinceEnd = trueMs - endOf(window);
+bool UsageLedger::mayClose(WindowNumber window, std::int64_t clusterTimeMs, vector<string> const& unfinished) const {
+  std::int64_t const sinceEnd = clusterTimeMs - endOf(window);
   std::int64_t const longest = timing_.delay.count() * closeWithinNumerator / closeWithinDenominator;
-  if (sinceEnd < timing_.latestCounts.count()) return false;
+  if (sinceEnd < timing_.countsGrace.count()) return false;
   return unfinished.empty() || sinceEnd >= longest;
 }
 
--- a/duties/usage_ledger.hpp
+++ b/duties/usage_ledger.hpp
@@ -24,18 +24,20 @@
 class UsageLedger {
  public:
   struct Timing {
-    Ms window;        ///< the length of a window
-    Ms delay;         ///< after its end a window's report is due
-    Ms latestCounts;  ///< after a window's end the counts of a node that works well are there
+    Ms window;       ///< the length of a window
+    Ms delay;        ///< after its end a window's report is due
+    Ms countsGrace;  ///< after a window's end the counts of a node that works well are there
     static Timing of(Bounds const& bounds) {
       return {bounds.reportWindow, bounds.usageDelay, bounds.reportWindow / 10};
     }
   };
   explicit UsageLedger(Timing timing) : timing_(timing) {}
 
-  WindowNumber windowAt(std::int64_t trueMs) const { return WindowNumber(trueMs / timing_.window.count()); }
+  WindowNumber windowAt(std::int64_t clusterTimeMs) const {
+    return WindowNumber(clusterTimeMs / timing_.window.count());
+  }
   /// The last window whose counts a node may call final.
-  WindowNumber finalAt(std::int64_t trueMs) const;
+  WindowNumber finalAt(std::int64_t clusterTimeMs) const;
 
   /// Nothing before the first window was closed.
   static std::optional<UsageProgress> progressIn(Values const& values);
@@ -45,7 +47,7 @@
   static std::optional<WindowNumber> nextToClose(Values const& values, UsageTable const& table);
   /// True once a window's counts are complete, or can't be waited for any longer. `unfinished`: nodes whose counts may
   /// still grow.
-  bool mayClose(WindowNumber window, std::int64_t trueMs, vector<string> const& unfinished) const;
+  bool mayClose(WindowNumber window, std::int64_t clusterTimeMs, vector<string> const& unfinished) const;
   /// The changes that close a window.
   static vector<KeyChange> closing(WindowNumber window, std::map<string, std::uint64_t> const& counts);
   /// The change that forgets a report that the platform acknowledged.
--- a/duties/usage_messages.hpp
+++ b/duties/usage_messages.hpp
@@ -44,8 +44,8 @@
 struct UsageReceipt {
   std::uint64_t process = 0;   ///< of the answering node; another one has forgotten what was sent before
   WindowNumber closedThrough;  ///< windows up to this one are safe, and may be forgotten
-  std::int64_t trueTimeMs = 0;
-  MSGPACK_DEFINE(process, closedThrough, trueTimeMs)
+  std::int64_t clusterTimeMs = 0;
+  MSGPACK_DEFINE(process, closedThrough, clusterTimeMs)
 };
 
 /// Brings a control node what changed at a data-plane node since its last report.
--- a/duties/usage_reporter.cpp
+++ b/duties/usage_reporter.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 /// So often in a window a node reports: what a killed one counted since is lost.
-constexpr int reportsInWindow = 10;
+constexpr int reportsPerWindow = 10;
 /// Control nodes that one report is offered to.
 constexpr std::size_t maxReceivers = 3;
 /// Windows that a node keeps at the most while nobody closes any.
@@ -18,7 +18,7 @@
       view_(view),
       ledger_(UsageLedger::Timing::of(settings.bounds)),
       self_{settings.nodeName, randomId()},
-      time_(settings.bounds.reportWindow / (2 * reportsInWindow)),
+      time_(settings.bounds.reportWindow / (2 * reportsPerWindow)),
       counted_(metrics().counter("tealshelf_usage_counted_total", "Requests of tenants that began to run")),
       dropped_(metrics().counter("tealshelf_usage_dropped_total", "Counted requests that were never reported")) {}
 
@@ -33,7 +33,7 @@
 }
 
 Task<void> UsageReporter::reportLoop() {
-  Ms const period = settings_.bounds.reportWindow / reportsInWindow;
+  Ms const period = settings_.bounds.reportWindow / reportsPerWindow;
   co_await sleepFor(Ms(static_cast<std::int64_t>(self_.incarnation % static_cast<std::uint64_t>(period.count()))));
   for (;;) {
     co_await report();
@@ -43,7 +43,7 @@
 
 Task<void> UsageReporter::report() {
   TimePoint const now = Clock::now();
-  if (time_.isFollowing()) table_.markFinal(self_, ledger_.finalAt(time_.at(now)), now);
+  if (time_.isSynchronized()) table_.markFinal(self_, ledger_.finalAt(time_.at(now)), now);
   std::uint64_t const dropped = table_.dropOldest(self_, maxWindows);
   if (dropped) {
     dropped_.increment(dropped);
@@ -62,7 +62,7 @@
 }
 
 Task<void> UsageReporter::reportTo(Address control) {
-  std::uint64_t const told = receiver_.toldTo(control);
+  std::uint64_t const told = receiver_.revisionSentTo(control);
   std::uint64_t const revision = table_.revision();
   ReportUsage message;
   vector<NodeUsage> changed = table_.changedSince(told);
@@ -72,9 +72,9 @@
     message.usage = std::move(changed.front());
   if (loads) message.loads = loads();
   TimePoint const askedAt = Clock::now();
-  UsageReceipt const receipt = co_await rpc_.call(control, message, settings_.bounds.reportWindow / reportsInWindow);
-  time_.noteAnswer(receipt.trueTimeMs, askedAt, Clock::now());
-  receiver_.noteTaken(control, receipt.process, told, revision);
+  UsageReceipt const receipt = co_await rpc_.call(control, message, settings_.bounds.reportWindow / reportsPerWindow);
+  time_.noteAnswer(receipt.clusterTimeMs, askedAt, Clock::now());
+  receiver_.recordAccepted(control, receipt.process, told, revision);
   table_.forget(receipt.closedThrough, TimePoint());
 }
 
--- a/duties/usage_reporter.hpp
+++ b/duties/usage_reporter.hpp
@@ -33,8 +33,8 @@
   UsageLedger ledger_;
   UsageTable table_;
   UsageTable::ProcessKey self_;
-  FollowedTime time_;
-  UsageReceiver receiver_;
+  FollowerClock time_;
+  UsageSendProgress receiver_;
   Counter counted_, dropped_;
 };
 
--- a/duties/usage_table.cpp
+++ b/duties/usage_table.cpp
@@ -46,10 +46,10 @@
   });
 }
 
-std::uint64_t UsageTable::dropOldest(ProcessKey const& process, std::size_t mostWindows) {
+std::uint64_t UsageTable::dropOldest(ProcessKey const& process, std::size_t maxWindowCount) {
   std::uint64_t dropped = 0;
   Process& entry = processOf(process);
-  while (entry.windows.size() > mostWindows) {
+  while (entry.windows.size() > maxWindowCount) {
     for (auto const& [tenant, requests] : entry.windows.begin()->second.counts) dropped += requests;
     entry.windows.erase(entry.windows.begin());
   }
--- a/duties/usage_table.hpp
+++ b/duties/usage_table.hpp
@@ -24,7 +24,7 @@
   /// Forgets windows that were closed, and processes that have none left and weren't heard since a time.
   void forget(WindowNumber closedThrough, TimePoint heardBefore);
   /// Drops the oldest windows of a process beyond a number; gives how many requests were dropped.
-  std::uint64_t dropOldest(ProcessKey const& process, std::size_t mostWindows);
+  std::uint64_t dropOldest(ProcessKey const& process, std::size_t maxWindowCount);
 
   /// What changed after a revision.
   vector<NodeUsage> changedSince(std::uint64_t revision) const;
@@ -60,22 +60,22 @@
 };
 
 /// How far the node that a table is told to knows of it; no input or output of its own.
-class UsageReceiver {
+class UsageSendProgress {
  public:
   /// The revision after which changes must be told to a node: 0 for one that wasn't told before.
-  std::uint64_t toldTo(Address const& receiver) const { return receiver == address_ ? toldRevision_ : 0; }
+  std::uint64_t revisionSentTo(Address const& receiver) const { return receiver == address_ ? sentRevision_ : 0; }
   /// A node took what changed after `since` and up to `until`. One that was started anew since the last time has
   /// forgotten all that it was told before.
-  void noteTaken(Address const& receiver, std::uint64_t process, std::uint64_t since, std::uint64_t until) {
+  void recordAccepted(Address const& receiver, std::uint64_t process, std::uint64_t since, std::uint64_t until) {
     bool const knowsAll = since == 0 || (receiver == address_ && process == process_);
     address_ = receiver;
     process_ = process;
-    toldRevision_ = knowsAll ? until : 0;
+    sentRevision_ = knowsAll ? until : 0;
   }
 
  private:
   Address address_;
-  std::uint64_t process_ = 0, toldRevision_ = 0;
+  std::uint64_t process_ = 0, sentRevision_ = 0;
 };
 
 }  // namespace tealshelf
--- a/tallies/remembered_keys.cpp
+++ b/tallies/remembered_keys.cpp
@@ -2,8 +2,8 @@
 
 namespace tealshelf {
 
-bool RememberedKeys::contains(AddKey const& key, std::int64_t takenAtMs) const {
-  std::int64_t const taken = generationOf(takenAtMs);
+bool RememberedKeys::contains(AddKey const& key, std::int64_t acceptedAtMs) const {
+  std::int64_t const taken = generationOf(acceptedAtMs);
   for (auto const& [generation, keys] : keys_) {
     bool const isInReach = std::abs(taken - generation) <= generationsKept;
     if (isInReach && std::binary_search(keys.begin(), keys.end(), key.low)) return true;
@@ -13,7 +13,7 @@
 
 void RememberedKeys::add(vector<TallyAdd> const& adds) {
   std::map<std::int64_t, vector<std::uint64_t>> added;
-  for (TallyAdd const& add : adds) added[generationOf(add.takenAtMs)].push_back(add.key.low);
+  for (TallyAdd const& add : adds) added[generationOf(add.acceptedAtMs)].push_back(add.key.low);
   for (auto& [generation, keys] : added) {
     std::sort(keys.begin(), keys.end());
     vector<std::uint64_t> merged;
--- a/tallies/remembered_keys.hpp
+++ b/tallies/remembered_keys.hpp
@@ -19,7 +19,7 @@
 
   explicit RememberedKeys(Ms retention) : generationLength_(std::max<Ms>(Ms(1), retention / generationsKept)) {}
 
-  bool contains(AddKey const& key, std::int64_t takenAtMs) const;
+  bool contains(AddKey const& key, std::int64_t acceptedAtMs) const;
   /// Adds keys; more at once is quicker.
   void add(vector<TallyAdd> const& adds);
   /// Forgets what no later addition can repeat any more. A generation more is kept, for clocks that differ.
@@ -30,7 +30,7 @@
 
  private:
   static constexpr std::int64_t generationsKept = 8;
-  std::int64_t generationOf(std::int64_t takenAtMs) const { return takenAtMs / generationLength_.count(); }
+  std::int64_t generationOf(std::int64_t acceptedAtMs) const { return acceptedAtMs / generationLength_.count(); }
 
   Ms generationLength_;
   std::map<std::int64_t, vector<std::uint64_t>> keys_;
--- a/tallies/tally_add.hpp
+++ b/tallies/tally_add.hpp
@@ -22,8 +22,8 @@
   string tally;
   AddKey key;
   std::int64_t change = 0;
-  std::int64_t takenAtMs = 0;  ///< time of day at the origin
-  MSGPACK_DEFINE(tally, key, change, takenAtMs)
+  std::int64_t acceptedAtMs = 0;  ///< time of day at the origin
+  MSGPACK_DEFINE(tally, key, change, acceptedAtMs)
 };
 
 /// Where an addition stands: the number in its origin's log, counted from 1.
--- a/tallies/tally_peer.hpp
+++ b/tallies/tally_peer.hpp
@@ -23,10 +23,10 @@
   VersionVector synced;   ///< what it has on its disk, by its last report
   std::map<OriginId, Stagnation> stagnation;
   bool awaitsReply = false;
-  bool failed = true;       ///< the last push had no answer, or none was made
-  int silentTicks = 0;      ///< in a row, while a push or a repeat of it was due
-  int differingBeats = 0;   ///< heartbeats in a row with another digest
-  bool probeIsDue = false;  ///< it is asked what it has, even if it lacks nothing
+  bool failed = true;           ///< the last push had no answer, or none was made
+  int ticksWithoutReply = 0;    ///< in a row, while a push or a repeat of it was due
+  int differingHeartbeats = 0;  ///< heartbeats in a row with another digest
+  bool probeIsDue = false;      ///< it is asked what it has, even if it lacks nothing
   bool mayLackSettled = false;
   TimePoint nextPushAt;
   std::optional<OutgoingState> outgoing;
--- a/tallies/tally_replica.cpp
+++ b/tallies/tally_replica.cpp
@@ -75,10 +75,10 @@
   Copies const copies = copiesOf(position);
   if (!copies.count) return false;
   if (copies.areEnough) return true;
-  bool const maySettleForLess = metMajority_ || ticks_ >= timing_.ticksUntilAlone;
-  if (!maySettleForLess || copies.lackedByReachable) return false;
+  bool const allowsFewerCopies = heardMajority_ || ticks_ >= timing_.ticksUntilIsolated;
+  if (!allowsFewerCopies || copies.lackedByReachable) return false;
   // A short outage of the others isn't worth an addition on a single disk.
-  return copies.count >= std::min<std::size_t>(2, durability_.copies) || isAlone();
+  return copies.count >= std::min<std::size_t>(2, durability_.copies) || isWithoutContact();
 }
 
 void TallyReplica::setMembers(vector<Member> const& members) {
@@ -97,7 +97,7 @@
   }
   if (!wasMember) ticksAsMember_ = 0;
   if (isMember_ && !wasMember) caughtUp_ = false;
-  noteCatchUp();
+  updateCatchUp();
 }
 
 void TallyReplica::noteHeartbeat(NodeId from, std::uint64_t digest, TimePoint now) {
@@ -106,13 +106,13 @@
   TallyPeer& peer = found->second;
   if (peer.failed) peer.nextPushAt = now;
   if (digest == this->digest()) {
-    peer.differingBeats = 0;
+    peer.differingHeartbeats = 0;
     noteReport(peer, synced_, now);
     return;
   }
-  constexpr int beatsUntilProbe = 3;
-  if (++peer.differingBeats < beatsUntilProbe) return;
-  peer.differingBeats = 0;
+  constexpr int heartbeatsUntilProbe = 3;
+  if (++peer.differingHeartbeats < heartbeatsUntilProbe) return;
+  peer.differingHeartbeats = 0;
   peer.probeIsDue = true;
 }
 
@@ -132,7 +132,7 @@
   peer.mayLackSettled = std::any_of(settled.begin(), settled.end(), [&synced](auto const& entry) {
     return numberIn(synced, entry.first) < entry.second;
   });
-  noteCatchUp();
+  updateCatchUp();
 }
 
 bool TallyReplica::isRelayDue(TallyPeer const& peer, OriginId origin, TimePoint now) const {
@@ -202,7 +202,7 @@
     fresh.push_back(table_.after(batch.origin, before, table_.lastOf(batch.origin), batch.adds.size()));
   }
   if (!fresh.empty()) records_.push_back(additionsRecord(std::move(fresh)));
-  if (push.state.transfer) takeChunk(push.from, push.state);
+  if (push.state.transfer) receiveChunk(push.from, push.state);
 }
 
 bool TallyReplica::lacksSettled(VersionVector const& settled) const {
@@ -225,7 +225,7 @@
   return reply;
 }
 
-void TallyReplica::takeChunk(NodeId from, TallyStateChunk const& chunk) {
+void TallyReplica::receiveChunk(NodeId from, TallyStateChunk const& chunk) {
   if (!incoming_ || incoming_->from != from) return;
   if (chunk.transfer != incoming_->transfer) {
     if (chunk.offset != 0) return;
@@ -251,7 +251,7 @@
   if (found == peers_.end()) return;
   TallyPeer& peer = found->second;
   peer.awaitsReply = peer.failed = false;
-  peer.silentTicks = 0;
+  peer.ticksWithoutReply = 0;
   ticksSinceAnswer_ = 0;
   noteReport(peer, reply.synced, now);
   if (!reply.wantsState) {
@@ -275,7 +275,7 @@
   peer.nextPushAt = now + timing_.retryAfter;
 }
 
-void TallyReplica::noteCatchUp() {
+void TallyReplica::updateCatchUp() {
   if (!isMember_) return;
   std::size_t met = 1, caughtUpWith = 1;
   for (auto const& [id, peer] : peers_) {
@@ -286,9 +286,9 @@
     if (hasAll) ++caughtUpWith;
   }
   std::size_t const quorum = memberCount_ / 2 + 1;
-  metMajority_ = metMajority_ || met >= quorum;
-  bool const isAlone = !metMajority_ && ticksAsMember_ >= timing_.ticksUntilAlone;
-  caughtUp_ = caughtUp_ || caughtUpWith >= quorum || isAlone;
+  heardMajority_ = heardMajority_ || met >= quorum;
+  bool const isWithoutContact = !heardMajority_ && ticksAsMember_ >= timing_.ticksUntilIsolated;
+  caughtUp_ = caughtUp_ || caughtUpWith >= quorum || isWithoutContact;
 }
 
 void TallyReplica::tick(std::int64_t wallClockMs) {
@@ -296,9 +296,9 @@
   ++ticksAsMember_;
   ++ticksSinceAnswer_;
   for (auto& [id, peer] : peers_)
-    if (peer.awaitsReply || peer.failed) ++peer.silentTicks;
+    if (peer.awaitsReply || peer.failed) ++peer.ticksWithoutReply;
   if (incoming_ && ++incoming_->idleTicks > timing_.ticksUntilUnreachable) incoming_.reset();
-  noteCatchUp();
+  updateCatchUp();
   if (++ticksSinceSettled_ >= ticksBetweenSettling) settle(wallClockMs);
 }
 
--- a/tallies/tally_replica.hpp
+++ b/tallies/tally_replica.hpp
@@ -7,7 +7,7 @@
 /// How a replica times what it does, in ticks of its driver where it must not count time in which it didn't run.
 struct TallyTiming {
   int ticksUntilUnreachable;  ///< a peer without an answer for so long holds up no addition
-  int ticksUntilAlone;        ///< for so long a process that met nobody, or hears nobody any more, doesn't act alone
+  int ticksUntilIsolated;     ///< for so long a process that met nobody, or hears nobody any more, doesn't act alone
   Ms retryAfter;              ///< pause after a push without an answer
   Ms relayAfter;              ///< a peer that lacks another origin's additions for so long gets them from this node
   Ms settleAfter;             ///< age at which additions are settled
@@ -79,11 +79,11 @@
   void noteFailure(NodeId peer, TimePoint now);
   /// Called in even steps while the process runs.
   void tick(std::int64_t wallClockMs);
-  bool isReachable(TallyPeer const& peer) const { return peer.silentTicks < timing_.ticksUntilUnreachable; }
+  bool isReachable(TallyPeer const& peer) const { return peer.ticksWithoutReply < timing_.ticksUntilUnreachable; }
   std::map<NodeId, TallyPeer> const& peers() const { return peers_; }
 
  private:
-  friend struct TallyReplicaProbe;  ///< of the tests: breaks a replica on purpose
+  friend struct TallyReplicaTestAccess;  ///< of the tests: breaks a replica on purpose
 
   /// A state on its way from a peer.
   struct IncomingState {
@@ -100,17 +100,17 @@
     bool lackedByReachable = false;  ///< a peer that answers doesn't have it yet
   };
   Copies copiesOf(AddPosition position) const;
-  void takeChunk(NodeId from, TallyStateChunk const& chunk);
+  void receiveChunk(NodeId from, TallyStateChunk const& chunk);
   void installState(string const& bytes);
   bool lacksSettled(VersionVector const& settled) const;
   void noteReport(TallyPeer& peer, VersionVector const& synced, TimePoint now);
   bool isRelayDue(TallyPeer const& peer, OriginId origin, TimePoint now) const;
   std::optional<TallyPush> nextPush(TallyPeer& peer, TimePoint now) const;
   TallyStateChunk nextChunk(TallyPeer const& peer) const;
-  void noteCatchUp();
+  void updateCatchUp();
   void settle(std::int64_t wallClockMs);
   /// No peer has answered for long.
-  bool isAlone() const { return ticksSinceAnswer_ >= timing_.ticksUntilAlone; }
+  bool isWithoutContact() const { return ticksSinceAnswer_ >= timing_.ticksUntilIsolated; }
 
   NodeId self_;
   TallyTiming timing_;
@@ -121,7 +121,7 @@
   vector<string> records_;
   std::uint64_t digest_ = 0;  ///< of synced_
   bool hasSynced_ = false;
-  bool isMember_ = false, caughtUp_ = false, metMajority_ = false;
+  bool isMember_ = false, caughtUp_ = false, heardMajority_ = false;
   string zone_;
   std::size_t memberCount_ = 0;
   int ticks_ = 0, ticksAsMember_ = 0, ticksSinceAnswer_ = 0, ticksSinceSettled_ = 0;
--- a/tallies/tally_store.cpp
+++ b/tallies/tally_store.cpp
@@ -11,12 +11,12 @@
 
 /// Ticks are an eightieth of inTouch, so a peer is unreachable after an eighth of it, and a process that met no
 /// majority acts alone after the whole.
-constexpr int ticksUntilUnreachable = 10, ticksUntilAlone = 80;
+constexpr int ticksUntilUnreachable = 10, ticksUntilIsolated = 80;
 
 TallyTiming timingFor(Bounds const& bounds) {
   // As long as a caller may ask how its lot went, and longer than any of them goes on repeating a call.
   Ms const retention = 30 * bounds.statusEvery;
-  return {ticksUntilUnreachable, ticksUntilAlone,        bounds.inTouch / 16,
+  return {ticksUntilUnreachable, ticksUntilIsolated,     bounds.inTouch / 16,
           bounds.inTouch / 8,    bounds.statusEvery / 2, retention};
 }
 
@@ -65,10 +65,10 @@
   (taken.result == TallyTable::TakeResult::added ? metrics_.added : metrics_.repeated).increment();
   if (!taken.position) co_return;
   flush();
-  co_await awaitDurable(*taken.position, end);
+  co_await waitUntilDurable(*taken.position, end);
 }
 
-Task<void> TallyStore::awaitDurable(AddPosition position, TimePoint end) {
+Task<void> TallyStore::waitUntilDurable(AddPosition position, TimePoint end) {
   std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(io_, position);
   waiter->isDurable = replica_.isDurable(position);
   if (!waiter->isDurable) {
--- a/tallies/tally_store.hpp
+++ b/tallies/tally_store.hpp
@@ -45,7 +45,7 @@
   void send(OutgoingPush push);
   void wakeWaiters();
   Task<TallyPushReply> answerPush(TallyPush push);
-  Task<void> awaitDurable(AddPosition position, TimePoint end);
+  Task<void> waitUntilDurable(AddPosition position, TimePoint end);
   Task<void> tickLoop();
   Ms tickPeriod() const { return settings_.bounds.inTouch / 80; }
 
--- a/tallies/tally_table.cpp
+++ b/tallies/tally_table.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 /// About what one addition, one remembered key and one total take on a disk.
-constexpr std::size_t recentBytes = 48, rememberedBytes = 9, totalBytes = 32;
+constexpr std::size_t recentBytes = 48, bytesPerRememberedKey = 9, totalBytes = 32;
 
 StoredTotal storedForm(string const& tally, TallyTotal total) {
   return {tally, static_cast<std::int64_t>(total >> 64), static_cast<std::uint64_t>(total)};
@@ -21,7 +21,7 @@
     bool const isSame = known->second.change == add.change;
     return {isSame ? TakeResult::repeated : TakeResult::conflicting, known->second.position};
   }
-  if (remembered_.contains(add.key, add.takenAtMs)) return {TakeResult::repeated, std::nullopt};
+  if (remembered_.contains(add.key, add.acceptedAtMs)) return {TakeResult::repeated, std::nullopt};
   append(origin, std::move(add));
   return {TakeResult::added, AddPosition{origin, lastOf(origin)}};
 }
@@ -52,7 +52,7 @@
     known->second.change = counted;
     return;
   }
-  if (remembered_.contains(add.key, add.takenAtMs)) return;
+  if (remembered_.contains(add.key, add.acceptedAtMs)) return;
   totals_[add.tally] += add.change;
   recentKeys_[add.key] = RecentKey{add.change, position};
 }
@@ -92,11 +92,11 @@
   return batch;
 }
 
-void TallyTable::settle(VersionVector const& everywhere, std::int64_t takenBeforeMs) {
+void TallyTable::settle(VersionVector const& everywhere, std::int64_t acceptedBeforeMs) {
   vector<TallyAdd> settled;
   for (auto& [origin, log] : origins_) {
     std::uint64_t const upTo = numberIn(everywhere, origin);
-    while (!log.adds.empty() && log.first <= upTo && log.adds.front().takenAtMs < takenBeforeMs) {
+    while (!log.adds.empty() && log.first <= upTo && log.adds.front().acceptedAtMs < acceptedBeforeMs) {
       auto const key = recentKeys_.find(log.adds.front().key);
       bool const isFirst = key != recentKeys_.end() && key->second.position == AddPosition{origin, log.first};
       if (isFirst) recentKeys_.erase(key);
@@ -146,7 +146,7 @@
 }
 
 std::size_t TallyTable::storedSize() const {
-  return recentBytes * recentCount() + rememberedBytes * remembered_.size() + totalBytes * totals_.size();
+  return recentBytes * recentCount() + bytesPerRememberedKey * remembered_.size() + totalBytes * totals_.size();
 }
 
 }  // namespace tealshelf
--- a/tallies/tally_table.hpp
+++ b/tallies/tally_table.hpp
@@ -56,7 +56,7 @@
   AddBatch after(OriginId origin, std::uint64_t number, std::uint64_t upTo, std::size_t limit) const;
 
   /// Settles what all members have by a vector, and was taken before a time of day.
-  void settle(VersionVector const& everywhere, std::int64_t takenBeforeMs);
+  void settle(VersionVector const& everywhere, std::int64_t acceptedBeforeMs);
   /// Forgets keys of settled additions that no repeat can come for.
   void forget(std::int64_t nowMs) { remembered_.forget(nowMs); }
 
--- a/tests/duties/duties_test.cpp
+++ b/tests/duties/duties_test.cpp
@@ -27,7 +27,7 @@
 
 TEST_GROUP(dutyLease){};
 
-TEST(dutyLease, aFirstHolderActsOnceAMajorityConfirmsIt) {
+TEST(dutyLease, theFirstHolderMayActOnceAMajorityConfirmsIt) {
   DutyLease lease(leaseLength);
   lease.noteClaimed(firstEpoch, 1, false, dutyStart);
   CHECK(!lease.mayAct(dutyStart));
@@ -69,15 +69,15 @@
   DutyPreference preference{NodeId(1), leaseLength};
 };
 
-TEST(dutyPreference, aLivingIncumbentIsPreferredToAll) {
+TEST(dutyPreference, aLiveIncumbentIsPreferred) {
   CHECK(nodes({1, 3}) == preference.passedOver({}, Incumbent{NodeId(2), true}, threeNodes, dutyStart));
 }
-TEST(dutyPreference, anIncumbentThatIsDeadOrUnfitIsNot) {
+TEST(dutyPreference, aDeadOrUnreachableIncumbentIsNotPreferred) {
   CHECK(nodes({}) == preference.passedOver({}, Incumbent{NodeId(2), false}, threeNodes, dutyStart));
   CHECK(nodes({2}) == preference.passedOver(nodes({2}), Incumbent{NodeId(2), true}, threeNodes, dutyStart));
   CHECK(nodes({}) == preference.passedOver({}, std::nullopt, threeNodes, dutyStart));
 }
-TEST(dutyPreference, aNodeThatLostTheDutiesTakesThemBackOnlyAfterALease) {
+TEST(dutyPreference, aNodeThatLostTheDutiesIsNotPreferredForALease) {
   preference.noteOwnership(true, dutyStart);
   preference.noteOwnership(false, dutyStart + Ms(100));
   preference.noteOwnership(false, dutyStart + Ms(200));
@@ -87,7 +87,7 @@
   CHECK(nodes({1, 3}) == preference.passedOver(nodes({3}), self, threeNodes, dutyStart + Ms(3099)));
   CHECK(nodes({2, 3}) == preference.passedOver({}, self, threeNodes, dutyStart + Ms(3100)));
 }
-TEST(dutyPreference, aNodeThatKeepsTheDutiesGoesByTheRecord) {
+TEST(dutyPreference, theOwnerFollowsTheRecord) {
   preference.noteOwnership(true, dutyStart);
   preference.noteOwnership(true, dutyStart + Ms(100));
   CHECK(nodes({2, 3}) == preference.passedOver({}, Incumbent{NodeId(1), true}, threeNodes, dutyStart + Ms(200)));
@@ -95,27 +95,27 @@
 
 TEST_GROUP(platformContact){};
 
-TEST(platformContact, aNodeIsPassedOverOnlyWhileAnotherIsBetterOff) {
+TEST(platformContact, aNodeWithoutContactIsListedOnlyWhileAnotherHasContact) {
   PlatformContact contact(NodeId(1), leaseLength, dutyStart);
   TimePoint const later = dutyStart + Ms(4000);
-  contact.notePeer(NodeId(2), Ms(3500), later);
+  contact.recordPeerSilence(NodeId(2), Ms(3500), later);
   CHECK(contact.unfit(later).empty());
-  contact.notePeer(NodeId(3), Ms(200), later);
+  contact.recordPeerSilence(NodeId(3), Ms(200), later);
   LONGS_EQUAL(2, contact.unfit(later).size());
   CHECK(contact.unfit(later).contains(NodeId(1)));
   contact.noteReached(later);
   CHECK(!contact.unfit(later).contains(NodeId(1)));
 }
-TEST(platformContact, whatASilentNodeSaidIsForgotten) {
+TEST(platformContact, oldReportsOfPeersAreIgnored) {
   PlatformContact contact(NodeId(1), leaseLength, dutyStart);
-  contact.notePeer(NodeId(2), Ms(0), dutyStart + Ms(1000));
+  contact.recordPeerSilence(NodeId(2), Ms(0), dutyStart + Ms(1000));
   CHECK(contact.unfit(dutyStart + Ms(4000)).empty());
 }
 
 TEST_GROUP(trueTime){};
 
-TEST(trueTime, aMinorityOfSteppedClocksChangesNothing) {
-  TrueTime time(Ms(2500));
+TEST(trueTime, aMinorityOfWrongClocksDoesNotMoveTheMedian) {
+  MedianClock time(Ms(2500));
   for (std::uint64_t node = 1; node <= 5; ++node) {
     std::int64_t const step = node <= 2 ? 2000 : static_cast<std::int64_t>(node);
     time.noteReading(NodeId(node), 1000000 + step, dutyStart);
@@ -123,15 +123,15 @@
   LONGS_EQUAL(1000105, *time.nowMs(dutyStart + Ms(100)));
 }
 TEST(trueTime, oldReadingsDoNotCount) {
-  TrueTime time(Ms(2500));
+  MedianClock time(Ms(2500));
   CHECK(!time.nowMs(dutyStart));
   time.noteReading(NodeId(1), 5000000, dutyStart);
   time.noteReading(NodeId(2), 1000000, dutyStart + Ms(2000));
   LONGS_EQUAL(1001000, *time.nowMs(dutyStart + Ms(3000)));
 }
-TEST(trueTime, aFollowerTakesHalfOfTheTripOff) {
-  FollowedTime time(Ms(250));
-  CHECK(!time.isFollowing());
+TEST(trueTime, aFollowerCorrectsByHalfTheRoundTrip) {
+  FollowerClock time(Ms(250));
+  CHECK(!time.isSynchronized());
   time.noteAnswer(1000000, dutyStart, dutyStart + Ms(40));
   LONGS_EQUAL(1000020, time.at(dutyStart + Ms(40)));
   time.noteAnswer(9000000, dutyStart, dutyStart + Ms(300));
@@ -140,7 +140,7 @@
 
 TEST_GROUP(usageTable){};
 
-TEST(usageTable, repeatsAndDetoursAddNothing) {
+TEST(usageTable, repeatedReportsDoNotAddCounts) {
   UsageTable edge, control;
   edge.count(firstEdge, WindowNumber(10), "huka");
   edge.count(firstEdge, WindowNumber(10), "huka");
@@ -152,7 +152,7 @@
   control.merge(usageOf(secondEdge, 10, 3, 9), dutyStart);
   LONGS_EQUAL(5, control.totals(WindowNumber(10))["huka"]);
 }
-TEST(usageTable, onlyChangesAreToldOn) {
+TEST(usageTable, onlyChangesAreForwarded) {
   UsageTable table;
   table.count(firstEdge, WindowNumber(10), "huka");
   std::uint64_t const told = table.revision();
@@ -169,7 +169,7 @@
   table.count(firstEdge, WindowNumber(9), "huka");
   LONGS_EQUAL(1, table.totals(WindowNumber(11))["huka"]);
 }
-TEST(usageTable, nodesAreWaitedForUntilTheyAreFinalOrFollowed) {
+TEST(usageTable, nodesAreUnfinishedUntilFinalOrRestarted) {
   UsageTable table;
   std::set<string> const expected{"edge-1", "edge-3"};
   table.merge(usageOf(firstEdge, 10, 1, 9), dutyStart);
@@ -182,7 +182,7 @@
   LONGS_EQUAL(1, unfinished.size());
   STRCMP_EQUAL("edge-3", unfinished[0].c_str());
 }
-TEST(usageTable, closedWindowsAndSilentProcessesAreForgotten) {
+TEST(usageTable, closedWindowsAndSilentProcessesAreRemoved) {
   UsageTable table;
   table.merge(usageOf(firstEdge, 10, 1, 9), dutyStart);
   table.merge(usageOf(secondEdge, 11, 1, 9), dutyStart);
@@ -190,20 +190,20 @@
   LONGS_EQUAL(1, table.size());
   LONGS_EQUAL(11, table.firstWindow()->value);
 }
-TEST(usageTable, aReceiverThatWasStartedAnewIsToldEverything) {
-  UsageReceiver receiver;
+TEST(usageTable, aRestartedReceiverIsSentEverything) {
+  UsageSendProgress receiver;
   Address const first{"10.0.0.1", 1}, second{"10.0.0.2", 1};
-  LONGS_EQUAL(0, receiver.toldTo(first));
-  receiver.noteTaken(first, 5, 0, 20);
-  LONGS_EQUAL(20, receiver.toldTo(first));
-  LONGS_EQUAL(0, receiver.toldTo(second));
-  receiver.noteTaken(first, 6, 20, 25);
-  LONGS_EQUAL(0, receiver.toldTo(first));
+  LONGS_EQUAL(0, receiver.revisionSentTo(first));
+  receiver.recordAccepted(first, 5, 0, 20);
+  LONGS_EQUAL(20, receiver.revisionSentTo(first));
+  LONGS_EQUAL(0, receiver.revisionSentTo(second));
+  receiver.recordAccepted(first, 6, 20, 25);
+  LONGS_EQUAL(0, receiver.revisionSentTo(first));
 }
 
 TEST_GROUP(usageLedger){};
 
-TEST(usageLedger, aWindowIsClosedOnceAllCountsAreThereOrTheTimeIsUp) {
+TEST(usageLedger, aWindowIsClosedOnceCountsAreFinalOrTheDeadlinePassed) {
   UsageLedger const ledger({Ms(5000), Ms(10000), Ms(500)});
   LONGS_EQUAL(2, ledger.windowAt(14999).value);
   LONGS_EQUAL(0, ledger.finalAt(10499).value);
@@ -213,7 +213,7 @@
   CHECK(!ledger.mayClose(WindowNumber(1), 17499, {"edge-1"}));
   CHECK(ledger.mayClose(WindowNumber(1), 17500, {"edge-1"}));
 }
-TEST(usageLedger, theReportIsWhatWasCommitted) {
+TEST(usageLedger, theReportEqualsTheCommittedBody) {
   Values values;
   UsageTable table;
   CHECK(!UsageLedger::nextToClose(values, table));
@@ -233,8 +233,8 @@
 
 TEST_GROUP(loadBoard){};
 
-TEST(loadBoard, sumsWhatWasToldLately) {
-  LoadBoard board(Ms(2500));
+TEST(loadBoard, sumsRecentReports) {
+  ServiceLoadTable board(Ms(2500));
   board.note("edge-1", {{"app", 3, 1}}, dutyStart);
   board.note("edge-2", {{"app", 4, 0}, {"lm", 2, 0}}, dutyStart + Ms(2000));
   DOUBLES_EQUAL(7, board.sums(dutyStart + Ms(2000))["app"].inFlight, 0);
--- a/tests/duties/duty_fleet_sim.cpp
+++ b/tests/duties/duty_fleet_sim.cpp
@@ -8,7 +8,7 @@
 constexpr std::int64_t startMs = 1000000000000;
 /// Turns between two actions of one kind.
 constexpr std::uint64_t leaseTurns = 60, closeTurns = 50, callTurns = 20, forwardTurns = 50, reportTurns = 100;
-constexpr std::uint64_t troubledTurns = 9000, calmTurns = 6000;
+constexpr std::uint64_t turnsWithFaults = 9000, turnsAfterHealing = 6000;
 }  // namespace
 
 DutyFleet::DutyFleet(std::uint64_t seed, Mutation mutation)
@@ -19,7 +19,7 @@
   }
 }
 
-std::int64_t DutyFleet::trueMs() const {
+std::int64_t DutyFleet::clusterTimeMs() const {
   return startMs + std::chrono::duration_cast<Ms>(cluster_.now().time_since_epoch()).count();
 }
 
@@ -29,7 +29,7 @@
 }
 
 void DutyFleet::note(string const& line) {
-  trace_.push_back(std::to_string(trueMs() - startMs) + " " + line);
+  trace_.push_back(std::to_string(clusterTimeMs() - startMs) + " " + line);
 }
 
 Values DutyFleet::values(std::size_t node) {
@@ -47,13 +47,13 @@
 }
 
 string DutyFleet::run() {
-  for (turn_ = 0; turn_ < troubledTurns && violation_.empty(); ++turn_) {
+  for (turn_ = 0; turn_ < turnsWithFaults && violation_.empty(); ++turn_) {
     if (cluster_.dice(250) == 0) trouble();
     advance();
   }
   isHealed_ = true;
   cluster_.heal();
-  for (; turn_ < troubledTurns + calmTurns && violation_.empty(); ++turn_) advance();
+  for (; turn_ < turnsWithFaults + turnsAfterHealing && violation_.empty(); ++turn_) advance();
   if (violation_.empty()) checkEnd();
   return violation_.empty() ? cluster_.violation : violation_;
 }
@@ -67,11 +67,11 @@
   }
   for (std::size_t node = 0; node < nodeCount; ++node) {
     if (runs(node))
-      liveAsHolder(node);
+      stepHolder(node);
     else
       holders_[node].clockStep -= step;
   }
-  for (Edge& edge : edges_) liveAsEdge(edge);
+  for (Edge& edge : edges_) stepEdge(edge);
 }
 
 void DutyFleet::trouble() {
@@ -111,7 +111,7 @@
   cluster_.unfreeze(node);
 }
 
-void DutyFleet::liveAsHolder(std::size_t node) {
+void DutyFleet::stepHolder(std::size_t node) {
   Cluster::Node& state = cluster_.nodes()[node];
   Holder& holder = holders_[node];
   if (holder.life != state.processNumber) {
@@ -130,7 +130,7 @@
   }
   if (turn % closeTurns == 0) closeWindow(node);
   if (turn % callTurns == 0) callPlatform(node);
-  if (turn % closeTurns == 1) forgetTaken(node);
+  if (turn % closeTurns == 1) removeAcceptedReports(node);
   if (turn % forwardTurns == 0) forward(node);
 }
 
@@ -144,8 +144,8 @@
   bool const hadPredecessor = former != known.end();
   DutyRecord next;
   if (hadPredecessor) next = deserialize<DutyRecord>(former->second);
-  holder.formerFence = next.fence;
-  if (mutation_ != Mutation::fenceStays || !hadPredecessor) ++next.fence;
+  holder.previousFence = next.fence;
+  if (mutation_ != Mutation::reusesFence || !hadPredecessor) ++next.fence;
   next.holderName = std::to_string(node);
   holder.isAsking = true;
   vector<KeyChange> const changes(1, KeyChange{holderKey, serialize(next), false});
@@ -154,7 +154,7 @@
       [this, node, epoch, fence = next.fence, hadPredecessor](bool isCommitted) {
         holders_[node].isAsking = false;
         if (!isCommitted) return;
-        bool const waits = hadPredecessor && mutation_ != Mutation::actsAtOnce;
+        bool const waits = hadPredecessor && mutation_ != Mutation::skipsWait;
         holders_[node].lease.noteClaimed(epoch, fence, waits, leaseClock(node));
         note("node " + std::to_string(node) + " claims under fence " + std::to_string(fence));
       });
@@ -181,7 +181,7 @@
   std::set<string> expected;
   for (Edge const& edge : edges_) expected.insert(edge.key.node);
   vector<string> const unfinished = holder.table.unfinished(*next, expected, cluster_.now() - delay - window);
-  if (!ledger_.mayClose(*next, trueMs(), unfinished)) return;
+  if (!ledger_.mayClose(*next, clusterTimeMs(), unfinished)) return;
   vector<KeyChange> const changes = UsageLedger::closing(*next, holder.table.totals(*next));
   Epoch const epoch = holder.lease.epoch();
   holder.isWriting = true;
@@ -204,13 +204,13 @@
     call.subject = "usage";
     call.window = unsent.front().window;
     call.body = unsent.front().body;
-    if (mutation_ == Mutation::computesAnew) call.body = usageBody(*call.window, holder.table.totals(*call.window));
+    if (mutation_ == Mutation::recomputesReport) call.body = usageBody(*call.window, holder.table.totals(*call.window));
   } else {
     call.subject = "zone-" + std::to_string(cluster_.dice(2));
     call.body = std::to_string(cluster_.dice(40));
-    if (mutation_ == Mutation::formerFence) call.fence = holder.formerFence;
+    if (mutation_ == Mutation::previousFence) call.fence = holder.previousFence;
   }
-  if (mutation_ == Mutation::relayCalls && cluster_.dice(4) == 0) call.node = (node + 1) % nodeCount;
+  if (mutation_ == Mutation::callsThroughOtherNode && cluster_.dice(4) == 0) call.node = (node + 1) % nodeCount;
   holder.isCalling = true;
   send(std::move(call));
 }
@@ -253,7 +253,7 @@
 }
 
 void DutyFleet::checkAccepted(Call const& call) {
-  auto const [holder, isNew] = holdersSeen_.emplace(call.fence, call.node);
+  auto const [holder, isNew] = holderByFence_.emplace(call.fence, call.node);
   if (holder->second != call.node) fail("fence " + std::to_string(call.fence) + " is used by two nodes");
   vector<Accepted>& earlier = accepted_[call.subject];
   bool const wasHeldBack = cluster_.now() - call.sentAt >= lease;
@@ -282,7 +282,7 @@
   }
 }
 
-void DutyFleet::forgetTaken(std::size_t node) {
+void DutyFleet::removeAcceptedReports(std::size_t node) {
   Holder& holder = holders_[node];
   if (!mayAct(node) || holder.isWriting || holder.taken.empty()) return;
   vector<KeyChange> changes;
@@ -297,23 +297,23 @@
       });
 }
 
-void DutyFleet::liveAsEdge(Edge& edge) {
+void DutyFleet::stepEdge(Edge& edge) {
   std::uint64_t const turn = turn_ + edge.key.incarnation * 7;
-  WindowNumber const window = ledger_.windowAt(trueMs());
+  WindowNumber const window = ledger_.windowAt(clusterTimeMs());
   if (cluster_.dice(10) == 0) {
     string const tenant = "t" + std::to_string(cluster_.dice(tenantCount));
     edge.table.count(edge.key, window, tenant);
     ++truth_[window][tenant];
   }
   if (turn % reportTurns) return;
-  edge.table.markFinal(edge.key, ledger_.finalAt(trueMs()), cluster_.now());
+  edge.table.markFinal(edge.key, ledger_.finalAt(clusterTimeMs()), cluster_.now());
   std::size_t const to = cluster_.dice(nodeCount);
   if (!runs(to)) return;
   vector<NodeUsage> const changed = edge.table.changedSince(0);
   std::uint64_t const repeats = 1 + cluster_.dice(2);
   for (std::uint64_t repeat = 0; repeat < repeats; ++repeat)
     for (NodeUsage usage : changed) {
-      if (mutation_ == Mutation::addsRepeats) usage.incarnation += 1000 * (turn_ % 3);
+      if (mutation_ == Mutation::countsRepeatsTwice) usage.incarnation += 1000 * (turn_ % 3);
       holders_[to].table.merge(usage, cluster_.now());
     }
   std::optional<UsageProgress> const progress = UsageLedger::progressIn(values(to));
@@ -336,9 +336,11 @@
 
 /// Healed for long, all windows but the last few are reported, in full where all nodes were well.
 void DutyFleet::checkEnd() {
-  WindowNumber const last(ledger_.windowAt(trueMs() - delay.count()).value - 1);
+  WindowNumber const last(ledger_.windowAt(clusterTimeMs() - delay.count()).value - 1);
   WindowNumber const healedSince(
-      ledger_.windowAt(trueMs() - static_cast<std::int64_t>(calmTurns) * step.count() + delay.count()).value + 1);
+      ledger_.windowAt(clusterTimeMs() - static_cast<std::int64_t>(turnsAfterHealing) * step.count() + delay.count())
+          .value +
+      1);
   for (auto const& [window, truth] : truth_) {
     if (window > last) break;
     auto const report = reports_.find(window);
--- a/tests/duties/duty_fleet_test.cpp
+++ b/tests/duties/duty_fleet_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 /// The first seed with a violation must come soon.
-void expectMutationCaught(DutyFleet::Mutation mutation, std::uint64_t seedsToCatch = 40) {
+void expectMutationDetected(DutyFleet::Mutation mutation, std::uint64_t seedsToCatch = 40) {
   string violation;
   for (std::uint64_t seed = 1; seed <= seedsToCatch && violation.empty(); ++seed) {
     DutyFleet fleet(seed, mutation);
@@ -23,7 +23,7 @@
 }
 }  // namespace
 
-TEST(dutyFleet, oneHolderActsAndEachWindowHasOneReport) {
+TEST(dutyFleet, atMostOneHolderActsAndEachWindowHasOneReport) {
   std::uint64_t const seeds = seedCount(30);
   std::size_t reports = 0, holders = 0, superseded = 0;
   std::optional<std::uint64_t> const only = onlySeed();
@@ -45,27 +45,27 @@
   CHECK(holders > 2 * seeds);
   CHECK(superseded > 0);
 }
-TEST(dutyFleet, aFenceThatDoesNotRiseIsCaught) {
-  expectMutationCaught(DutyFleet::Mutation::fenceStays);
+TEST(dutyFleet, aReusedFenceIsDetected) {
+  expectMutationDetected(DutyFleet::Mutation::reusesFence);
 }
-TEST(dutyFleet, aReportThatIsComputedAnewIsCaught) {
-  expectMutationCaught(DutyFleet::Mutation::computesAnew);
+TEST(dutyFleet, aRecomputedReportIsDetected) {
+  expectMutationDetected(DutyFleet::Mutation::recomputesReport);
 }
-TEST(dutyFleet, aHolderThatActsAfterItsLeaseIsCaught) {
-  expectMutationCaught(DutyFleet::Mutation::actsAfterLease);
+TEST(dutyFleet, aHolderThatActsAfterItsLeaseIsDetected) {
+  expectMutationDetected(DutyFleet::Mutation::actsAfterLease);
 }
-TEST(dutyFleet, aLeaseByTheTimeOfDayIsCaught) {
-  expectMutationCaught(DutyFleet::Mutation::leaseByWallClock);
+TEST(dutyFleet, aLeaseByTheWallClockIsDetected) {
+  expectMutationDetected(DutyFleet::Mutation::leaseByWallClock);
 }
-TEST(dutyFleet, aCallByAnotherNodeIsCaught) {
-  expectMutationCaught(DutyFleet::Mutation::relayCalls);
+TEST(dutyFleet, aCallThroughAnotherNodeIsDetected) {
+  expectMutationDetected(DutyFleet::Mutation::callsThroughOtherNode);
 }
-TEST(dutyFleet, countsThatAreAddedTwiceAreCaught) {
-  expectMutationCaught(DutyFleet::Mutation::addsRepeats);
+TEST(dutyFleet, countsAddedTwiceAreDetected) {
+  expectMutationDetected(DutyFleet::Mutation::countsRepeatsTwice);
 }
-TEST(dutyFleet, anOrderUnderAFormerFenceIsCaught) {
-  expectMutationCaught(DutyFleet::Mutation::formerFence);
+TEST(dutyFleet, anOrderUnderAPreviousFenceIsDetected) {
+  expectMutationDetected(DutyFleet::Mutation::previousFence);
 }
-TEST(dutyFleet, aClaimThatActsAtOnceIsCaught) {
-  expectMutationCaught(DutyFleet::Mutation::actsAtOnce);
+TEST(dutyFleet, aClaimWithoutAWaitIsDetected) {
+  expectMutationDetected(DutyFleet::Mutation::skipsWait);
 }
--- a/tests/duties/platform_client_test.cpp
+++ b/tests/duties/platform_client_test.cpp
@@ -44,7 +44,7 @@
       io.run_for(Ms(10));
       if (!keepsLease) continue;
       lease.noteConfirmed(heldEpoch, Clock::now());
-      client->noteExtended();
+      client->extendCallDeadlines();
     }
     CHECK(end.has_value());
     return end.value_or(PlatformAnswer::rejected);
@@ -62,7 +62,7 @@
 
 TEST_GROUP(platformClient){};
 
-TEST(platformClient, aCallNamesItsHolderAndTheFence) {
+TEST(platformClient, aCallCarriesHolderNameAndFencingToken) {
   PlatformRig rig;
   rig.hold();
   CHECK(rig.call() == PlatformAnswer::taken);
@@ -72,7 +72,7 @@
   STRCMP_EQUAL("edge-1", rig.calls[0].header("Duty-Owner").c_str());
   STRCMP_EQUAL("12", rig.calls[0].header("Fence-Number").c_str());
 }
-TEST(platformClient, eachStatusHasItsMeaning) {
+TEST(platformClient, statusCodesMapToAnswers) {
   struct Row {
     int status;
     PlatformAnswer answer;
@@ -98,7 +98,7 @@
   CHECK(rig.call() == PlatformAnswer::unanswered);
   CHECK(Clock::now() - begin < Ms(1000));
 }
-TEST(platformClient, aSlowAnswerIsAwaitedWhileTheLeaseIsExtended) {
+TEST(platformClient, aSlowAnswerIsAwaitedWhileTheLeaseIsRenewed) {
   PlatformRig rig;
   rig.pause = Ms(600);
   rig.hold();
--- a/tests/duties/scaling_policy_test.cpp
+++ b/tests/duties/scaling_policy_test.cpp
@@ -31,11 +31,11 @@
 
 TEST_GROUP(scalingPolicy){};
 
-TEST(scalingPolicy, aDemandInsideTheBandOrdersNothing) {
+TEST(scalingPolicy, aDemandInsideTheUtilizationRangeOrdersNothing) {
   ScalingPolicy policy;
   CHECK(ordersOver(policy, inputsWith(260), Ms(0), Ms(60000)).empty());
 }
-TEST(scalingPolicy, aHighDemandOrdersAtOnce) {
+TEST(scalingPolicy, aHighDemandOrdersWorkersImmediately) {
   ScalingPolicy policy;
   ScalingInputs inputs = inputsWith(300);
   inputs.load.backlog = 100;
@@ -44,7 +44,7 @@
   LONGS_EQUAL(23, orders[0].wanted);
   CHECK(!orders[0].isReduction);
 }
-TEST(scalingPolicy, workersAreTakenAwayInStepsDownToTheLowest) {
+TEST(scalingPolicy, workersAreReducedInStepsDownToTheMinimum) {
   ScalingPolicy policy;
   vector<ScalingOrder> const orders = ordersOver(policy, inputsWith(40), Ms(0), Ms(60000));
   LONGS_EQUAL(6, orders.size());
@@ -58,13 +58,13 @@
   inputs.zones["a"].present = 2;
   CHECK(policy.decide(inputs, scalingStart).orders.empty());
 }
-TEST(scalingPolicy, nothingIsTakenAwayBeforeTheDemandIsKnown) {
+TEST(scalingPolicy, nothingIsReducedBeforeTheDemandIsKnown) {
   ScalingPolicy policy;
   CHECK(ordersOver(policy, inputsWith(0), Ms(0), Ms(60000)).empty());
   CHECK(ordersOver(policy, inputsWith(40), Ms(60000), Ms(63500)).empty());
   CHECK(!ordersOver(policy, inputsWith(40), Ms(63500), Ms(64500)).empty());
 }
-TEST(scalingPolicy, anEvacuatedZoneKeepsItsWorkersAndTheOthersTakeItsPart) {
+TEST(scalingPolicy, anEvacuatedZoneKeepsItsWorkersAndOthersTakeItsShare) {
   ScalingPolicy policy;
   ScalingInputs inputs = inputsWith(320);
   inputs.zones["a"].isEvacuated = true;
@@ -79,7 +79,7 @@
   inputs.isRollingOut = true;
   CHECK(policy.decide(inputs, scalingStart).orders.empty());
 }
-TEST(scalingPolicy, aRangeThatHoldsNoNumberOrdersNothing) {
+TEST(scalingPolicy, anEmptyRangeOrdersNothing) {
   ScalingPolicy policy;
   ScalingInputs inputs = inputsWith(400);
   inputs.scaling = ServiceScaling{40, 10, Ms(4000)};
--- a/tests/tallies/tally_fleet_events.cpp
+++ b/tests/tallies/tally_fleet_events.cpp
@@ -60,7 +60,7 @@
 }
 
 void TallyFleet::acknowledge(Node& node, Call const& call) {
-  acknowledged_.push_back({call, now_, node.self.id, cutEndsAt_.has_value() || now_ < freshlyHealedUntil_});
+  acknowledged_.push_back({call, now_, node.self.id, cutEndsAt_.has_value() || now_ < recoveringUntil_});
   node.acknowledgedInThisLife[call.id + "/" + call.tally] = call.change;
   acknowledgedNow_ = node.index;
   note(node.self.name + " acknowledged " + call.id + " of " + call.tally + " +" + std::to_string(call.change));
@@ -70,7 +70,7 @@
   if (!acknowledgedNow_) return;
   std::size_t node = *acknowledgedNow_;
   acknowledgedNow_.reset();
-  for (; wipesAfterAcknowledgement_; --wipesAfterAcknowledgement_) {
+  for (; pendingWipes_; --pendingWipes_) {
     wipe(*nodes_[node]);
     node = pick(nodes_.size());
   }
@@ -86,7 +86,7 @@
   bool const isInReach = !cutEndsAt_ && now_ - lastCutAt_ > mergeTime;
   if (isInReach)
     for (Acknowledged const& added : acknowledged_)
-      if (now_ - added.at > mergeTime && isOwed(added) && hasBeenUp(added.by))
+      if (now_ - added.at > mergeTime && mustBeVisible(added) && hasBeenUp(added.by))
         owed[added.call.tally][added.call.id] = added.call.change;
   for (auto const& [tally, adds] : owed) {
     TallyTotal least = 0;
@@ -122,7 +122,7 @@
     case 4:
       return wipe(*nodes_[pick(nodes_.size())]);
     default:
-      wipesAfterAcknowledgement_ = 1 + pick(survive);
+      pendingWipes_ = 1 + pick(survive);
   }
 }
 
@@ -142,7 +142,7 @@
 void TallyFleet::wipe(Node& node) {
   std::size_t lost = 1;
   for (std::unique_ptr<Node> const& other : nodes_) {
-    bool const isLost = !other->up || other->isNewcomer || !other->replica->isServing() || lacksSomething(*other);
+    bool const isLost = !other->up || other->isNewcomer || !other->replica->isServing() || mayLackAdditions(*other);
     if (isLost && other->index != node.index) ++lost;
   }
   if (lost > survive || !node.up) return;
@@ -155,7 +155,7 @@
   note(node.self.name + " loses its disk");
 }
 
-bool TallyFleet::lacksSomething(Node const& node) const {
+bool TallyFleet::mayLackAdditions(Node const& node) const {
   bool const isRecent = cutEndsAt_.has_value() || now_ - lastCutAt_ < mergeTime;
   return isRecent && node.cutOff;
 }
@@ -186,7 +186,7 @@
   cutEndsAt_.reset();
   note("healed");
   for (vector<bool>& row : blocked_) row.assign(row.size(), false);
-  freshlyHealedUntil_ = now_ + mergeTime;
+  recoveringUntil_ = now_ + mergeTime;
   lastCutAt_ = now_;
 }
 
@@ -199,7 +199,7 @@
       return fail("two nodes tell different totals at the end");
     TallyTable table = node->replica->table();
     for (Acknowledged const& added : acknowledged_) {
-      if (!isOwed(added)) continue;
+      if (!mustBeVisible(added)) continue;
       TallyAdd const again{added.call.tally, addKeyOf(added.call.tally, added.call.id), added.call.change, wallMs()};
       if (table.take(OriginId(1), again).result == TallyTable::TakeResult::added)
         return fail("an acknowledged addition is missing at the end");
--- a/tests/tallies/tally_fleet_sim.cpp
+++ b/tests/tallies/tally_fleet_sim.cpp
@@ -152,7 +152,7 @@
 
 void TallyFleet::receivePush(Node& node, Packet const& packet) {
   try {
-    breakOnPurpose(node, packet);
+    applyMutation(node, packet);
     node.replica->receive(*packet.push);
   } catch (Error const&) {
     return;
@@ -161,12 +161,12 @@
   node.replies.push_back({packet.from, *packet.push, node.syncsStarted});
 }
 
-void TallyFleet::breakOnPurpose(Node& node, Packet const& packet) {
+void TallyFleet::applyMutation(Node& node, Packet const& packet) {
   if (mutation_ == Mutation::appliesTwice && pick(20) == 0)
-    for (AddBatch const& batch : packet.push->batches) TallyReplicaProbe::applyShifted(*node.replica, batch);
-  if (mutation_ == Mutation::mergesByGreaterTotal && pick(4) == 0) {
+    for (AddBatch const& batch : packet.push->batches) TallyReplicaTestAccess::applyShifted(*node.replica, batch);
+  if (mutation_ == Mutation::mergesByLargerTotal && pick(4) == 0) {
     TallyTable const& theirs = nodes_[packet.from]->replica->table();
-    if (sumOf(theirs) > sumOf(node.replica->table())) TallyReplicaProbe::replaceTable(*node.replica, theirs);
+    if (sumOf(theirs) > sumOf(node.replica->table())) TallyReplicaTestAccess::replaceTable(*node.replica, theirs);
   }
 }
 
--- a/tests/tallies/tally_fleet_sim.hpp
+++ b/tests/tallies/tally_fleet_sim.hpp
@@ -6,7 +6,7 @@
 namespace tealshelf {
 
 /// Reaches into a replica, for what must be broken on purpose.
-struct TallyReplicaProbe {
+struct TallyReplicaTestAccess {
   static void replaceTable(TallyReplica& replica, TallyTable const& table) { replica.table_ = table; }
   static void applyShifted(TallyReplica& replica, AddBatch batch) {
     batch.first = replica.table_.lastOf(batch.origin) + 1;
@@ -32,7 +32,7 @@
     reusesOrigin,          ///< a wiped disk goes on under its old origin
     acknowledgesUnsynced,  ///< a caller is answered before the sync
     acknowledgesAlone,     ///< a caller is answered once the own disk has it
-    mergesByGreaterTotal,  ///< of two tables the one with the greater sum wins
+    mergesByLargerTotal,   ///< of two tables the one with the greater sum wins
     readsBeforeCatchUp,    ///< a node answers reads as soon as it runs
     appliesTwice           ///< additions that came already are taken in once more
   };
@@ -121,7 +121,7 @@
   void deliver(Packet const& packet);
   void receivePush(Node& node, Packet const& packet);
 
-  void breakOnPurpose(Node& node, Packet const& packet);
+  void applyMutation(Node& node, Packet const& packet);
   static TallyTotal sumOf(TallyTable const& table);
 
   void advance();
@@ -142,7 +142,7 @@
   void wipeAfterAcknowledgement();
   void read(Node& node);
 
-  bool isOwed(Acknowledged const& added) const { return !added.duringCut || !wiped_.contains(added.by); }
+  bool mustBeVisible(Acknowledged const& added) const { return !added.duringCut || !wiped_.contains(added.by); }
 
   /// False if a machine was down within mergeTime; one that lost its disk is another machine.
   bool hasBeenUp(NodeId id) const;
@@ -156,7 +156,7 @@
   void wipe(Node& node);
 
   /// One that was cut off, and may not have caught up since, counts as lost.
-  bool lacksSomething(Node const& node) const;
+  bool mayLackAdditions(Node const& node) const;
   void cut();
 
   void heal();
@@ -180,11 +180,11 @@
   vector<Acknowledged> acknowledged_;
   std::set<NodeId> wiped_;
   std::optional<TimePoint> cutEndsAt_;
-  TimePoint now_ = TimePoint(Ms(1000000)), lastCutAt_, freshlyHealedUntil_;
+  TimePoint now_ = TimePoint(Ms(1000000)), lastCutAt_, recoveringUntil_;
   Ms elapsed_{0};
   bool finishing_ = false;  ///< no more troubles; all come back
   std::uint64_t lastId_ = 0;
-  std::size_t wipesAfterAcknowledgement_ = 0, wipes_ = 0;
+  std::size_t pendingWipes_ = 0, wipes_ = 0;
   std::optional<std::size_t> acknowledgedNow_;  ///< the node that acknowledged in this step
   vector<string> trace_;
   Violation violation_;
--- a/tests/tallies/tally_fleet_test.cpp
+++ b/tests/tallies/tally_fleet_test.cpp
@@ -28,7 +28,7 @@
 }
 }  // namespace
 
-TEST(tallyFleet, bothSidesCountAndTheCountIsOne) {
+TEST(tallyFleet, allReplicasConvergeWithoutLostOrDoubleCounts) {
   std::uint64_t const seeds = seedCount(40);
   std::size_t acknowledged = 0, settled = 0, wipes = 0;
   std::optional<std::uint64_t> const only = onlySeed();
@@ -50,24 +50,24 @@
 
   std::printf("%zu acknowledged, %zu settled, %zu wipes\n", acknowledged, settled, wipes);
 }
-TEST(tallyFleet, anIdThatIsForgottenTooEarlyIsCaught) {
+TEST(tallyFleet, anIdForgottenTooEarlyIsDetected) {
   expectCaught(TallyFleet::Mutation::forgetsIds);
 }
-TEST(tallyFleet, anOriginThatIsUsedAgainAfterAWipeIsCaught) {
+TEST(tallyFleet, anOriginReusedAfterAWipeIsDetected) {
   expectCaught(TallyFleet::Mutation::reusesOrigin, 200);
 }
-TEST(tallyFleet, anAcknowledgementBeforeTheSyncIsCaught) {
+TEST(tallyFleet, anAcknowledgementBeforeTheSyncIsDetected) {
   expectCaught(TallyFleet::Mutation::acknowledgesUnsynced);
 }
-TEST(tallyFleet, anAcknowledgementOnOneDiskIsCaught) {
+TEST(tallyFleet, anAcknowledgementOnOneDiskIsDetected) {
   expectCaught(TallyFleet::Mutation::acknowledgesAlone);
 }
-TEST(tallyFleet, aMergeByTheGreaterTotalIsCaught) {
-  expectCaught(TallyFleet::Mutation::mergesByGreaterTotal);
+TEST(tallyFleet, aMergeByTheLargerTotalIsDetected) {
+  expectCaught(TallyFleet::Mutation::mergesByLargerTotal);
 }
-TEST(tallyFleet, aReadBeforeCatchingUpIsCaught) {
+TEST(tallyFleet, aReadBeforeCatchingUpIsDetected) {
   expectCaught(TallyFleet::Mutation::readsBeforeCatchUp);
 }
-TEST(tallyFleet, anAdditionThatIsAppliedTwiceIsCaught) {
+TEST(tallyFleet, anAdditionAppliedTwiceIsDetected) {
   expectCaught(TallyFleet::Mutation::appliesTwice);
 }
--- a/tests/tallies/tally_merge_test.cpp
+++ b/tests/tallies/tally_merge_test.cpp
@@ -52,7 +52,7 @@
 
 TEST_GROUP(tallyMerge){};
 
-TEST(tallyMerge, aHundredThousandAdditionsASideGoAsDifferencesInChunks) {
+TEST(tallyMerge, additionsOfBothSidesAreMergedInChunks) {
   Side left(1), right(2);
   TimePoint now(Ms(1000000));
   Cost cost;
@@ -71,7 +71,7 @@
   constexpr std::size_t maxBytesPerAdd = 48;
   CHECK(cost.bytes <= 2 * addsPerSide * maxBytesPerAdd);
 }
-TEST(tallyMerge, whatAMillionSettledAdditionsTake) {
+TEST(tallyMerge, storedSizeOfAMillionSettledAdditions) {
   TallyTable table(Ms(3600000));
   constexpr std::uint64_t million = 1000000, batchSize = 10000;
   OriginId const origin(1);
--- a/tests/tallies/tally_replica_test.cpp
+++ b/tests/tallies/tally_replica_test.cpp
@@ -5,7 +5,7 @@
 using namespace tealshelf;
 
 namespace {
-constexpr int unreachableAfter = 10, aloneAfter = 80;
+constexpr int unreachableTicks = 10, isolatedTicks = 80;
 TimePoint const replicaTestStart(Ms(1000000));
 
 Member member(std::uint64_t id, string const& zone) {
@@ -18,7 +18,7 @@
 
 /// One replica among four members in two zones; the others are played by hand.
 struct ReplicaRig {
-  TallyReplica replica{NodeId(1), TallyTiming{unreachableAfter, aloneAfter, Ms(250), Ms(500), Ms(1000), Ms(8000)},
+  TallyReplica replica{NodeId(1), TallyTiming{unreachableTicks, isolatedTicks, Ms(250), Ms(500), Ms(1000), Ms(8000)},
                        TallyDurability{3, 2}};
   TimePoint now = replicaTestStart;
 
@@ -59,7 +59,7 @@
 
 TEST_GROUP(tallyReplica){};
 
-TEST(tallyReplica, servesOnceAMajorityToldWhatItHas) {
+TEST(tallyReplica, servesOnceAMajorityReported) {
   ReplicaRig rig;
   CHECK(!rig.replica.isServing());
   rig.report(2, {});
@@ -82,15 +82,15 @@
   rig.report(2, {{OriginId(12), 1}});
   CHECK(rig.replica.isServing());
 }
-TEST(tallyReplica, servesAloneAfterAWhileOnASideWithoutAMajority) {
+TEST(tallyReplica, servesInAMinorityPartitionAfterATimeout) {
   ReplicaRig rig;
   rig.report(2, {});
-  rig.tick(aloneAfter - 1);
+  rig.tick(isolatedTicks - 1);
   CHECK(!rig.replica.isServing());
   rig.tick(1);
   CHECK(rig.replica.isServing());
 }
-TEST(tallyReplica, anAdditionNeedsItsOwnSyncAndTheCopiesInTwoZones) {
+TEST(tallyReplica, anAdditionNeedsALocalSyncAndCopiesInTwoZones) {
   ReplicaRig rig;
   rig.reportAll();
   AddPosition const position = rig.add("a");
@@ -101,7 +101,7 @@
   rig.sync();
   CHECK(rig.replica.isDurable(position));
 }
-TEST(tallyReplica, copiesInOneZoneDoNotDo) {
+TEST(tallyReplica, copiesInOneZoneAreNotEnough) {
   ReplicaRig rig;
   rig.replica.setMembers({member(1, "a"), member(2, "a"), member(5, "a"), member(3, "b")});
   rig.report(2, {});
@@ -116,31 +116,31 @@
   rig.report(3, has);
   CHECK(rig.replica.isDurable(position));
 }
-TEST(tallyReplica, aSilentOtherSideHoldsNothingUpForLong) {
+TEST(tallyReplica, unreachablePeersDelayAnAdditionOnlyForATimeout) {
   ReplicaRig rig;
   rig.reportAll();
   AddPosition const position = rig.add("a");
   rig.sync();
   CHECK(rig.pushed().size() == 3);
   rig.report(2, {{OriginId(11), 1}});
-  rig.tick(unreachableAfter - 1);
+  rig.tick(unreachableTicks - 1);
   CHECK(!rig.replica.isDurable(position));
   rig.tick(1);
   CHECK(rig.replica.isDurable(position));
   CHECK(!rig.replica.hasAllCopies(position));
 }
-TEST(tallyReplica, aSingleDiskTakesLongerAsTheOthersMayBeBackSoon) {
+TEST(tallyReplica, aSingleCopySufficesOnlyAfterALongerTimeout) {
   ReplicaRig rig;
   rig.reportAll();
   AddPosition const position = rig.add("a");
   rig.sync();
   rig.pushed();
-  rig.tick(aloneAfter - 1);
+  rig.tick(isolatedTicks - 1);
   CHECK(!rig.replica.isDurable(position));
   rig.tick(1);
   CHECK(rig.replica.isDurable(position));
 }
-TEST(tallyReplica, aProcessThatSleptTakesNobodyForUnreachable) {
+TEST(tallyReplica, aSuspendedProcessConsidersNoPeerUnreachable) {
   ReplicaRig rig;
   rig.reportAll();
   AddPosition const position = rig.add("a");
@@ -150,16 +150,16 @@
   rig.tick(1);
   CHECK(!rig.replica.isDurable(position));
 }
-TEST(tallyReplica, aProcessThatJustStartedDoesNotActAlone) {
+TEST(tallyReplica, aRestartedProcessDoesNotActAloneAtOnce) {
   ReplicaRig rig;
   AddPosition const position = rig.add("a");
   rig.sync();
-  rig.tick(aloneAfter - 1);
+  rig.tick(isolatedTicks - 1);
   CHECK(!rig.replica.isDurable(position));
   rig.tick(1);
   CHECK(rig.replica.isDurable(position));
 }
-TEST(tallyReplica, onePushAtATimeAndAPauseAfterSilence) {
+TEST(tallyReplica, onePushAtATimeAndADelayAfterAFailure) {
   ReplicaRig rig;
   rig.reportAll();
   rig.add("a");
@@ -173,7 +173,7 @@
   rig.now += Ms(250);
   CHECK(rig.pushed() == std::set<std::uint64_t>{3});
 }
-TEST(tallyReplica, aHeartbeatEndsThePause) {
+TEST(tallyReplica, aHeartbeatEndsTheRetryDelay) {
   ReplicaRig rig;
   rig.reportAll();
   rig.add("a");
@@ -191,7 +191,7 @@
   rig.sync();
   CHECK(!rig.pushed().empty());
 }
-TEST(tallyReplica, additionsOfOthersAreRelayedOnlyToOneThatStagnates) {
+TEST(tallyReplica, additionsOfOtherOriginsAreRelayedOnlyToAStagnantPeer) {
   ReplicaRig rig;
   rig.reportAll();
   TallyPush push;
@@ -206,7 +206,7 @@
   rig.now += Ms(1);
   CHECK(rig.pushed() == std::set<std::uint64_t>{3});
 }
-TEST(tallyReplica, additionsOfOthersThatACallerWaitsForAreRelayedAtOnce) {
+TEST(tallyReplica, additionsThatACallerAwaitsAreRelayedImmediately) {
   ReplicaRig rig;
   rig.reportAll();
   TallyPush push;
@@ -218,7 +218,7 @@
   rig.replica.setAwaited({OriginId(12)});
   CHECK(rig.pushed().size() == 3);
 }
-TEST(tallyReplica, equalDigestsTellWhatAPeerHasWithoutAQuestion) {
+TEST(tallyReplica, anEqualDigestCountsAsAReport) {
   ReplicaRig rig;
   AddPosition const position = rig.add("a");
   rig.sync();
@@ -228,8 +228,8 @@
 }
 /// Soak, seed 504: all were killed and two lost their disks. The digests of processes that had synced nothing yet were
 /// alike, so that a node with an empty disk took itself for caught up and told 0.
-TEST(tallyReplica, digestsTellNothingBeforeTheFirstSync) {
-  TallyTiming const timing{unreachableAfter, aloneAfter, Ms(250), Ms(500), Ms(1000), Ms(8000)};
+TEST(tallyReplica, digestsAreIgnoredBeforeTheFirstSync) {
+  TallyTiming const timing{unreachableTicks, isolatedTicks, Ms(250), Ms(500), Ms(1000), Ms(8000)};
   TallyReplica restarted(NodeId(2), timing, TallyDurability{3, 2}), wiped(NodeId(1), timing, TallyDurability{3, 2});
   vector<Member> const members{member(1, "a"), member(2, "a"), member(3, "b")};
   restarted.setMembers(members);
@@ -252,7 +252,7 @@
     CHECK(error.code() == ErrorCode::notMember);
   }
 }
-TEST(tallyReplica, aNewcomerGetsTheWholeStateInChunks) {
+TEST(tallyReplica, aNewMemberGetsTheWholeStateInChunks) {
   ReplicaRig rig;
   rig.reportAll();
   constexpr int many = 20000;
@@ -263,7 +263,7 @@
   for (int i = 0; i < 20; ++i) rig.replica.tick(102000);
   LONGS_EQUAL(0, rig.replica.table().recentCount());
 
-  TallyReplica newcomer(NodeId(5), TallyTiming{unreachableAfter, aloneAfter, Ms(250), Ms(500), Ms(1000), Ms(8000)},
+  TallyReplica newcomer(NodeId(5), TallyTiming{unreachableTicks, isolatedTicks, Ms(250), Ms(500), Ms(1000), Ms(8000)},
                         TallyDurability{3, 2});
   newcomer.beginOrigin(OriginId(15));
   vector<Member> const members{member(1, "a"), member(2, "a"), member(3, "b"), member(5, "b")};
--- a/tests/tallies/tally_table_test.cpp
+++ b/tests/tallies/tally_table_test.cpp
@@ -10,8 +10,8 @@
 constexpr Ms retention{8000};
 OriginId const here(1), there(2);
 
-TallyAdd addition(string const& id, std::int64_t change, std::int64_t takenAtMs = 100000) {
-  return {"t", addKeyOf("t", id), change, takenAtMs};
+TallyAdd addition(string const& id, std::int64_t change, std::int64_t acceptedAtMs = 100000) {
+  return {"t", addKeyOf("t", id), change, acceptedAtMs};
 }
 AddBatch batch(OriginId origin, std::uint64_t first, vector<TallyAdd> adds) {
   return {origin, first, std::move(adds)};
@@ -23,7 +23,7 @@
 
 TEST_GROUP(tallyTable){};
 
-TEST(tallyTable, anUnknownNameReadsZero) {
+TEST(tallyTable, anUnknownTallyReadsZero) {
   expectTotal(0, TallyTable(retention));
 }
 TEST(tallyTable, anIdCountsOnce) {
@@ -45,7 +45,7 @@
   // Nor do a name and an id run into one another.
   CHECK(addKeyOf("ab", "c") != addKeyOf("a", "bc"));
 }
-TEST(tallyTable, twoSidesWithOneIdAgreeWhicheverCameFirst) {
+TEST(tallyTable, conflictingAdditionsConvergeInAnyOrder) {
   TallyTable left(retention), right(retention);
   left.take(here, addition("a", 4));
   right.take(there, addition("a", 3));
@@ -54,7 +54,7 @@
   expectTotal(3, left);
   expectTotal(3, right);
 }
-TEST(tallyTable, additionsAreTakenInOrderAndOnce) {
+TEST(tallyTable, additionsAreAppliedInOrderAndOnce) {
   TallyTable table(retention);
   CHECK(!table.apply(batch(there, 2, {addition("b", 1)})));
   CHECK(table.apply(batch(there, 1, {addition("a", 1), addition("b", 1)})));
@@ -63,7 +63,7 @@
   expectTotal(3, table);
   LONGS_EQUAL(3, table.lastOf(there));
 }
-TEST(tallyTable, aSettledAdditionIsStillKnownAsRepeated) {
+TEST(tallyTable, aRepeatOfASettledAdditionIsDetected) {
   TallyTable table(retention);
   table.take(here, addition("a", 4));
   table.settle({{here, 1}}, 100001);
@@ -74,7 +74,7 @@
   CHECK(!again.position);
   expectTotal(4, table);
 }
-TEST(tallyTable, aRepeatIsKnownForTheRetentionAndNoLonger) {
+TEST(tallyTable, repeatsAreDetectedForTheRetentionOnly) {
   TallyTable table(retention);
   table.take(here, addition("a", 4, 100000));
   table.settle({{here, 1}}, 200000);
@@ -85,7 +85,7 @@
   table.forget(100000 + 2 * retention.count());
   LONGS_EQUAL(0, table.rememberedCount());
 }
-TEST(tallyTable, nodesThatForgetAtDifferentTimesAgree) {
+TEST(tallyTable, nodesThatExpireKeysAtDifferentTimesAgree) {
   TallyTable quick(retention), slow(retention);
   for (TallyTable* table : {&quick, &slow}) {
     table->apply(batch(here, 1, {addition("a", 4, 100000)}));
@@ -98,7 +98,7 @@
   expectTotal(8, quick);
   expectTotal(8, slow);
 }
-TEST(tallyTable, onlyWhatAllHaveAndIsOldSettles) {
+TEST(tallyTable, onlyOldAdditionsThatAllMembersHaveAreSettled) {
   TallyTable table(retention);
   table.apply(batch(there, 1, {addition("a", 1, 100), addition("b", 1, 200), addition("c", 1, 300)}));
   table.settle({{there, 2}}, 200);
@@ -109,7 +109,7 @@
   LONGS_EQUAL(1, table.after(there, 1, 3, 1).adds.size());
   LONGS_EQUAL(1, table.after(there, 1, 2, 10).adds.size());
 }
-TEST(tallyTable, aStateBringsAnEmptyTableUp) {
+TEST(tallyTable, aStateRestoresAnEmptyTable) {
   TallyTable table(retention);
   table.apply(batch(here, 1, {addition("a", 4), addition("b", 5)}));
   table.settle({{here, 1}}, 200000);
@@ -120,7 +120,7 @@
   CHECK(empty.take(there, addition("a", 4)).result == TakeResult::repeated);
   CHECK(empty.take(there, addition("b", 5)).result == TakeResult::repeated);
 }
-TEST(tallyTable, aStateKeepsWhatTheReceiverAloneKnows) {
+TEST(tallyTable, installingAStateKeepsLocalAdditions) {
   TallyTable theirs(retention), own(retention);
   theirs.apply(batch(there, 1, {addition("a", 4)}));
   theirs.settle({{there, 1}}, 200000);
@@ -130,14 +130,14 @@
   expectTotal(9, own);
   LONGS_EQUAL(2, own.lastOf(here));
 }
-TEST(tallyTable, aStateThatLacksWhatIsSettledHereIsRefused) {
+TEST(tallyTable, aStateThatLacksLocallySettledAdditionsIsRefused) {
   TallyTable own(retention);
   own.take(here, addition("a", 4));
   own.settle({{here, 1}}, 200000);
   CHECK(!own.install(TallyTable(retention).state()));
   expectTotal(4, own);
 }
-TEST(tallyTable, sumsOutgrowSixtyFourBits) {
+TEST(tallyTable, totalsMayExceedSixtyFourBits) {
   TallyTable table(retention);
   constexpr std::int64_t most = std::int64_t(1) << 53;
   vector<TallyAdd> adds;
@@ -150,7 +150,7 @@
   STRCMP_EQUAL("-18446744073709551616", textOf(-table.total("t")).c_str());
   STRCMP_EQUAL("0", textOf(0).c_str());
 }
-TEST(tallyTable, recordsBringATableBack) {
+TEST(tallyTable, recordsRestoreATable) {
   string const additions = additionsRecord({batch(here, 1, {addition("a", 4)})});
   TallyRecord const read = deserialize<TallyRecord>(additions);
   LONGS_EQUAL(static_cast<int>(TallyRecordKind::additions), read.kind);
