--- a/tests/duties/duties_test.cpp
+++ b/tests/duties/duties_test.cpp
@@ -112,9 +112,9 @@
   CHECK(contact.unfit(dutyStart + Ms(4000)).empty());
 }
 
-TEST_GROUP(trueTime){};
+TEST_GROUP(clusterClock){};
 
-TEST(trueTime, aMinorityOfWrongClocksDoesNotMoveTheMedian) {
+TEST(clusterClock, aMinorityOfWrongClocksDoesNotMoveTheMedian) {
   MedianClock time(Ms(2500));
   for (std::uint64_t node = 1; node <= 5; ++node) {
     std::int64_t const step = node <= 2 ? 2000 : static_cast<std::int64_t>(node);
@@ -122,14 +122,14 @@
   }
   LONGS_EQUAL(1000105, *time.nowMs(dutyStart + Ms(100)));
 }
-TEST(trueTime, oldReadingsDoNotCount) {
+TEST(clusterClock, oldReadingsDoNotCount) {
   MedianClock time(Ms(2500));
   CHECK(!time.nowMs(dutyStart));
   time.noteReading(NodeId(1), 5000000, dutyStart);
   time.noteReading(NodeId(2), 1000000, dutyStart + Ms(2000));
   LONGS_EQUAL(1001000, *time.nowMs(dutyStart + Ms(3000)));
 }
-TEST(trueTime, aFollowerCorrectsByHalfTheRoundTrip) {
+TEST(clusterClock, aFollowerCorrectsByHalfTheRoundTrip) {
   FollowerClock time(Ms(250));
   CHECK(!time.isSynchronized());
   time.noteAnswer(1000000, dutyStart, dutyStart + Ms(40));
@@ -231,9 +231,9 @@
   LONGS_EQUAL(10, UsageLedger::progressIn(values)->closedThrough.value);
 }
 
-TEST_GROUP(loadBoard){};
+TEST_GROUP(serviceLoadTable){};
 
-TEST(loadBoard, sumsRecentReports) {
+TEST(serviceLoadTable, sumsRecentReports) {
   ServiceLoadTable board(Ms(2500));
   board.note("edge-1", {{"app", 3, 1}}, dutyStart);
   board.note("edge-2", {{"app", 4, 0}, {"lm", 2, 0}}, dutyStart + Ms(2000));
