--- a/control/capacity_controller.cpp
+++ b/control/capacity_controller.cpp
@@ -81,7 +81,7 @@
 Task<bool> CapacityController::order(string service, ScalingOrder order, string reason) {
   PlatformCall call{"/capacity", orderBody(service, order)};
   PlatformAnswer const answer = co_await duties_.call(std::move(call));
-  bool const isAccepted = answer == PlatformAnswer::taken;
+  bool const isAccepted = answer == PlatformAnswer::accepted;
   (isAccepted ? accepted_ : failed_).increment();
   if (isAccepted) policies_[service].noteOrdered(order, Clock::now());
   logInfo("duties", "ordered a total of " + std::to_string(order.wanted) + " workers of service " + service +
--- a/control/duty_holder.cpp
+++ b/control/duty_holder.cpp
@@ -51,7 +51,7 @@
 Task<void> DutyHolder::maintainLease() {
   Consensus& consensus = driver_.consensus();
   preference_.noteOwnership(consensus.owns(dutiesKeyspace), Clock::now());
-  std::set<NodeId> unfit = contact_.unfit(Clock::now());
+  std::set<NodeId> unfit = contact_.nodesWithoutContact(Clock::now());
   bool const isUnfit = unfit.contains(consensus.self().id);
   applyPreference(std::move(unfit));
   if (!consensus.owns(dutiesKeyspace)) {
@@ -136,7 +136,8 @@
   std::optional<DutyPreference::Incumbent> incumbent;
   if (known) incumbent = DutyPreference::Incumbent{known->holder, consensus.isAlive(known->holder, now)};
   consensus.setDeprioritizedOwners(
-      dutiesKeyspace, preference_.passedOver(std::move(unfit), incumbent, consensus.membership().members, now));
+      dutiesKeyspace,
+      preference_.deprioritizedOwners(std::move(unfit), incumbent, consensus.membership().members, now));
 }
 
 void DutyHolder::receive(HeartbeatMessage const& message) {
--- a/control/duty_report.cpp
+++ b/control/duty_report.cpp
@@ -45,8 +45,8 @@
   writeReal(writer, "inFlight", view.inputs.load.inFlight);
   writeReal(writer, "backlog", view.inputs.load.backlog);
   writeReal(writer, "peakDemand", view.decision.peakDemand);
-  writeField(writer, "leastPerZone", view.decision.least);
-  writeField(writer, "mostPerZone", view.decision.most);
+  writeField(writer, "leastPerZone", view.decision.minWorkers);
+  writeField(writer, "mostPerZone", view.decision.maxWorkers);
   writeField(writer, "reason", view.decision.reason);
   writer.Key("zones");
   writer.StartArray();
--- a/control/usage_collector.cpp
+++ b/control/usage_collector.cpp
@@ -44,13 +44,13 @@
     TimePoint const now = Clock::now();
     string const reporter = report.usage.node;
     table_.merge(report.usage, now);
-    loads_.note(reporter, std::move(report.loads), now);
+    loads_.update(reporter, std::move(report.loads), now);
     co_return receipt();
   });
   server.on<CollectUsage>([this](CollectUsage collected) -> Task<UsageReceipt> {
     TimePoint const now = Clock::now();
     for (NodeUsage const& usage : collected.nodes) table_.merge(usage, now);
-    loads_.note(collected.collector, std::move(collected.loads), now);
+    loads_.update(collected.collector, std::move(collected.loads), now);
     co_return receipt();
   });
   spawnTask(io_, "usage forward", forwardLoop());
@@ -133,7 +133,7 @@
   if (!missing.empty())
     logWarning("duties", "usage window " + std::to_string(window->value) + " is closed without reports of " +
                              std::to_string(missing.size()) + " nodes, the first is " + missing.front());
-  vector<KeyChange> changes = UsageLedger::closing(*window, table_.totals(*window));
+  vector<KeyChange> changes = UsageLedger::changesToClose(*window, table_.totals(*window));
   bool const isClosed = co_await duties_.commit(std::move(changes));
   if (isClosed) closed_.increment();
   co_return isClosed&& duties_.mayAct();
@@ -152,7 +152,7 @@
     }
     // Acknowledged reports are removed once no other is left to send. A report may be sent twice, always unchanged.
     vector<KeyChange> changes;
-    for (WindowNumber const window : acknowledged_) changes.push_back(UsageLedger::settled(window));
+    for (WindowNumber const window : acknowledged_) changes.push_back(UsageLedger::changeToRemove(window));
     if (changes.empty()) continue;
     bool const isWritten = co_await duties_.commit(std::move(changes));
     if (isWritten) acknowledged_.clear();
@@ -167,7 +167,7 @@
   if (isRejected)
     logWarning("duties", "the platform rejected the report of usage window " + std::to_string(record.window.value) +
                              " " + std::to_string(maxRejections) + " times; the report is dropped");
-  if (answer == PlatformAnswer::taken || isRejected) {
+  if (answer == PlatformAnswer::accepted || isRejected) {
     (isRejected ? failed_ : sent_).increment();
     acknowledged_.insert(record.window);
     rejections_.erase(record.window);
--- a/duties/duty_preference.cpp
+++ b/duties/duty_preference.cpp
@@ -7,18 +7,19 @@
   wasOwner_ = isOwner;
 }
 
-std::set<NodeId> DutyPreference::passedOver(std::set<NodeId> unfit, std::optional<Incumbent> const& incumbent,
-                                            vector<Member> const& members, TimePoint now) const {
+std::set<NodeId> DutyPreference::deprioritizedOwners(std::set<NodeId> withoutContact,
+                                                     std::optional<Incumbent> const& incumbent,
+                                                     vector<Member> const& members, TimePoint now) const {
   bool const lostLately = lostAt_ && now - *lostAt_ < lease_;
   if (lostLately) {
-    unfit.insert(self_);
-    return unfit;
+    withoutContact.insert(self_);
+    return withoutContact;
   }
-  bool const keepsIncumbent = incumbent && incumbent->isAlive && !unfit.contains(incumbent->node);
-  if (!keepsIncumbent) return unfit;
+  bool const keepsIncumbent = incumbent && incumbent->isAlive && !withoutContact.contains(incumbent->node);
+  if (!keepsIncumbent) return withoutContact;
   for (Member const& member : members)
-    if (member.id != incumbent->node) unfit.insert(member.id);
-  return unfit;
+    if (member.id != incumbent->node) withoutContact.insert(member.id);
+  return withoutContact;
 }
 
 }  // namespace tealshelf
--- a/duties/duty_preference.hpp
+++ b/duties/duty_preference.hpp
@@ -19,9 +19,9 @@
     NodeId node;
     bool isAlive = false;
   };
-  /// `unfit`: nodes that don't reach the platform while others do.
-  std::set<NodeId> passedOver(std::set<NodeId> unfit, std::optional<Incumbent> const& incumbent,
-                              vector<Member> const& members, TimePoint now) const;
+  /// `withoutContact`: nodes that don't reach the platform while others do.
+  std::set<NodeId> deprioritizedOwners(std::set<NodeId> withoutContact, std::optional<Incumbent> const& incumbent,
+                                       vector<Member> const& members, TimePoint now) const;
 
  private:
   NodeId self_;
--- a/duties/platform_client.cpp
+++ b/duties/platform_client.cpp
@@ -9,7 +9,7 @@
 constexpr int maxCallLeases = 3;
 
 PlatformAnswer answerFor(unsigned status) {
-  if (status >= 200 && status < 300) return PlatformAnswer::taken;
+  if (status >= 200 && status < 300) return PlatformAnswer::accepted;
   if (status == 409) return PlatformAnswer::superseded;
   if (status == 429 || status >= 500) return PlatformAnswer::busy;
   return PlatformAnswer::rejected;
@@ -18,7 +18,7 @@
 
 string_view nameOf(PlatformAnswer answer) {
   switch (answer) {
-    case PlatformAnswer::taken:
+    case PlatformAnswer::accepted:
       return "taken";
     case PlatformAnswer::superseded:
       return "superseded";
@@ -68,7 +68,7 @@
   tcp::socket socket(io_);
   SocketDeadline deadline(io_, socket);
   Pending pending{&deadline, begin + maxCallLeases * settings_.bounds.lease};
-  deadline.expireAt(std::min(lease_.endsAt(), pending.longest));
+  deadline.expireAt(std::min(lease_.endsAt(), pending.latestEnd));
   pending_.insert(&pending);
   error_code error;
   co_await socket.async_connect(endpointOf(settings_.provider.address),
@@ -89,7 +89,7 @@
 }
 
 void PlatformClient::extendCallDeadlines() {
-  for (Pending* const pending : pending_) pending->deadline->expireAt(std::min(lease_.endsAt(), pending->longest));
+  for (Pending* const pending : pending_) pending->deadline->expireAt(std::min(lease_.endsAt(), pending->latestEnd));
 }
 
 }  // namespace tealshelf
--- a/duties/platform_client.hpp
+++ b/duties/platform_client.hpp
@@ -6,7 +6,7 @@
 
 /// What came of a call to the platform.
 enum class PlatformAnswer {
-  taken,       ///< 2xx
+  accepted,    ///< 2xx
   superseded,  ///< 409: the platform has seen a higher fencing token
   busy,        ///< 429 or a 5xx: it may be sent again later
   rejected,    ///< any other status
@@ -37,7 +37,7 @@
   /// A call that waits for its answer.
   struct Pending {
     SocketDeadline* deadline;
-    TimePoint longest;  ///< until when it waits at the most
+    TimePoint latestEnd;  ///< until when it waits at the most
   };
   Task<void> waitForRateLimit();
   Task<PlatformAnswer> exchange(http::request<http::string_body> const& request);
--- a/duties/platform_contact.hpp
+++ b/duties/platform_contact.hpp
@@ -18,17 +18,17 @@
   /// What another node says of itself; nothing if it doesn't say.
   void recordPeerSilence(NodeId peer, std::optional<Ms> silence, TimePoint now);
   /// The nodes to pass over as holders; none if no node is better off.
-  std::set<NodeId> unfit(TimePoint now) const;
+  std::set<NodeId> nodesWithoutContact(TimePoint now) const;
 
  private:
-  struct Word {
+  struct PeerReport {
     Ms silence{0};
     TimePoint at;
   };
   NodeId self_;
   Ms lease_;
   TimePoint reachedAt_;
-  std::map<NodeId, Word> peers_;
+  std::map<NodeId, PeerReport> peers_;
 };
 
 }  // namespace tealshelf
--- a/duties/scaling_policy.cpp
+++ b/duties/scaling_policy.cpp
@@ -41,11 +41,11 @@
 std::optional<ScalingOrder> ScalingPolicy::orderFor(string const& zone, ZoneWorkers const& workers,
                                                     ScalingDecision const& decision) const {
   std::uint64_t const present = presentIn(zone, workers);
-  if (present < decision.least) return ScalingOrder{zone, decision.least, false};
-  if (present <= decision.most) return std::nullopt;
+  if (present < decision.minWorkers) return ScalingOrder{zone, decision.minWorkers, false};
+  if (present <= decision.maxWorkers) return std::nullopt;
   std::uint64_t const step =
       std::max<std::uint64_t>(1, static_cast<std::uint64_t>(static_cast<double>(present) * maxReductionFraction));
-  return ScalingOrder{zone, std::max(decision.most, present - step), true};
+  return ScalingOrder{zone, std::max(decision.maxWorkers, present - step), true};
 }
 
 ScalingDecision ScalingPolicy::decide(ScalingInputs const& inputs, TimePoint now) {
@@ -64,8 +64,9 @@
   double const slots = static_cast<double>(inputs.slotsPerWorker * zones.size());
   double const known = filledFraction(memory, now);
   double const demandWithReserve = decision.peakDemand * (1 + reserveWithoutHistory * (1 - known));
-  decision.least = workersFor(decision.peakDemand, slots * maxUtilization, inputs.scaling);
-  decision.most = std::max(decision.least, workersFor(demandWithReserve, slots * minUtilization, inputs.scaling));
+  decision.minWorkers = workersFor(decision.peakDemand, slots * maxUtilization, inputs.scaling);
+  decision.maxWorkers =
+      std::max(decision.minWorkers, workersFor(demandWithReserve, slots * minUtilization, inputs.scaling));
   // Before that the registry of workers may still be filling.
   if (!firstDemandAt_) decision.reason = "no demand was seen yet";
   if (inputs.isRollingOut) decision.reason = "a rollout is under way";
--- a/duties/scaling_policy.hpp
+++ b/duties/scaling_policy.hpp
@@ -28,9 +28,10 @@
 
 /// What the policy makes of its inputs.
 struct ScalingDecision {
-  vector<ScalingOrder> orders;        ///< only where the number changes
-  double peakDemand = 0;              ///< slots that were needed at the most, lately
-  std::uint64_t least = 0, most = 0;  ///< workers in each zone: fewer are too few, more are too many; 0: can't be told
+  vector<ScalingOrder> orders;  ///< only where the number changes
+  double peakDemand = 0;        ///< slots that were needed at the most, lately
+  std::uint64_t minWorkers = 0,
+                maxWorkers = 0;  ///< workers in each zone: fewer are too few, more are too many; 0: can't be told
   string reason;
 };
 
--- a/duties/service_load_table.cpp
+++ b/duties/service_load_table.cpp
@@ -2,7 +2,7 @@
 
 namespace tealshelf {
 
-void ServiceLoadTable::note(string const& reporter, vector<ServiceLoad> loads, TimePoint now) {
+void ServiceLoadTable::update(string const& reporter, vector<ServiceLoad> loads, TimePoint now) {
   std::erase_if(entries_, [this, now](auto const& item) { return now - item.second.at > expiry_; });
   entries_[reporter] = Entry{std::move(loads), now};
 }
--- a/duties/service_load_table.hpp
+++ b/duties/service_load_table.hpp
@@ -8,7 +8,7 @@
  public:
   /// What wasn't told anew for so long doesn't count.
   explicit ServiceLoadTable(Ms expiry) : expiry_(expiry) {}
-  void note(string const& reporter, vector<ServiceLoad> loads, TimePoint now);
+  void update(string const& reporter, vector<ServiceLoad> loads, TimePoint now);
   /// Sums over all reporters, by service.
   std::map<string, ServiceLoad> sums(TimePoint now) const;
 
--- a/duties/usage_ledger.cpp
+++ b/duties/usage_ledger.cpp
@@ -48,14 +48,14 @@
   return unfinished.empty() || sinceEnd >= longest;
 }
 
-vector<KeyChange> UsageLedger::closing(WindowNumber window, std::map<string, std::uint64_t> const& counts) {
+vector<KeyChange> UsageLedger::changesToClose(WindowNumber window, std::map<string, std::uint64_t> const& counts) {
   vector<KeyChange> changes;
   changes.push_back({reportKey(window), usageBody(window, counts), false});
   changes.push_back({progressKey, serialize(UsageProgress{window}), false});
   return changes;
 }
 
-KeyChange UsageLedger::settled(WindowNumber window) {
+KeyChange UsageLedger::changeToRemove(WindowNumber window) {
   return {reportKey(window), "", true};
 }
 
--- a/duties/usage_ledger.hpp
+++ b/duties/usage_ledger.hpp
@@ -49,9 +49,9 @@
   /// still grow.
   bool mayClose(WindowNumber window, std::int64_t clusterTimeMs, vector<string> const& unfinished) const;
   /// The changes that close a window.
-  static vector<KeyChange> closing(WindowNumber window, std::map<string, std::uint64_t> const& counts);
+  static vector<KeyChange> changesToClose(WindowNumber window, std::map<string, std::uint64_t> const& counts);
   /// The change that forgets a report that the platform acknowledged.
-  static KeyChange settled(WindowNumber window);
+  static KeyChange changeToRemove(WindowNumber window);
 
  private:
   std::int64_t endOf(WindowNumber window) const { return (window.value + 1) * timing_.window.count(); }
--- a/tallies/tally_add.cpp
+++ b/tallies/tally_add.cpp
@@ -15,7 +15,7 @@
   return key;
 }
 
-std::uint64_t numberIn(VersionVector const& vector, OriginId origin) {
+std::uint64_t sequenceIn(VersionVector const& vector, OriginId origin) {
   auto const found = vector.find(origin);
   return found == vector.end() ? 0 : found->second;
 }
--- a/tallies/tally_add.hpp
+++ b/tallies/tally_add.hpp
@@ -44,7 +44,7 @@
 /// For each origin the number up to which all additions are there.
 using VersionVector = std::map<OriginId, std::uint64_t>;
 /// The number for an origin; 0 if there is none.
-std::uint64_t numberIn(VersionVector const& vector, OriginId origin);
+std::uint64_t sequenceIn(VersionVector const& vector, OriginId origin);
 /// A digest of a vector; 0 is no vector's.
 std::uint64_t digestOf(VersionVector const& vector);
 
--- a/tallies/tally_replica.cpp
+++ b/tallies/tally_replica.cpp
@@ -42,9 +42,9 @@
   hasSynced_ = true;
 }
 
-TallyTable::Taken TallyReplica::add(TallyAdd addition) {
-  TallyTable::Taken const taken = table_.take(origin_, addition);
-  if (taken.result == TallyTable::TakeResult::added) {
+TallyTable::AddOutcome TallyReplica::add(TallyAdd addition) {
+  TallyTable::AddOutcome const taken = table_.add(origin_, addition);
+  if (taken.result == TallyTable::AddResult::added) {
     AddBatch batch;
     batch.origin = origin_;
     batch.first = taken.position->sequence;
@@ -56,11 +56,11 @@
 
 TallyReplica::Copies TallyReplica::copiesOf(AddPosition position) const {
   Copies copies;
-  if (numberIn(synced_, position.origin) < position.sequence) return copies;
+  if (sequenceIn(synced_, position.origin) < position.sequence) return copies;
   copies.count = 1;
   std::set<string> zones{zone_};
   for (auto const& [id, peer] : peers_) {
-    if (numberIn(peer.synced, position.origin) >= position.sequence) {
+    if (sequenceIn(peer.synced, position.origin) >= position.sequence) {
       ++copies.count;
       zones.insert(peer.member.zone);
     } else if (isReachable(peer)) {
@@ -120,7 +120,7 @@
   peer.reported = true;
   peer.synced = synced;
   for (auto const& [origin, number] : synced_) {
-    std::uint64_t const theirs = numberIn(synced, origin);
+    std::uint64_t const theirs = sequenceIn(synced, origin);
     if (theirs >= number) {
       peer.stagnation.erase(origin);
       continue;
@@ -130,7 +130,7 @@
   }
   VersionVector const settled = table_.settled();
   peer.mayLackSettled = std::any_of(settled.begin(), settled.end(), [&synced](auto const& entry) {
-    return numberIn(synced, entry.first) < entry.second;
+    return sequenceIn(synced, entry.first) < entry.second;
   });
   updateCatchUp();
 }
@@ -154,9 +154,9 @@
   if (peer.reported && !peer.failed) {
     std::size_t room = maxAdds;
     for (auto const& [origin, number] : synced_) {
-      std::uint64_t const theirs = numberIn(peer.synced, origin);
+      std::uint64_t const theirs = sequenceIn(peer.synced, origin);
       if (theirs >= number || !room || !isRelayDue(peer, origin, now)) continue;
-      AddBatch batch = table_.after(origin, theirs, number, room);
+      AddBatch batch = table_.additionsAfter(origin, theirs, number, room);
       bool const follows = batch.first == theirs + 1;
       if (batch.adds.empty() || !follows) continue;
       room -= batch.adds.size();
@@ -199,7 +199,7 @@
   for (AddBatch const& batch : push.batches) {
     std::uint64_t const before = table_.lastOf(batch.origin);
     if (!table_.apply(batch)) continue;
-    fresh.push_back(table_.after(batch.origin, before, table_.lastOf(batch.origin), batch.adds.size()));
+    fresh.push_back(table_.additionsAfter(batch.origin, before, table_.lastOf(batch.origin), batch.adds.size()));
   }
   if (!fresh.empty()) records_.push_back(additionsRecord(std::move(fresh)));
   if (push.state.transfer) receiveChunk(push.from, push.state);
@@ -309,7 +309,7 @@
   VersionVector everywhere = synced_;
   for (auto const& [id, peer] : peers_) {
     if (!peer.reported) return;
-    for (auto& [origin, number] : everywhere) number = std::min(number, numberIn(peer.synced, origin));
+    for (auto& [origin, number] : everywhere) number = std::min(number, sequenceIn(peer.synced, origin));
   }
   table_.settle(everywhere, wallClockMs - timing_.settleAfter.count());
 }
--- a/tallies/tally_replica.hpp
+++ b/tallies/tally_replica.hpp
@@ -53,7 +53,7 @@
   // Calls.
 
   /// Takes an addition in. The caller is answered once isDurable() holds for its position.
-  TallyTable::Taken add(TallyAdd addition);
+  TallyTable::AddOutcome add(TallyAdd addition);
   /// True once an addition has reached enough disks, or the disks of all members that can be reached.
   bool isDurable(AddPosition position) const;
   /// True if enough copies exist whoever is reachable.
--- a/tallies/tally_store.cpp
+++ b/tallies/tally_store.cpp
@@ -57,12 +57,12 @@
     throw Error(ErrorCode::talliesFull);
   }
   AddKey const key = addKeyOf(tally, callerId);
-  TallyTable::Taken const taken = replica_.add(TallyAdd{std::move(tally), key, change, wallClockMs()});
-  if (taken.result == TallyTable::TakeResult::conflicting) {
+  TallyTable::AddOutcome const taken = replica_.add(TallyAdd{std::move(tally), key, change, wallClockMs()});
+  if (taken.result == TallyTable::AddResult::conflicting) {
     metrics_.refused.increment();
     throw Error(ErrorCode::conflictingAdd, callerId);
   }
-  (taken.result == TallyTable::TakeResult::added ? metrics_.added : metrics_.repeated).increment();
+  (taken.result == TallyTable::AddResult::added ? metrics_.added : metrics_.repeated).increment();
   if (!taken.position) co_return;
   flush();
   co_await waitUntilDurable(*taken.position, end);
--- a/tallies/tally_table.cpp
+++ b/tallies/tally_table.cpp
@@ -15,15 +15,15 @@
 }
 }  // namespace
 
-TallyTable::Taken TallyTable::take(OriginId origin, TallyAdd add) {
+TallyTable::AddOutcome TallyTable::add(OriginId origin, TallyAdd add) {
   auto const known = recentKeys_.find(add.key);
   if (known != recentKeys_.end()) {
     bool const isSame = known->second.change == add.change;
-    return {isSame ? TakeResult::repeated : TakeResult::conflicting, known->second.position};
+    return {isSame ? AddResult::repeated : AddResult::conflicting, known->second.position};
   }
-  if (remembered_.contains(add.key, add.acceptedAtMs)) return {TakeResult::repeated, std::nullopt};
+  if (remembered_.contains(add.key, add.acceptedAtMs)) return {AddResult::repeated, std::nullopt};
   append(origin, std::move(add));
-  return {TakeResult::added, AddPosition{origin, lastOf(origin)}};
+  return {AddResult::added, AddPosition{origin, lastOf(origin)}};
 }
 
 bool TallyTable::apply(AddBatch const& batch) {
@@ -79,7 +79,8 @@
   return found == origins_.end() ? 0 : found->second.last();
 }
 
-AddBatch TallyTable::after(OriginId origin, std::uint64_t number, std::uint64_t upTo, std::size_t limit) const {
+AddBatch TallyTable::additionsAfter(OriginId origin, std::uint64_t number, std::uint64_t upTo,
+                                    std::size_t limit) const {
   AddBatch batch;
   batch.origin = origin;
   auto const found = origins_.find(origin);
@@ -95,7 +96,7 @@
 void TallyTable::settle(VersionVector const& everywhere, std::int64_t acceptedBeforeMs) {
   vector<TallyAdd> settled;
   for (auto& [origin, log] : origins_) {
-    std::uint64_t const upTo = numberIn(everywhere, origin);
+    std::uint64_t const upTo = sequenceIn(everywhere, origin);
     while (!log.adds.empty() && log.first <= upTo && log.adds.front().acceptedAtMs < acceptedBeforeMs) {
       auto const key = recentKeys_.find(log.adds.front().key);
       bool const isFirst = key != recentKeys_.end() && key->second.position == AddPosition{origin, log.first};
@@ -121,7 +122,7 @@
   VersionVector theirs;
   for (AddBatch const& batch : state.recent) theirs[batch.origin] = batch.first + batch.adds.size() - 1;
   for (auto const& [origin, log] : origins_)
-    if (log.first - 1 > numberIn(theirs, origin)) return false;
+    if (log.first - 1 > sequenceIn(theirs, origin)) return false;
   std::map<OriginId, OriginLog> const own = std::exchange(origins_, {});
   recentKeys_.clear();
   totals_.clear();
--- a/tallies/tally_table.hpp
+++ b/tallies/tally_table.hpp
@@ -28,9 +28,9 @@
 /// total, and of it only the key is remembered, for as long as a repeat may come.
 class TallyTable {
  public:
-  enum class TakeResult { added, repeated, conflicting };
-  struct Taken {
-    TakeResult result = TakeResult::added;
+  enum class AddResult { added, repeated, conflicting };
+  struct AddOutcome {
+    AddResult result = AddResult::added;
     /// Of the new addition, or of the earlier one with its key; nothing if that is settled, and so at all members.
     std::optional<AddPosition> position;
   };
@@ -39,7 +39,7 @@
   explicit TallyTable(Ms retention) : remembered_(retention) {}
 
   /// Takes an addition of a caller at the end of an origin's log, unless its key is known.
-  Taken take(OriginId origin, TallyAdd add);
+  AddOutcome add(OriginId origin, TallyAdd add);
   /// Takes in additions of an origin that follow the known ones; others are left out. True if one was new.
   bool apply(AddBatch const& batch);
   /// The sum of a tally; 0 for a name that is new.
@@ -53,7 +53,7 @@
   /// The number up to which an origin's additions are known.
   std::uint64_t lastOf(OriginId origin) const;
   /// Additions of an origin that follow a number, up to another one; at most `limit`.
-  AddBatch after(OriginId origin, std::uint64_t number, std::uint64_t upTo, std::size_t limit) const;
+  AddBatch additionsAfter(OriginId origin, std::uint64_t number, std::uint64_t upTo, std::size_t limit) const;
 
   /// Settles what all members have by a vector, and was taken before a time of day.
   void settle(VersionVector const& everywhere, std::int64_t acceptedBeforeMs);
--- a/tests/duties/duties_test.cpp
+++ b/tests/duties/duties_test.cpp
@@ -70,12 +70,12 @@
 };
 
 TEST(dutyPreference, aLiveIncumbentIsPreferred) {
-  CHECK(nodes({1, 3}) == preference.passedOver({}, Incumbent{NodeId(2), true}, threeNodes, dutyStart));
+  CHECK(nodes({1, 3}) == preference.deprioritizedOwners({}, Incumbent{NodeId(2), true}, threeNodes, dutyStart));
 }
 TEST(dutyPreference, aDeadOrUnreachableIncumbentIsNotPreferred) {
-  CHECK(nodes({}) == preference.passedOver({}, Incumbent{NodeId(2), false}, threeNodes, dutyStart));
-  CHECK(nodes({2}) == preference.passedOver(nodes({2}), Incumbent{NodeId(2), true}, threeNodes, dutyStart));
-  CHECK(nodes({}) == preference.passedOver({}, std::nullopt, threeNodes, dutyStart));
+  CHECK(nodes({}) == preference.deprioritizedOwners({}, Incumbent{NodeId(2), false}, threeNodes, dutyStart));
+  CHECK(nodes({2}) == preference.deprioritizedOwners(nodes({2}), Incumbent{NodeId(2), true}, threeNodes, dutyStart));
+  CHECK(nodes({}) == preference.deprioritizedOwners({}, std::nullopt, threeNodes, dutyStart));
 }
 TEST(dutyPreference, aNodeThatLostTheDutiesIsNotPreferredForALease) {
   preference.noteOwnership(true, dutyStart);
@@ -83,14 +83,15 @@
   preference.noteOwnership(false, dutyStart + Ms(200));
   // Its own copy of the record still names itself.
   Incumbent const self{NodeId(1), true};
-  CHECK(nodes({1}) == preference.passedOver({}, self, threeNodes, dutyStart + Ms(3099)));
-  CHECK(nodes({1, 3}) == preference.passedOver(nodes({3}), self, threeNodes, dutyStart + Ms(3099)));
-  CHECK(nodes({2, 3}) == preference.passedOver({}, self, threeNodes, dutyStart + Ms(3100)));
+  CHECK(nodes({1}) == preference.deprioritizedOwners({}, self, threeNodes, dutyStart + Ms(3099)));
+  CHECK(nodes({1, 3}) == preference.deprioritizedOwners(nodes({3}), self, threeNodes, dutyStart + Ms(3099)));
+  CHECK(nodes({2, 3}) == preference.deprioritizedOwners({}, self, threeNodes, dutyStart + Ms(3100)));
 }
 TEST(dutyPreference, theOwnerFollowsTheRecord) {
   preference.noteOwnership(true, dutyStart);
   preference.noteOwnership(true, dutyStart + Ms(100));
-  CHECK(nodes({2, 3}) == preference.passedOver({}, Incumbent{NodeId(1), true}, threeNodes, dutyStart + Ms(200)));
+  CHECK(nodes({2, 3}) ==
+        preference.deprioritizedOwners({}, Incumbent{NodeId(1), true}, threeNodes, dutyStart + Ms(200)));
 }
 
 TEST_GROUP(platformContact){};
@@ -99,17 +100,17 @@
   PlatformContact contact(NodeId(1), leaseLength, dutyStart);
   TimePoint const later = dutyStart + Ms(4000);
   contact.recordPeerSilence(NodeId(2), Ms(3500), later);
-  CHECK(contact.unfit(later).empty());
+  CHECK(contact.nodesWithoutContact(later).empty());
   contact.recordPeerSilence(NodeId(3), Ms(200), later);
-  LONGS_EQUAL(2, contact.unfit(later).size());
-  CHECK(contact.unfit(later).contains(NodeId(1)));
+  LONGS_EQUAL(2, contact.nodesWithoutContact(later).size());
+  CHECK(contact.nodesWithoutContact(later).contains(NodeId(1)));
   contact.noteReached(later);
-  CHECK(!contact.unfit(later).contains(NodeId(1)));
+  CHECK(!contact.nodesWithoutContact(later).contains(NodeId(1)));
 }
 TEST(platformContact, oldReportsOfPeersAreIgnored) {
   PlatformContact contact(NodeId(1), leaseLength, dutyStart);
   contact.recordPeerSilence(NodeId(2), Ms(0), dutyStart + Ms(1000));
-  CHECK(contact.unfit(dutyStart + Ms(4000)).empty());
+  CHECK(contact.nodesWithoutContact(dutyStart + Ms(4000)).empty());
 }
 
 TEST_GROUP(clusterClock){};
@@ -219,14 +220,14 @@
   CHECK(!UsageLedger::nextToClose(values, table));
   table.count(firstEdge, WindowNumber(10), "hu\"ka");
   LONGS_EQUAL(10, UsageLedger::nextToClose(values, table)->value);
-  for (KeyChange const& change : UsageLedger::closing(WindowNumber(10), table.totals(WindowNumber(10))))
+  for (KeyChange const& change : UsageLedger::changesToClose(WindowNumber(10), table.totals(WindowNumber(10))))
     values[change.key] = change.value;
   LONGS_EQUAL(11, UsageLedger::nextToClose(values, table)->value);
   table.count(firstEdge, WindowNumber(10), "hu\"ka");
   vector<UsageRecord> const unsent = UsageLedger::unsent(values);
   LONGS_EQUAL(1, unsent.size());
   STRCMP_EQUAL("{\"windowNumber\":10,\"counts\":{\"hu\\\"ka\":1}}", unsent[0].body.c_str());
-  values.erase(UsageLedger::settled(WindowNumber(10)).key);
+  values.erase(UsageLedger::changeToRemove(WindowNumber(10)).key);
   CHECK(UsageLedger::unsent(values).empty());
   LONGS_EQUAL(10, UsageLedger::progressIn(values)->closedThrough.value);
 }
@@ -234,11 +235,11 @@
 TEST_GROUP(serviceLoadTable){};
 
 TEST(serviceLoadTable, sumsRecentReports) {
-  ServiceLoadTable board(Ms(2500));
-  board.note("edge-1", {{"app", 3, 1}}, dutyStart);
-  board.note("edge-2", {{"app", 4, 0}, {"lm", 2, 0}}, dutyStart + Ms(2000));
-  DOUBLES_EQUAL(7, board.sums(dutyStart + Ms(2000))["app"].inFlight, 0);
-  DOUBLES_EQUAL(4, board.sums(dutyStart + Ms(3000))["app"].inFlight, 0);
-  board.note("edge-2", {}, dutyStart + Ms(3000));
-  CHECK(board.sums(dutyStart + Ms(3000)).empty());
+  ServiceLoadTable table(Ms(2500));
+  table.update("edge-1", {{"app", 3, 1}}, dutyStart);
+  table.update("edge-2", {{"app", 4, 0}, {"lm", 2, 0}}, dutyStart + Ms(2000));
+  DOUBLES_EQUAL(7, table.sums(dutyStart + Ms(2000))["app"].inFlight, 0);
+  DOUBLES_EQUAL(4, table.sums(dutyStart + Ms(3000))["app"].inFlight, 0);
+  table.update("edge-2", {}, dutyStart + Ms(3000));
+  CHECK(table.sums(dutyStart + Ms(3000)).empty());
 }
--- a/tests/duties/duty_fleet_sim.cpp
+++ b/tests/duties/duty_fleet_sim.cpp
@@ -182,7 +182,7 @@
   for (Edge const& edge : edges_) expected.insert(edge.key.node);
   vector<string> const unfinished = holder.table.unfinished(*next, expected, cluster_.now() - delay - window);
   if (!ledger_.mayClose(*next, clusterTimeMs(), unfinished)) return;
-  vector<KeyChange> const changes = UsageLedger::closing(*next, holder.table.totals(*next));
+  vector<KeyChange> const changes = UsageLedger::changesToClose(*next, holder.table.totals(*next));
   Epoch const epoch = holder.lease.epoch();
   holder.isWriting = true;
   cluster_.begin(
@@ -286,7 +286,7 @@
   Holder& holder = holders_[node];
   if (!mayAct(node) || holder.isWriting || holder.taken.empty()) return;
   vector<KeyChange> changes;
-  for (WindowNumber const window : holder.taken) changes.push_back(UsageLedger::settled(window));
+  for (WindowNumber const window : holder.taken) changes.push_back(UsageLedger::changeToRemove(window));
   Epoch const epoch = holder.lease.epoch();
   holder.isWriting = true;
   cluster_.begin(
--- a/tests/duties/platform_client_test.cpp
+++ b/tests/duties/platform_client_test.cpp
@@ -65,7 +65,7 @@
 TEST(platformClient, aCallCarriesHolderNameAndFencingToken) {
   PlatformRig rig;
   rig.hold();
-  CHECK(rig.call() == PlatformAnswer::taken);
+  CHECK(rig.call() == PlatformAnswer::accepted);
   LONGS_EQUAL(1, rig.calls.size());
   STRCMP_EQUAL("POST", rig.calls[0].verb.c_str());
   STRCMP_EQUAL("/usage", rig.calls[0].path.c_str());
@@ -102,5 +102,5 @@
   PlatformRig rig;
   rig.pause = Ms(600);
   rig.hold();
-  CHECK(rig.call(true) == PlatformAnswer::taken);
+  CHECK(rig.call(true) == PlatformAnswer::accepted);
 }
--- a/tests/tallies/tally_fleet_events.cpp
+++ b/tests/tallies/tally_fleet_events.cpp
@@ -29,8 +29,8 @@
     sent_[call.tally] += call.change;
   }
   TallyAdd add{call.tally, addKeyOf(call.tally, call.id), call.change, wallMs()};
-  TallyTable::Taken const taken = node.replica->add(std::move(add));
-  if (taken.result == TallyTable::TakeResult::conflicting) return fail("a repeat counts as conflicting");
+  TallyTable::AddOutcome const taken = node.replica->add(std::move(add));
+  if (taken.result == TallyTable::AddResult::conflicting) return fail("a repeat counts as conflicting");
   flush(node);
   if (!taken.position)
     acknowledge(node, call);
@@ -55,7 +55,7 @@
 
 bool TallyFleet::isOnOwnDisk(Node const& node, AddPosition position) {
   for (PendingSync const& sync : node.pending)
-    if (numberIn(sync.known, position.origin) >= position.sequence) return false;
+    if (sequenceIn(sync.known, position.origin) >= position.sequence) return false;
   return true;
 }
 
@@ -201,7 +201,7 @@
     for (Acknowledged const& added : acknowledged_) {
       if (!mustBeVisible(added)) continue;
       TallyAdd const again{added.call.tally, addKeyOf(added.call.tally, added.call.id), added.call.change, wallMs()};
-      if (table.take(OriginId(1), again).result == TallyTable::TakeResult::added)
+      if (table.add(OriginId(1), again).result == TallyTable::AddResult::added)
         return fail("an acknowledged addition is missing at the end");
     }
     for (auto const& [tally, most] : sent_)
@@ -223,7 +223,7 @@
     string holders;
     for (std::unique_ptr<Node> const& other : nodes_) {
       TallyTable table = other->replica->table();
-      if (table.take(OriginId(1), add).result == TallyTable::TakeResult::added) continue;
+      if (table.add(OriginId(1), add).result == TallyTable::AddResult::added) continue;
       holders += " " + other->self.name + (other->up ? "" : "(down)");
       if (other->index == node.index) holders = "-";
     }
--- a/tests/tallies/tally_replica_test.cpp
+++ b/tests/tallies/tally_replica_test.cpp
@@ -41,7 +41,7 @@
     for (std::uint64_t peer = 2; peer <= 4; ++peer) report(peer, {});
   }
   AddPosition add(string const& id) {
-    TallyTable::Taken const taken = replica.add(TallyAdd{"t", addKeyOf("t", id), 1, 100000});
+    TallyTable::AddOutcome const taken = replica.add(TallyAdd{"t", addKeyOf("t", id), 1, 100000});
     CHECK(taken.position.has_value());
     return taken.position.value_or(AddPosition());
   }
@@ -282,5 +282,5 @@
   }
   CHECK(chunks > 1);
   CHECK(newcomer.table().total("t") == many);
-  CHECK(newcomer.add(TallyAdd{"t", addKeyOf("t", "id5"), 1, 100000}).result == TallyTable::TakeResult::repeated);
+  CHECK(newcomer.add(TallyAdd{"t", addKeyOf("t", "id5"), 1, 100000}).result == TallyTable::AddResult::repeated);
 }
--- a/tests/tallies/tally_table_test.cpp
+++ b/tests/tallies/tally_table_test.cpp
@@ -4,7 +4,7 @@
 #include <CppUTest/TestHarness.h>
 
 using namespace tealshelf;
-using TakeResult = TallyTable::TakeResult;
+using AddResult = TallyTable::AddResult;
 
 namespace {
 constexpr Ms retention{8000};
@@ -28,27 +28,27 @@
 }
 TEST(tallyTable, anIdCountsOnce) {
   TallyTable table(retention);
-  CHECK(table.take(here, addition("a", 4)).result == TakeResult::added);
-  TallyTable::Taken const again = table.take(here, addition("a", 4));
-  CHECK(again.result == TakeResult::repeated);
+  CHECK(table.add(here, addition("a", 4)).result == AddResult::added);
+  TallyTable::AddOutcome const again = table.add(here, addition("a", 4));
+  CHECK(again.result == AddResult::repeated);
   CHECK((again.position == AddPosition{here, 1}));
-  CHECK(table.take(here, addition("a", 5)).result == TakeResult::conflicting);
-  CHECK(table.take(here, addition("b", -1)).result == TakeResult::added);
+  CHECK(table.add(here, addition("a", 5)).result == AddResult::conflicting);
+  CHECK(table.add(here, addition("b", -1)).result == AddResult::added);
   expectTotal(3, table);
 }
 TEST(tallyTable, anIdAtAnotherTallyIsAnotherAddition) {
   TallyTable table(retention);
-  table.take(here, addition("a", 4));
+  table.add(here, addition("a", 4));
   TallyAdd other{"u", addKeyOf("u", "a"), 5, 100000};
-  CHECK(table.take(here, other).result == TakeResult::added);
+  CHECK(table.add(here, other).result == AddResult::added);
   CHECK(table.total("u") == 5);
   // Nor do a name and an id run into one another.
   CHECK(addKeyOf("ab", "c") != addKeyOf("a", "bc"));
 }
 TEST(tallyTable, conflictingAdditionsConvergeInAnyOrder) {
   TallyTable left(retention), right(retention);
-  left.take(here, addition("a", 4));
-  right.take(there, addition("a", 3));
+  left.add(here, addition("a", 4));
+  right.add(there, addition("a", 3));
   CHECK(left.apply(batch(there, 1, {addition("a", 3)})));
   CHECK(right.apply(batch(here, 1, {addition("a", 4)})));
   expectTotal(3, left);
@@ -65,23 +65,23 @@
 }
 TEST(tallyTable, aRepeatOfASettledAdditionIsDetected) {
   TallyTable table(retention);
-  table.take(here, addition("a", 4));
+  table.add(here, addition("a", 4));
   table.settle({{here, 1}}, 100001);
   LONGS_EQUAL(0, table.recentCount());
   LONGS_EQUAL(1, table.rememberedCount());
-  TallyTable::Taken const again = table.take(here, addition("a", 4, 107000));
-  CHECK(again.result == TakeResult::repeated);
+  TallyTable::AddOutcome const again = table.add(here, addition("a", 4, 107000));
+  CHECK(again.result == AddResult::repeated);
   CHECK(!again.position);
   expectTotal(4, table);
 }
 TEST(tallyTable, repeatsAreDetectedForTheRetentionOnly) {
   TallyTable table(retention);
-  table.take(here, addition("a", 4, 100000));
+  table.add(here, addition("a", 4, 100000));
   table.settle({{here, 1}}, 200000);
   table.forget(100000 + retention.count());
-  CHECK(table.take(here, addition("a", 4, 100000 + retention.count())).result == TakeResult::repeated);
+  CHECK(table.add(here, addition("a", 4, 100000 + retention.count())).result == AddResult::repeated);
   std::int64_t const later = 100000 + retention.count() * 5 / 4;
-  CHECK(table.take(here, addition("a", 4, later)).result == TakeResult::added);
+  CHECK(table.add(here, addition("a", 4, later)).result == AddResult::added);
   table.forget(100000 + 2 * retention.count());
   LONGS_EQUAL(0, table.rememberedCount());
 }
@@ -103,11 +103,11 @@
   table.apply(batch(there, 1, {addition("a", 1, 100), addition("b", 1, 200), addition("c", 1, 300)}));
   table.settle({{there, 2}}, 200);
   LONGS_EQUAL(2, table.recentCount());
-  LONGS_EQUAL(1, numberIn(table.settled(), there));
-  LONGS_EQUAL(2, table.after(there, 1, 3, 10).first);
-  LONGS_EQUAL(2, table.after(there, 1, 3, 10).adds.size());
-  LONGS_EQUAL(1, table.after(there, 1, 3, 1).adds.size());
-  LONGS_EQUAL(1, table.after(there, 1, 2, 10).adds.size());
+  LONGS_EQUAL(1, sequenceIn(table.settled(), there));
+  LONGS_EQUAL(2, table.additionsAfter(there, 1, 3, 10).first);
+  LONGS_EQUAL(2, table.additionsAfter(there, 1, 3, 10).adds.size());
+  LONGS_EQUAL(1, table.additionsAfter(there, 1, 3, 1).adds.size());
+  LONGS_EQUAL(1, table.additionsAfter(there, 1, 2, 10).adds.size());
 }
 TEST(tallyTable, aStateRestoresAnEmptyTable) {
   TallyTable table(retention);
@@ -117,22 +117,22 @@
   CHECK(empty.install(table.state()));
   expectTotal(9, empty);
   CHECK(empty.known() == table.known());
-  CHECK(empty.take(there, addition("a", 4)).result == TakeResult::repeated);
-  CHECK(empty.take(there, addition("b", 5)).result == TakeResult::repeated);
+  CHECK(empty.add(there, addition("a", 4)).result == AddResult::repeated);
+  CHECK(empty.add(there, addition("b", 5)).result == AddResult::repeated);
 }
 TEST(tallyTable, installingAStateKeepsLocalAdditions) {
   TallyTable theirs(retention), own(retention);
   theirs.apply(batch(there, 1, {addition("a", 4)}));
   theirs.settle({{there, 1}}, 200000);
-  own.take(here, addition("a", 4));
-  own.take(here, addition("b", 5));
+  own.add(here, addition("a", 4));
+  own.add(here, addition("b", 5));
   CHECK(own.install(theirs.state()));
   expectTotal(9, own);
   LONGS_EQUAL(2, own.lastOf(here));
 }
 TEST(tallyTable, aStateThatLacksLocallySettledAdditionsIsRefused) {
   TallyTable own(retention);
-  own.take(here, addition("a", 4));
+  own.add(here, addition("a", 4));
   own.settle({{here, 1}}, 200000);
   CHECK(!own.install(TallyTable(retention).state()));
   expectTotal(4, own);
