--- a/duties/cluster_clock.cpp
+++ b/duties/cluster_clock.cpp
@@ -24,9 +24,9 @@
 }
 
 void FollowerClock::noteAnswer(std::int64_t clusterTimeMs, TimePoint askedAt, TimePoint now) {
-  Ms const trip = std::chrono::duration_cast<Ms>(now - askedAt);
-  if (trip > maxRoundTrip_) return;
-  offsetMs_ = clusterTimeMs + trip.count() / 2 - steadyMs(now);
+  Ms const roundTrip = std::chrono::duration_cast<Ms>(now - askedAt);
+  if (roundTrip > maxRoundTrip_) return;
+  offsetMs_ = clusterTimeMs + roundTrip.count() / 2 - steadyMs(now);
 }
 
 std::int64_t FollowerClock::at(TimePoint moment) const {
--- a/duties/duty_preference.cpp
+++ b/duties/duty_preference.cpp
@@ -10,8 +10,8 @@
 std::set<NodeId> DutyPreference::deprioritizedOwners(std::set<NodeId> withoutContact,
                                                      std::optional<Incumbent> const& incumbent,
                                                      vector<Member> const& members, TimePoint now) const {
-  bool const lostLately = lostAt_ && now - *lostAt_ < lease_;
-  if (lostLately) {
+  bool const lostRecently = lostAt_ && now - *lostAt_ < lease_;
+  if (lostRecently) {
     withoutContact.insert(self_);
     return withoutContact;
   }
--- a/duties/duty_preference.hpp
+++ b/duties/duty_preference.hpp
@@ -3,23 +3,23 @@
 
 namespace tealshelf {
 
-/// Which control nodes a node passes over as owner of the duties; no input or output of its own.
+/// Which control nodes a node deprioritizes as owner of the duties; does no I/O.
 ///
-/// Whoever holds the duties keeps them as long as it lives and reaches the platform, so that they don't swing back. A
-/// node that lost them passes itself over for a lease, as its copy of the record may still name itself.
+/// The holder keeps the duties as long as it is alive and reaches the platform, so that they don't move back and forth.
+/// A node that lost the duties deprioritizes itself for a lease, as its copy of the record may still name itself.
 class DutyPreference {
  public:
   DutyPreference(NodeId self, Ms lease) : self_(self), lease_(lease) {}
 
-  /// Whether this node owns the duties now.
+  /// Takes whether this node owns the duties now.
   void noteOwnership(bool isOwner, TimePoint now);
 
-  /// Who holds the duties by the newest record that is known here.
+  /// The holder of the duties according to the newest record known to this node.
   struct Incumbent {
     NodeId node;
     bool isAlive = false;
   };
-  /// `withoutContact`: nodes that don't reach the platform while others do.
+  /// `withoutContact`: nodes that can't reach the platform while others can.
   std::set<NodeId> deprioritizedOwners(std::set<NodeId> withoutContact, std::optional<Incumbent> const& incumbent,
                                        vector<Member> const& members, TimePoint now) const;
 
--- a/duties/platform_client.cpp
+++ b/duties/platform_client.cpp
@@ -3,9 +3,9 @@
 namespace tealshelf {
 
 namespace {
-/// Part of the platform's rate that one holder uses.
+/// Fraction of the platform's rate limit that one holder uses.
 constexpr double rateFraction = 0.5;
-/// Leases that a call waits for its answer at the most.
+/// The longest time that a call waits for its answer, in leases.
 constexpr int maxCallLeases = 3;
 
 PlatformAnswer answerFor(unsigned status) {
@@ -42,9 +42,9 @@
           1, static_cast<std::int64_t>(1000 / (rateFraction * settings.provider.dutiesPerSecond)))) {}
 
 Task<void> PlatformClient::waitForRateLimit() {
-  TimePoint const turn = std::max(nextCallAt_, Clock::now());
-  nextCallAt_ = turn + callInterval_;
-  Ms const wait(remainingMs(turn));
+  TimePoint const callAt = std::max(nextCallAt_, Clock::now());
+  nextCallAt_ = callAt + callInterval_;
+  Ms const wait(remainingMs(callAt));
   if (wait > Ms(0)) co_await sleepFor(wait);
 }
 
--- a/duties/platform_contact.cpp
+++ b/duties/platform_contact.cpp
@@ -13,16 +13,16 @@
   std::map<NodeId, Ms> silences{{self_, silence(now)}};
   for (auto const& [peer, report] : peers_) {
     Ms const age = std::chrono::duration_cast<Ms>(now - report.at);
-    // Of a node that is itself silent nothing is known.
+    // An older report doesn't tell whether the node still reaches the platform.
     if (age <= lease_ / 2) silences[peer] = report.silence + age;
   }
   std::set<NodeId> withoutContact;
-  bool isReachedByAny = false;
+  bool hasAnyContact = false;
   for (auto const& [node, silence] : silences) {
-    isReachedByAny = isReachedByAny || silence < lease_ / 2;
+    hasAnyContact = hasAnyContact || silence < lease_ / 2;
     if (silence > lease_) withoutContact.insert(node);
   }
-  return isReachedByAny ? withoutContact : std::set<NodeId>();
+  return hasAnyContact ? withoutContact : std::set<NodeId>();
 }
 
 }  // namespace tealshelf
--- a/duties/platform_contact.hpp
+++ b/duties/platform_contact.hpp
@@ -3,11 +3,11 @@
 
 namespace tealshelf {
 
-/// Which control nodes reach the platform, as far as this one knows; no input or output of its own.
+/// Which control nodes reach the platform, as far as this node knows; does no I/O.
 ///
-/// A node that hasn't reached it for a whole lease is passed over as holder of the duties while another one reached it
-/// within the last half. Between the two lies room for the periods of probes and heartbeats, so that a platform that
-/// is gone for all makes nobody give the duties up.
+/// A node that hasn't reached the platform for a whole lease is deprioritized as holder of the duties while another one
+/// reached it within the last half lease. The gap between the two covers the periods of probes and heartbeats, so that
+/// no node gives up the duties when the platform is unreachable for all.
 class PlatformContact {
  public:
   PlatformContact(NodeId self, Ms lease, TimePoint startedAt) : self_(self), lease_(lease), reachedAt_(startedAt) {}
@@ -15,9 +15,9 @@
   void noteReached(TimePoint now) { reachedAt_ = now; }
   /// How long ago this node last reached the platform, or started.
   Ms silence(TimePoint now) const { return std::chrono::duration_cast<Ms>(now - reachedAt_); }
-  /// What another node says of itself; nothing if it doesn't say.
+  /// Takes how long ago another node last reached the platform, by its own report; nullopt if it doesn't report it.
   void recordPeerSilence(NodeId peer, std::optional<Ms> silence, TimePoint now);
-  /// The nodes to pass over as holders; none if no node is better off.
+  /// The nodes to deprioritize as holders; empty if no node has reached the platform recently.
   std::set<NodeId> nodesWithoutContact(TimePoint now) const;
 
  private:
--- a/duties/scaling_policy.cpp
+++ b/duties/scaling_policy.cpp
@@ -3,16 +3,16 @@
 namespace tealshelf {
 
 namespace {
-/// Parts of the slots that the peak of the demand takes: workers are added above the one, taken away below the other.
+/// Utilization of the slots at peak demand: above the maximum workers are added, below the minimum they are removed.
 constexpr double maxUtilization = 0.9, minUtilization = 0.65;
-/// Start times of a worker for which demand is remembered, and that lie between two reductions.
+/// The length of the demand window in start times of a worker, and the number of reductions allowed in one start time.
 constexpr int demandWindowStartTimes = 3, reductionsPerStartTime = 1;
-/// Part of the memory that must be filled before workers are taken away.
+/// Fraction of the demand window that must be filled before workers are removed.
 constexpr double minFilledFraction = 0.3;
-/// Part of the peak that is added to it while nothing is remembered.
+/// Reserve added to the peak while the demand window is empty, as a fraction of the peak.
 constexpr double reserveWithoutHistory = 0.75;
 constexpr Ms minStartTime{1000};
-/// Part of a zone's workers that may be taken away at once.
+/// Fraction of a zone's workers that may be removed at once.
 constexpr double maxReductionFraction = 0.25;
 
 std::uint64_t workersFor(double demand, double slots, ServiceScaling const& scaling) {
@@ -21,16 +21,16 @@
 }
 }  // namespace
 
-void ScalingPolicy::noteDemand(double slots, Ms memory, TimePoint now) {
+void ScalingPolicy::recordDemand(double slots, Ms window, TimePoint now) {
   if (slots > 0 && !firstDemandAt_) firstDemandAt_ = now;
   demands_.push_back({now, slots});
-  while (now - demands_.front().at > memory) demands_.pop_front();
+  while (now - demands_.front().at > window) demands_.pop_front();
 }
 
-double ScalingPolicy::filledFraction(Ms memory, TimePoint now) const {
+double ScalingPolicy::filledFraction(Ms window, TimePoint now) const {
   if (!firstDemandAt_) return 0;
-  double const known = static_cast<double>(std::chrono::duration_cast<Ms>(now - *firstDemandAt_).count());
-  return std::min(1.0, known / static_cast<double>(memory.count()));
+  double const observed = static_cast<double>(std::chrono::duration_cast<Ms>(now - *firstDemandAt_).count());
+  return std::min(1.0, observed / static_cast<double>(window.count()));
 }
 
 std::uint64_t ScalingPolicy::presentIn(string const& zone, ZoneWorkers const& workers) const {
@@ -50,30 +50,30 @@
 
 ScalingDecision ScalingPolicy::decide(ScalingInputs const& inputs, TimePoint now) {
   Ms const startTime = std::max(inputs.scaling.startTime, minStartTime);
-  Ms const memory = demandWindowStartTimes * startTime;
-  noteDemand(inputs.load.inFlight + inputs.load.backlog, memory, now);
+  Ms const window = demandWindowStartTimes * startTime;
+  recordDemand(inputs.load.inFlight + inputs.load.backlog, window, now);
   ScalingDecision decision;
   for (Demand const& demand : demands_) decision.peakDemand = std::max(decision.peakDemand, demand.slots);
   vector<string> zones;
   for (auto const& [zone, workers] : inputs.zones)
     if (workers.present && !workers.isEvacuated) zones.push_back(zone);
   if (!inputs.scaling.isUsable() || !inputs.slotsPerWorker || zones.empty()) {
-    decision.reason = "no range, no slots or no worker";
+    decision.reason = "no usable range of workers, no slots per worker, or no worker in any zone that takes traffic";
     return decision;
   }
   double const slots = static_cast<double>(inputs.slotsPerWorker * zones.size());
-  double const known = filledFraction(memory, now);
-  double const demandWithReserve = decision.peakDemand * (1 + reserveWithoutHistory * (1 - known));
+  double const filled = filledFraction(window, now);
+  double const demandWithReserve = decision.peakDemand * (1 + reserveWithoutHistory * (1 - filled));
   decision.minWorkers = workersFor(decision.peakDemand, slots * maxUtilization, inputs.scaling);
   decision.maxWorkers =
       std::max(decision.minWorkers, workersFor(demandWithReserve, slots * minUtilization, inputs.scaling));
-  // Before that the registry of workers may still be filling.
-  if (!firstDemandAt_) decision.reason = "no demand was seen yet";
-  if (inputs.isRollingOut) decision.reason = "a rollout is under way";
+  // Before the first demand the registry of workers may still be incomplete.
+  if (!firstDemandAt_) decision.reason = "no demand has been observed yet";
+  if (inputs.isRollingOut) decision.reason = "no orders during a rollout";
   if (!firstDemandAt_ || inputs.isRollingOut) return decision;
-  bool const isSettled = !reducedAt_ || now - *reducedAt_ >= startTime / reductionsPerStartTime;
-  bool const mayReduce = known >= minFilledFraction && isSettled;
-  decision.reason = mayReduce ? "by demand" : "by demand, no reduction yet";
+  bool const cooldownHasPassed = !reducedAt_ || now - *reducedAt_ >= startTime / reductionsPerStartTime;
+  bool const mayReduce = filled >= minFilledFraction && cooldownHasPassed;
+  decision.reason = mayReduce ? "by demand" : "by demand; reductions are not allowed yet";
   for (string const& zone : zones) {
     std::optional<ScalingOrder> order = orderFor(zone, inputs.zones.at(zone), decision);
     if (order && (mayReduce || !order->isReduction)) decision.orders.push_back(std::move(*order));
--- a/duties/scaling_policy.hpp
+++ b/duties/scaling_policy.hpp
@@ -10,43 +10,43 @@
   bool isEvacuated = false;
 };
 
-/// What an order of workers depends on.
+/// The inputs of a scaling decision.
 struct ScalingInputs {
   ServiceScaling scaling;
   std::uint64_t slotsPerWorker = 0;
   std::map<string, ZoneWorkers> zones;
   ServiceLoad load;
-  bool isRollingOut = false;  ///< a new version gets a part of the traffic
+  bool isRollingOut = false;  ///< a new version gets a share of the traffic
 };
 
-/// How many workers a service shall have in a zone.
+/// An order to the platform: the number of workers that a service should have in a zone.
 struct ScalingOrder {
   string zone;
   std::uint64_t wanted = 0;
   bool isReduction = false;
 };
 
-/// What the policy makes of its inputs.
+/// The policy's decision for one service.
 struct ScalingDecision {
   vector<ScalingOrder> orders;  ///< only where the number changes
-  double peakDemand = 0;        ///< slots that were needed at the most, lately
-  std::uint64_t minWorkers = 0,
-                maxWorkers = 0;  ///< workers in each zone: fewer are too few, more are too many; 0: can't be told
+  double peakDemand = 0;        ///< highest demand in the demand window, in slots
+  /// The accepted range of the number of workers in each zone; 0: it can't be determined.
+  std::uint64_t minWorkers = 0, maxWorkers = 0;
   string reason;
 };
 
-/// Decides how many workers one service has in its zones; no input or output of its own.
+/// Decides how many workers one service should have in its zones; does no I/O.
 ///
-/// The demand is what is at workers and what queues need beyond that, in slots. Its peak over the last moments asks for
-/// a least number of workers, by the highest utilization that is borne, and for a most, by the utilization below which
-/// workers stand idle. Too few are made up for at once. Too many are taken away in steps, and before the memory of the
-/// demand is full only where a reserve is left. Zones that are evacuated or without any worker keep their number.
+/// The demand is the number of slots in use plus those that queues need beyond them. Its peak over the demand window
+/// gives a minimum number of workers, by the maximum utilization, and a maximum, by the minimum utilization. Missing
+/// workers are ordered at once. Surplus workers are removed in steps; while the demand window isn't full, a reserve is
+/// kept. Zones that are evacuated or have no worker keep their number.
 class ScalingPolicy {
  public:
   ScalingDecision decide(ScalingInputs const& inputs, TimePoint now);
-  /// The platform took an order.
+  /// Called when the platform has accepted an order.
   void noteOrdered(ScalingOrder const& order, TimePoint now);
-  /// Orders that the platform took, by zone.
+  /// The last accepted number of workers, by zone.
   std::map<string, std::uint64_t> const& ordered() const { return ordered_; }
 
  private:
@@ -54,16 +54,16 @@
     TimePoint at;
     double slots = 0;
   };
-  void noteDemand(double slots, Ms memory, TimePoint now);
-  /// The part of the memory that is filled, from 0 to 1.
-  double filledFraction(Ms memory, TimePoint now) const;
-  /// The workers that a zone has or was last ordered to have.
+  void recordDemand(double slots, Ms window, TimePoint now);
+  /// The fraction of the demand window that observations cover, from 0 to 1.
+  double filledFraction(Ms window, TimePoint now) const;
+  /// The number of workers that was last ordered for a zone, or else that it has.
   std::uint64_t presentIn(string const& zone, ZoneWorkers const& workers) const;
   std::optional<ScalingOrder> orderFor(string const& zone, ZoneWorkers const& workers,
                                        ScalingDecision const& decision) const;
 
   std::deque<Demand> demands_;
-  std::optional<TimePoint> firstDemandAt_;  ///< when the first demand was seen
+  std::optional<TimePoint> firstDemandAt_;  ///< when the first demand was observed
   std::map<string, std::uint64_t> ordered_;
   std::optional<TimePoint> reducedAt_;
 };
--- a/duties/service_load_table.hpp
+++ b/duties/service_load_table.hpp
@@ -3,10 +3,10 @@
 
 namespace tealshelf {
 
-/// The latest loads of services by who told them; no input or output of its own.
+/// The latest loads of services, by the node that reported them; does no I/O.
 class ServiceLoadTable {
  public:
-  /// What wasn't told anew for so long doesn't count.
+  /// A report older than `expiry` is ignored.
   explicit ServiceLoadTable(Ms expiry) : expiry_(expiry) {}
   void update(string const& reporter, vector<ServiceLoad> loads, TimePoint now);
   /// Sums over all reporters, by service.
--- a/duties/service_loads.hpp
+++ b/duties/service_loads.hpp
@@ -4,7 +4,7 @@
 
 namespace tealshelf {
 
-/// What is at the workers of each service, by how many requests are under way at each worker.
+/// The requests in flight at the workers of each service, from the number in flight at each worker.
 vector<ServiceLoad> serviceLoads(std::map<string, Worker> const& workers,
                                  std::function<std::int64_t(string const& worker)> const& runningAt);
 
--- a/duties/usage_ledger.cpp
+++ b/duties/usage_ledger.cpp
@@ -7,7 +7,8 @@
 namespace {
 string const progressKey = "usage/closed";
 string const reportPrefix = "usage/report/";
-/// Part of the delay after which a window is closed though some nodes are missing; the rest is for the call.
+/// Fraction of the report delay after which a window is closed although some nodes' counts are missing; the rest is
+/// left for the call to the platform.
 constexpr int closeWithinNumerator = 3, closeWithinDenominator = 4;
 
 string reportKey(WindowNumber window) {
@@ -43,9 +44,9 @@
 
 bool UsageLedger::mayClose(WindowNumber window, std::int64_t clusterTimeMs, vector<string> const& unfinished) const {
   std::int64_t const sinceEnd = clusterTimeMs - endOf(window);
-  std::int64_t const longest = timing_.delay.count() * closeWithinNumerator / closeWithinDenominator;
+  std::int64_t const maxWait = timing_.delay.count() * closeWithinNumerator / closeWithinDenominator;
   if (sinceEnd < timing_.countsGrace.count()) return false;
-  return unfinished.empty() || sinceEnd >= longest;
+  return unfinished.empty() || sinceEnd >= maxWait;
 }
 
 vector<KeyChange> UsageLedger::changesToClose(WindowNumber window, std::map<string, std::uint64_t> const& counts) {
--- a/duties/usage_ledger.hpp
+++ b/duties/usage_ledger.hpp
@@ -4,29 +4,29 @@
 
 namespace tealshelf {
 
-/// A report of a window's usage that is committed, and that the platform hasn't acknowledged.
+/// A committed report of a window's usage that the platform hasn't acknowledged yet.
 struct UsageRecord {
   WindowNumber window;
-  string body;  ///< what the platform is sent, to the byte
+  string body;  ///< sent to the platform byte for byte
 };
 
-/// How far the usage is closed; stored in the keyspace `duties`.
+/// The last closed window; stored in the keyspace `duties`.
 struct UsageProgress {
   WindowNumber closedThrough;
   MSGPACK_DEFINE(closedThrough)
 };
 
-/// Which windows of usage are closed, and with what report; no input or output of its own.
+/// Which usage windows are closed, and the report of each; does no I/O.
 ///
-/// A window is closed once, by one committed write that holds the whole body of its report and moves the progress past
-/// the window. Whoever sends the report sends these bytes, so that two reports of a window can't differ, whoever holds
-/// the duties and whatever was lost on the way.
+/// A window is closed once, by one committed write that contains the whole body of its report and advances the progress
+/// past the window. Every holder of the duties sends these bytes, so that two reports of a window can't differ, whoever
+/// holds the duties and whichever messages are lost.
 class UsageLedger {
  public:
   struct Timing {
-    Ms window;       ///< the length of a window
-    Ms delay;        ///< after its end a window's report is due
-    Ms countsGrace;  ///< after a window's end the counts of a node that works well are there
+    Ms window;       ///< length of a window
+    Ms delay;        ///< time from the end of a window until its report is due
+    Ms countsGrace;  ///< time from the end of a window until a healthy node has reported its counts
     static Timing of(Bounds const& bounds) {
       return {bounds.reportWindow, bounds.usageDelay, bounds.reportWindow / 10};
     }
@@ -36,21 +36,21 @@
   WindowNumber windowAt(std::int64_t clusterTimeMs) const {
     return WindowNumber(clusterTimeMs / timing_.window.count());
   }
-  /// The last window whose counts a node may call final.
+  /// The last window whose counts a node may declare final.
   WindowNumber finalAt(std::int64_t clusterTimeMs) const;
 
-  /// Nothing before the first window was closed.
+  /// Nullopt before the first window is closed.
   static std::optional<UsageProgress> progressIn(Values const& values);
-  /// What the platform hasn't acknowledged, the oldest first.
+  /// The reports that the platform hasn't acknowledged, oldest first.
   static vector<UsageRecord> unsent(Values const& values);
-  /// The window to close next; nothing before anything was counted.
+  /// The window to close next; nullopt before any request is counted.
   static std::optional<WindowNumber> nextToClose(Values const& values, UsageTable const& table);
-  /// True once a window's counts are complete, or can't be waited for any longer. `unfinished`: nodes whose counts may
+  /// True once a window's counts are complete, or the wait for them has timed out. `unfinished`: nodes whose counts may
   /// still grow.
   bool mayClose(WindowNumber window, std::int64_t clusterTimeMs, vector<string> const& unfinished) const;
   /// The changes that close a window.
   static vector<KeyChange> changesToClose(WindowNumber window, std::map<string, std::uint64_t> const& counts);
-  /// The change that forgets a report that the platform acknowledged.
+  /// The change that removes a report that the platform has acknowledged.
   static KeyChange changeToRemove(WindowNumber window);
 
  private:
@@ -58,7 +58,7 @@
   Timing timing_;
 };
 
-/// The body of a report of usage.
+/// The JSON body of a usage report.
 string usageBody(WindowNumber window, std::map<string, std::uint64_t> const& counts);
 
 }  // namespace tealshelf
--- a/duties/usage_reporter.cpp
+++ b/duties/usage_reporter.cpp
@@ -3,11 +3,11 @@
 namespace tealshelf {
 
 namespace {
-/// So often in a window a node reports: what a killed one counted since is lost.
+/// Reports per window; counts since the last report are lost when the process is killed.
 constexpr int reportsPerWindow = 10;
-/// Control nodes that one report is offered to.
+/// Control nodes that are tried for one report.
 constexpr std::size_t maxReceivers = 3;
-/// Windows that a node keeps at the most while nobody closes any.
+/// Windows that a node keeps at most while no window is closed.
 constexpr std::size_t maxWindows = 256;
 }  // namespace
 
@@ -47,7 +47,9 @@
   std::uint64_t const dropped = table_.dropOldest(self_, maxWindows);
   if (dropped) {
     dropped_.increment(dropped);
-    logWarning("duties", std::to_string(dropped) + " requests were counted and never reported");
+    logWarning("duties", "dropped the usage counts of " + std::to_string(dropped) + " requests: more than " +
+                             std::to_string(maxWindows) +
+                             " windows are unreported; check that a control node can be reached");
   }
   vector<Address> controls = view_.controlAddresses();
   if (controls.size() > maxReceivers) controls.resize(maxReceivers);
@@ -62,10 +64,10 @@
 }
 
 Task<void> UsageReporter::reportTo(Address control) {
-  std::uint64_t const told = receiver_.revisionSentTo(control);
+  std::uint64_t const sentRevision = receiver_.revisionSentTo(control);
   std::uint64_t const revision = table_.revision();
   ReportUsage message;
-  vector<NodeUsage> changed = table_.changedSince(told);
+  vector<NodeUsage> changed = table_.changedSince(sentRevision);
   if (changed.empty())
     message.usage = NodeUsage{self_.node, self_.incarnation, table_.finalThrough(self_), {}};
   else
@@ -74,7 +76,7 @@
   TimePoint const askedAt = Clock::now();
   UsageReceipt const receipt = co_await rpc_.call(control, message, settings_.bounds.reportWindow / reportsPerWindow);
   time_.noteAnswer(receipt.clusterTimeMs, askedAt, Clock::now());
-  receiver_.recordAccepted(control, receipt.process, told, revision);
+  receiver_.recordAccepted(control, receipt.process, sentRevision, revision);
   table_.forget(receipt.closedThrough, TimePoint());
 }
 
--- a/duties/usage_reporter.hpp
+++ b/duties/usage_reporter.hpp
@@ -6,19 +6,19 @@
 
 namespace tealshelf {
 
-/// Counts the requests of tenants at a data-plane node, and tells a control node of them and of the node's load.
+/// Counts the requests of tenants at a data-plane node, and reports them and the node's load to a control node.
 ///
-/// A window is kept until the holder of the duties has closed it, and is told anew to another control node, or to one
-/// that was started again. Does nothing where the platform has no duties.
+/// A window is kept until the holder of the duties has closed it, and is sent again to a different or restarted control
+/// node. Does nothing if no platform or no duty is configured.
 ///
 /// Runs on the io thread. Everything passed in must outlive it.
 class UsageReporter {
  public:
   UsageReporter(asio::io_context& io, Settings const& settings, RpcClient& rpc, FleetView& view);
   void start();
-  /// A worker began to run a request of a tenant.
+  /// Counts a request of a tenant that a worker began to run.
   void count(string const& tenant, TimePoint begunAt);
-  /// Gives the load of this node by service.
+  /// Returns the load of this node by service.
   std::function<vector<ServiceLoad>()> loads;
 
  private:
--- a/duties/usage_table.cpp
+++ b/duties/usage_table.cpp
@@ -63,9 +63,9 @@
     NodeUsage usage{key.node, key.incarnation, process.finalThrough, {}};
     for (auto const& [window, counted] : process.windows) {
       if (counted.revision <= revision) continue;
-      WindowUsage told{window, {}};
-      for (auto const& [tenant, requests] : counted.counts) told.counts.push_back({tenant, requests});
-      usage.windows.push_back(std::move(told));
+      WindowUsage windowUsage{window, {}};
+      for (auto const& [tenant, requests] : counted.counts) windowUsage.counts.push_back({tenant, requests});
+      usage.windows.push_back(std::move(windowUsage));
     }
     changed.push_back(std::move(usage));
   }
@@ -108,8 +108,8 @@
   for (string const& node : expected)
     if (!latest.contains(node)) nodes.push_back(node);
   for (auto const& [node, process] : latest) {
-    bool const counts = expected.contains(node) || process->heardAt >= heardSince;
-    if (counts && process->finalThrough < window) nodes.push_back(node);
+    bool const isRelevant = expected.contains(node) || process->heardAt >= heardSince;
+    if (isRelevant && process->finalThrough < window) nodes.push_back(node);
   }
   return nodes;
 }
