--- a/tallies/remembered_keys.cpp
+++ b/tallies/remembered_keys.cpp
@@ -3,10 +3,10 @@
 namespace tealshelf {
 
 bool RememberedKeys::contains(AddKey const& key, std::int64_t acceptedAtMs) const {
-  std::int64_t const taken = generationOf(acceptedAtMs);
+  std::int64_t const accepted = generationOf(acceptedAtMs);
   for (auto const& [generation, keys] : keys_) {
-    bool const isInReach = std::abs(taken - generation) <= generationsKept;
-    if (isInReach && std::binary_search(keys.begin(), keys.end(), key.low)) return true;
+    bool const isRetained = std::abs(accepted - generation) <= generationsKept;
+    if (isRetained && std::binary_search(keys.begin(), keys.end(), key.low)) return true;
   }
   return false;
 }
--- a/tallies/remembered_keys.hpp
+++ b/tallies/remembered_keys.hpp
@@ -3,26 +3,26 @@
 
 namespace tealshelf {
 
-/// The keys of settled additions, 64 bits each, by the time at which they were taken.
+/// The keys of settled additions, 64 bits each, by the time at which they were accepted.
 ///
-/// An addition repeats another if its key is the same and it was taken at most `retention` later, in steps of a
-/// generation of an eighth of that. The rule goes by the times of the two additions alone, so that nodes which forget
-/// at different moments still agree.
+/// An addition repeats another if its key is the same and it was accepted at most `retention` later, rounded to
+/// generations of an eighth of that. The rule depends on the times of the two additions alone, so that nodes which
+/// expire keys at different times still agree.
 class RememberedKeys {
  public:
-  /// Keys taken in one span of time.
+  /// The keys accepted in one interval of time.
   struct Generation {
     std::int64_t number = 0;
-    vector<std::uint64_t> keys;  ///< sorted, each once
+    vector<std::uint64_t> keys;  ///< sorted, without duplicates
     MSGPACK_DEFINE(number, keys)
   };
 
   explicit RememberedKeys(Ms retention) : generationLength_(std::max<Ms>(Ms(1), retention / generationsKept)) {}
 
   bool contains(AddKey const& key, std::int64_t acceptedAtMs) const;
-  /// Adds keys; more at once is quicker.
+  /// Adds keys; large batches are faster.
   void add(vector<TallyAdd> const& adds);
-  /// Forgets what no later addition can repeat any more. A generation more is kept, for clocks that differ.
+  /// Removes keys that no later addition can repeat any more. One extra generation is kept to allow for clock skew.
   void forget(std::int64_t nowMs);
   std::size_t size() const;
   vector<Generation> generations() const;
--- a/tallies/tally_add.cpp
+++ b/tallies/tally_add.cpp
@@ -5,10 +5,11 @@
 namespace tealshelf {
 
 AddKey addKeyOf(string_view tally, string_view callerId) {
-  string named = std::to_string(tally.size()) + ":";
-  named.append(tally);
-  named.append(callerId);
-  Digest const digest = sha256(named);
+  // The length prefix keeps different pairs of name and id from being hashed alike.
+  string input = std::to_string(tally.size()) + ":";
+  input.append(tally);
+  input.append(callerId);
+  Digest const digest = sha256(input);
   AddKey key;
   std::memcpy(&key.high, digest.value.data(), sizeof key.high);
   std::memcpy(&key.low, digest.value.data() + sizeof key.high, sizeof key.low);
--- a/tallies/tally_metrics.hpp
+++ b/tallies/tally_metrics.hpp
@@ -4,7 +4,7 @@
 
 namespace tealshelf {
 
-/// Figures of the tallies on a control node.
+/// Metrics of the tallies on a control node.
 struct TallyMetrics {
   Counter added =
       metrics().counter("tealshelf_tallies_additions_total", "Additions of callers by their end", {{"end", "added"}});
--- a/tallies/tally_peer.hpp
+++ b/tallies/tally_peer.hpp
@@ -4,14 +4,14 @@
 
 namespace tealshelf {
 
-/// What a node knows of another one that keeps tallies.
+/// What a replica knows of another member.
 struct TallyPeer {
-  /// Since when the peer has made no progress with an origin of which this node knows more.
+  /// An origin of which the peer lacks additions that this node has, and since when it has made no progress with it.
   struct Stagnation {
-    std::uint64_t number = 0;
+    std::uint64_t sequence = 0;  ///< that the peer has
     TimePoint since;
   };
-  /// The state that is being sent to the peer.
+  /// A whole state that is being sent to the peer in chunks.
   struct OutgoingState {
     std::uint64_t transfer = 0;
     string bytes;
@@ -19,14 +19,14 @@
   };
 
   Member member;
-  bool reported = false;  ///< it has told what it has, in this life of this process
-  VersionVector synced;   ///< what it has on its disk, by its last report
+  bool reported = false;  ///< the peer has reported what it has since this process started
+  VersionVector synced;   ///< by the peer's last report
   std::map<OriginId, Stagnation> stagnation;
   bool awaitsReply = false;
-  bool failed = true;           ///< the last push had no answer, or none was made
-  int ticksWithoutReply = 0;    ///< in a row, while a push or a repeat of it was due
-  int differingHeartbeats = 0;  ///< heartbeats in a row with another digest
-  bool probeIsDue = false;      ///< it is asked what it has, even if it lacks nothing
+  bool failed = true;           ///< the last push had no answer, or none has been sent yet
+  int ticksWithoutReply = 0;    ///< consecutive, while a push was unanswered or its retry was due
+  int differingHeartbeats = 0;  ///< consecutive heartbeats with a digest other than this node's
+  bool probeIsDue = false;      ///< the peer is asked what it has, even if it lacks nothing
   bool mayLackSettled = false;
   TimePoint nextPushAt;
   std::optional<OutgoingState> outgoing;
--- a/tallies/tally_records.hpp
+++ b/tallies/tally_records.hpp
@@ -3,15 +3,15 @@
 
 namespace tealshelf {
 
-/// Kinds of records in the log of tallies; a number isn't used again.
+/// Kinds of records in the log of tallies. Numbers are stored; never reuse one.
 enum class TallyRecordKind { origin = 1, additions = 2, state = 3 };
 
 /// A record of the log of tallies.
 struct TallyRecord {
   int kind = 0;
-  OriginId origin;           ///< origin: that this disk's own additions have from here on
-  vector<AddBatch> batches;  ///< additions: to apply in this order
-  vector<TallyState> state;  ///< state: one, that takes the place of all before
+  OriginId origin;           ///< origin: of this disk's own additions from here on
+  vector<AddBatch> batches;  ///< additions: to be applied in this order
+  vector<TallyState> state;  ///< state: exactly one; replaces everything before it
   MSGPACK_DEFINE(kind, origin, batches, state)
 };
 
--- a/tallies/tally_replica.cpp
+++ b/tallies/tally_replica.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// Settling goes over all that is recent, so it happens only so often, in ticks.
+/// Settling iterates over the recent additions of all origins, so it doesn't run in every tick.
 constexpr int ticksBetweenSettling = 20;
 }  // namespace
 
@@ -43,15 +43,15 @@
 }
 
 TallyTable::AddOutcome TallyReplica::add(TallyAdd addition) {
-  TallyTable::AddOutcome const taken = table_.add(origin_, addition);
-  if (taken.result == TallyTable::AddResult::added) {
+  TallyTable::AddOutcome const outcome = table_.add(origin_, addition);
+  if (outcome.result == TallyTable::AddResult::added) {
     AddBatch batch;
     batch.origin = origin_;
-    batch.first = taken.position->sequence;
+    batch.first = outcome.position->sequence;
     batch.adds.push_back(std::move(addition));
     records_.push_back(additionsRecord(vector<AddBatch>(1, std::move(batch))));
   }
-  return taken;
+  return outcome;
 }
 
 TallyReplica::Copies TallyReplica::copiesOf(AddPosition position) const {
@@ -77,12 +77,12 @@
   if (copies.areEnough) return true;
   bool const allowsFewerCopies = heardMajority_ || ticks_ >= timing_.ticksUntilIsolated;
   if (!allowsFewerCopies || copies.lackedByReachable) return false;
-  // A short outage of the others isn't worth an addition on a single disk.
+  // During a short outage of the others, an addition isn't acknowledged on a single disk.
   return copies.count >= std::min<std::size_t>(2, durability_.copies) || isWithoutContact();
 }
 
 void TallyReplica::setMembers(vector<Member> const& members) {
-  std::map<NodeId, TallyPeer> former = std::exchange(peers_, {});
+  std::map<NodeId, TallyPeer> previous = std::exchange(peers_, {});
   bool const wasMember = std::exchange(isMember_, false);
   memberCount_ = members.size();
   for (Member const& member : members) {
@@ -91,8 +91,8 @@
       zone_ = member.zone;
       continue;
     }
-    auto const known = former.find(member.id);
-    if (known != former.end()) peers_[member.id] = std::move(known->second);
+    auto const known = previous.find(member.id);
+    if (known != previous.end()) peers_[member.id] = std::move(known->second);
     peers_[member.id].member = member;
   }
   if (!wasMember) ticksAsMember_ = 0;
@@ -126,7 +126,7 @@
       continue;
     }
     auto const [entry, isNew] = peer.stagnation.try_emplace(origin, TallyPeer::Stagnation{theirs, now});
-    if (!isNew && entry->second.number != theirs) entry->second = TallyPeer::Stagnation{theirs, now};
+    if (!isNew && entry->second.sequence != theirs) entry->second = TallyPeer::Stagnation{theirs, now};
   }
   VersionVector const settled = table_.settled();
   peer.mayLackSettled = std::any_of(settled.begin(), settled.end(), [&synced](auto const& entry) {
@@ -150,7 +150,7 @@
     push.state = nextChunk(peer);
     return push;
   }
-  bool const asks = !peer.reported || peer.failed || peer.probeIsDue || peer.mayLackSettled;
+  bool const needsReport = !peer.reported || peer.failed || peer.probeIsDue || peer.mayLackSettled;
   if (peer.reported && !peer.failed) {
     std::size_t room = maxAdds;
     for (auto const& [origin, number] : synced_) {
@@ -163,7 +163,7 @@
       push.batches.push_back(std::move(batch));
     }
   }
-  if (push.batches.empty() && !asks) return std::nullopt;
+  if (push.batches.empty() && !needsReport) return std::nullopt;
   if (peer.mayLackSettled) push.settled = table_.settled();
   return push;
 }
@@ -194,7 +194,9 @@
 }
 
 void TallyReplica::receive(TallyPush const& push) {
-  if (push.to != self_) throw Error(ErrorCode::notMember, "another node has this address");
+  if (push.to != self_)
+    throw Error(ErrorCode::notMember, "the push is for node " + hex(push.to.value) +
+                                          ", but this address belongs to node " + hex(self_.value));
   vector<AddBatch> fresh;
   for (AddBatch const& batch : push.batches) {
     std::uint64_t const before = table_.lastOf(batch.origin);
@@ -256,7 +258,7 @@
   noteReport(peer, reply.synced, now);
   if (!reply.wantsState) {
     peer.outgoing.reset();
-    // One that takes the state from another node is asked again in a while.
+    // The peer may be receiving the state from another node; it is asked again after a delay.
     if (peer.mayLackSettled) peer.nextPushAt = now + timing_.retryAfter;
     return;
   }
@@ -277,18 +279,18 @@
 
 void TallyReplica::updateCatchUp() {
   if (!isMember_) return;
-  std::size_t met = 1, caughtUpWith = 1;
+  std::size_t heard = 1, caughtUpWith = 1;
   for (auto const& [id, peer] : peers_) {
     if (!peer.reported) continue;
-    ++met;
+    ++heard;
     bool const hasAll = std::all_of(peer.synced.begin(), peer.synced.end(),
                                     [this](auto const& entry) { return table_.lastOf(entry.first) >= entry.second; });
     if (hasAll) ++caughtUpWith;
   }
   std::size_t const quorum = memberCount_ / 2 + 1;
-  heardMajority_ = heardMajority_ || met >= quorum;
-  bool const isWithoutContact = !heardMajority_ && ticksAsMember_ >= timing_.ticksUntilIsolated;
-  caughtUp_ = caughtUp_ || caughtUpWith >= quorum || isWithoutContact;
+  heardMajority_ = heardMajority_ || heard >= quorum;
+  bool const mayServeAlone = !heardMajority_ && ticksAsMember_ >= timing_.ticksUntilIsolated;
+  caughtUp_ = caughtUp_ || caughtUpWith >= quorum || mayServeAlone;
 }
 
 void TallyReplica::tick(std::int64_t wallClockMs) {
--- a/tallies/tally_replica.hpp
+++ b/tallies/tally_replica.hpp
@@ -4,61 +4,61 @@
 
 namespace tealshelf {
 
-/// How a replica times what it does, in ticks of its driver where it must not count time in which it didn't run.
+/// Time limits of a replica. Those in ticks of its driver don't count time in which the process was suspended.
 struct TallyTiming {
-  int ticksUntilUnreachable;  ///< a peer without an answer for so long holds up no addition
-  int ticksUntilIsolated;     ///< for so long a process that met nobody, or hears nobody any more, doesn't act alone
-  Ms retryAfter;              ///< pause after a push without an answer
-  Ms relayAfter;              ///< a peer that lacks another origin's additions for so long gets them from this node
-  Ms settleAfter;             ///< age at which additions are settled
-  Ms retention;               ///< for how long a repeat of a settled addition is known as one
+  int ticksUntilUnreachable;  ///< a peer without an answer for this long doesn't delay additions
+  int ticksUntilIsolated;     ///< without a majority, or any answer, for this long a replica acts alone
+  Ms retryAfter;              ///< delay after a push without an answer
+  Ms relayAfter;              ///< a peer that lacks another origin's additions for this long gets them from this node
+  Ms settleAfter;             ///< minimum age at which additions are settled
+  Ms retention;               ///< how long a repeat of a settled addition is detected
 };
 
-/// What an addition must have reached before it is acknowledged.
+/// The copies and zones that an addition must have reached before it is acknowledged.
 struct TallyDurability {
   std::size_t copies = 1, zones = 1;
 };
 
-/// A push on its way to a peer.
+/// A push to be sent to a peer.
 struct OutgoingPush {
   Member to;
   TallyPush push;
 };
 
-/// The tallies of one node, as a state machine without input or output of its own.
+/// The tallies of one node, as a state machine that does no I/O.
 ///
-/// Additions of callers, pushes, answers and ticks go in; takeRecords() and takePushes() give what shall be written and
-/// sent. Nothing is sent, and nothing counts as a copy, before it is synced. Any member takes additions whoever it can
-/// reach; members tell each other what they lack (docs/design-tallies.md).
+/// Inputs are additions of callers, pushes, answers and ticks; takeRecords() and takePushes() return what is to be
+/// written and sent. Nothing is sent, and nothing counts as a copy, before it is synced. Every member accepts
+/// additions, whichever others it can reach; members send each other what they lack (docs/design-tallies.md).
 class TallyReplica {
  public:
   TallyReplica(NodeId self, TallyTiming timing, TallyDurability durability);
 
   // Persistence.
 
-  /// Takes back a record from the disk, in the order in which they were written.
+  /// Replays a record from the disk; records come in the order in which they were written.
   void replay(string const& record);
-  /// Begins a new log of own additions: the disk has none, or lost records that it had synced.
+  /// Begins a new log of this node's additions, if the disk has none or lost synced records.
   void beginOrigin(OriginId origin);
   bool hasOrigin() const { return origin_ != OriginId(); }
-  /// Records that bring an empty replica to the present state.
+  /// Records that restore the present state in an empty replica.
   vector<string> snapshot() const;
-  /// What is to be written. Once it is synced, noteSynced() takes what known() gave at that moment.
+  /// Returns the records to be written. Once they are synced, call noteSynced() with the value that known() has now.
   vector<string> takeRecords() { return std::exchange(records_, {}); }
   VersionVector known() const { return table_.known(); }
   void noteSynced(VersionVector const& synced);
-  /// False until the first of them: what this disk has isn't known before.
+  /// False before the first call of noteSynced(): until then it isn't known what is on the disk.
   bool hasSynced() const { return hasSynced_; }
 
   // Calls.
 
-  /// Takes an addition in. The caller is answered once isDurable() holds for its position.
+  /// Adds to a tally. The caller may be answered once isDurable() is true for the position.
   TallyTable::AddOutcome add(TallyAdd addition);
-  /// True once an addition has reached enough disks, or the disks of all members that can be reached.
+  /// True once an addition is synced on enough disks, or on those of all reachable members.
   bool isDurable(AddPosition position) const;
-  /// True if enough copies exist whoever is reachable.
+  /// True if enough copies exist, whichever members are reachable.
   bool hasAllCopies(AddPosition position) const { return copiesOf(position).areEnough; }
-  /// Additions of other origins that a caller waits for are passed on at once while this is set.
+  /// Sets the origins with additions that callers wait for; these are relayed without delay.
   void setAwaited(std::set<OriginId> origins) { awaited_ = std::move(origins); }
   /// True if this node may answer callers.
   bool isServing() const { return isMember_ && caughtUp_; }
@@ -67,25 +67,25 @@
   // Peers.
 
   void setMembers(vector<Member> const& members);
-  /// What this node's digest is, for its heartbeats; 0 as long as it has synced nothing, as all would be alike then.
+  /// The digest of the synced additions, for heartbeats; 0 before the first sync, as empty digests would be equal.
   std::uint64_t digest() const { return digest_; }
   void noteHeartbeat(NodeId from, std::uint64_t digest, TimePoint now);
   vector<OutgoingPush> takePushes(TimePoint now);
-  /// Takes a push in. Throws notMember if it is meant for another node.
+  /// Applies a push. Throws notMember if it is for another node.
   void receive(TallyPush const& push);
-  /// The answer to a push, once all is synced.
+  /// The answer to a push; call it once the records of the push are synced.
   TallyPushReply replyTo(TallyPush const& push);
   void receive(TallyPushReply const& reply, TimePoint now);
   void noteFailure(NodeId peer, TimePoint now);
-  /// Called in even steps while the process runs.
+  /// Called periodically while the process runs.
   void tick(std::int64_t wallClockMs);
   bool isReachable(TallyPeer const& peer) const { return peer.ticksWithoutReply < timing_.ticksUntilUnreachable; }
   std::map<NodeId, TallyPeer> const& peers() const { return peers_; }
 
  private:
-  friend struct TallyReplicaTestAccess;  ///< of the tests: breaks a replica on purpose
+  friend struct TallyReplicaTestAccess;  ///< lets tests inject faults
 
-  /// A state on its way from a peer.
+  /// A whole state that is being received from a peer in chunks.
   struct IncomingState {
     NodeId from;
     std::uint64_t transfer = 0;
@@ -93,11 +93,11 @@
     int idleTicks = 0;
   };
 
-  /// Where an addition is synced.
+  /// The synced copies of an addition.
   struct Copies {
-    std::size_t count = 0;  ///< 0 unless this node itself has it
+    std::size_t count = 0;  ///< 0 unless this node has synced it
     bool areEnough = false;
-    bool lackedByReachable = false;  ///< a peer that answers doesn't have it yet
+    bool lackedByReachable = false;  ///< a reachable peer doesn't have it yet
   };
   Copies copiesOf(AddPosition position) const;
   void receiveChunk(NodeId from, TallyStateChunk const& chunk);
@@ -109,7 +109,7 @@
   TallyStateChunk nextChunk(TallyPeer const& peer) const;
   void updateCatchUp();
   void settle(std::int64_t wallClockMs);
-  /// No peer has answered for long.
+  /// No peer has answered for `ticksUntilIsolated`.
   bool isWithoutContact() const { return ticksSinceAnswer_ >= timing_.ticksUntilIsolated; }
 
   NodeId self_;
--- a/tallies/tally_store.cpp
+++ b/tallies/tally_store.cpp
@@ -6,15 +6,15 @@
 namespace tealshelf {
 
 namespace {
-/// The part of the disk's space that the log of tallies may use.
+/// The fraction of the disk space that the log of tallies may use.
 constexpr double tallyLogShare = 0.2;
 
-/// Ticks are an eightieth of inTouch, so a peer is unreachable after an eighth of it, and a process that met no
-/// majority acts alone after the whole.
+/// A tick is 1/80 of inTouch, so a peer counts as unreachable after 1/8 of inTouch, and a process that heard no
+/// majority acts alone after inTouch.
 constexpr int ticksUntilUnreachable = 10, ticksUntilIsolated = 80;
 
 TallyTiming timingFor(Bounds const& bounds) {
-  // As long as a caller may ask how its lot went, and longer than any of them goes on repeating a call.
+  // As long as a caller may query the state of its lot, and longer than any caller retries a call.
   Ms const retention = 30 * bounds.statusEvery;
   return {ticksUntilUnreachable, ticksUntilIsolated,     bounds.inTouch / 16,
           bounds.inTouch / 8,    bounds.statusEvery / 2, retention};
@@ -37,8 +37,10 @@
                                       [this] { return replica_.snapshot(); });
   RecoveredLog const& recovered = log_->recovered();
   for (string const& record : recovered.records) replica_.replay(record);
-  for (string const& place : recovered.corruptions) logWarning("tallies", "synced records are lost: " + place);
-  // Numbers that were given out may be among what is lost.
+  for (string const& place : recovered.corruptions)
+    logWarning("tallies", "the log of tallies lost synced records: " + place +
+                              "; a new log of this node's additions is begun and peers send what is missing");
+  // The lost records may include sequence numbers that peers have seen.
   if (!recovered.corruptions.empty()) replica_.beginOrigin(OriginId(randomId()));
   log_->releaseRecovered();
 }
@@ -57,15 +59,15 @@
     throw Error(ErrorCode::talliesFull);
   }
   AddKey const key = addKeyOf(tally, callerId);
-  TallyTable::AddOutcome const taken = replica_.add(TallyAdd{std::move(tally), key, change, wallClockMs()});
-  if (taken.result == TallyTable::AddResult::conflicting) {
+  TallyTable::AddOutcome const outcome = replica_.add(TallyAdd{std::move(tally), key, change, wallClockMs()});
+  if (outcome.result == TallyTable::AddResult::conflicting) {
     metrics_.refused.increment();
     throw Error(ErrorCode::conflictingAdd, callerId);
   }
-  (taken.result == TallyTable::AddResult::added ? metrics_.added : metrics_.repeated).increment();
-  if (!taken.position) co_return;
+  (outcome.result == TallyTable::AddResult::added ? metrics_.added : metrics_.repeated).increment();
+  if (!outcome.position) co_return;
   flush();
-  co_await waitUntilDurable(*taken.position, end);
+  co_await waitUntilDurable(*outcome.position, end);
 }
 
 Task<void> TallyStore::waitUntilDurable(AddPosition position, TimePoint end) {
@@ -113,7 +115,7 @@
     return;
   }
   for (string const& record : records) log_->append(record);
-  // What an earlier process left counts only once it is synced again.
+  // Records replayed from an earlier process count as synced only after another sync.
   if (records.empty() && replica_.hasSynced()) return;
   log_->whenSynced([this, known] {
     replica_.noteSynced(known);
--- a/tallies/tally_store.hpp
+++ b/tallies/tally_store.hpp
@@ -5,7 +5,7 @@
 
 namespace tealshelf {
 
-/// Runs a TallyReplica against the disk, the connections and the clock.
+/// Connects a TallyReplica to the disk, the network and the clock.
 ///
 /// Runs on the io thread; the log has a thread of its own. Settings and client must outlive it.
 class TallyStore {
@@ -13,20 +13,20 @@
   TallyStore(asio::io_context& io, Settings const& settings, RpcClient& rpc, NodeId self);
   void start(RpcServer& server);
 
-  /// Adds to a tally, once for each id of a caller, and returns when that is safe from the losses to survive, or has
-  /// reached all members that can be reached, one more at least unless none has answered for `inTouchMs`. Throws
-  /// notReady, talliesFull or diskUnavailable if nothing was and will be counted, conflictingAdd if the id came before
-  /// with another change, and additionUndecided otherwise.
+  /// Adds to a tally, once for each caller id, and returns when the addition survives the configured number of losses,
+  /// or is on all reachable members: at least one other, unless none has answered for `inTouchMs`. Throws notReady,
+  /// talliesFull or diskUnavailable if nothing was or will be counted, conflictingAdd if the id was used with another
+  /// change, and additionUndecided if the addition isn't durable by `end`: it may be counted or not.
   Task<void> add(string tally, string callerId, std::int64_t change, TimePoint end);
-  /// The sum of a tally. Throws notReady while this node lacks what others have.
+  /// The sum of a tally. Throws notReady while this node isn't caught up with the others.
   TallyTotal total(string const& tally) const;
-  /// True if this node may answer callers; others pass their calls on.
+  /// True if this node may answer callers; otherwise their calls are forwarded to another node.
   bool isServing() const { return replica_.isServing(); }
 
   void setMembership(Membership const& membership);
   std::uint64_t digest() const { return replica_.digest(); }
   void noteHeartbeat(NodeId from, std::uint64_t digest);
-  /// The totals and the state of the peers as a JSON text, for those on call.
+  /// The totals and the state of the peers as JSON, for operators.
   string report() const;
 
  private:
@@ -39,7 +39,7 @@
   };
 
   void replayLog();
-  /// Writes what the replica put out, sends what is due, and answers callers.
+  /// Writes the replica's records; after the sync, wakes waiting callers and sends pushes.
   void flush();
   void sendPushes();
   void send(OutgoingPush push);
@@ -53,7 +53,7 @@
   Settings const& settings_;
   RpcClient& rpc_;
   TallyReplica replica_;
-  std::unique_ptr<DurableLog> log_;  ///< null without a disk
+  std::unique_ptr<DurableLog> log_;  ///< null without a data folder
   vector<std::shared_ptr<Waiter>> waiters_;
   MembershipNumber installed_;
   TallyMetrics metrics_;
--- a/tallies/tally_table.cpp
+++ b/tallies/tally_table.cpp
@@ -3,8 +3,8 @@
 namespace tealshelf {
 
 namespace {
-/// About what one addition, one remembered key and one total take on a disk.
-constexpr std::size_t recentBytes = 48, bytesPerRememberedKey = 9, totalBytes = 32;
+/// Approximate size on disk of an addition, a remembered key and a total.
+constexpr std::size_t bytesPerRecentAddition = 48, bytesPerRememberedKey = 9, bytesPerTotal = 32;
 
 StoredTotal storedForm(string const& tally, TallyTotal total) {
   return {tally, static_cast<std::int64_t>(total >> 64), static_cast<std::uint64_t>(total)};
@@ -123,7 +123,7 @@
   for (AddBatch const& batch : state.recent) theirs[batch.origin] = batch.first + batch.adds.size() - 1;
   for (auto const& [origin, log] : origins_)
     if (log.first - 1 > sequenceIn(theirs, origin)) return false;
-  std::map<OriginId, OriginLog> const own = std::exchange(origins_, {});
+  std::map<OriginId, OriginLog> const local = std::exchange(origins_, {});
   recentKeys_.clear();
   totals_.clear();
   remembered_.assign(state.remembered);
@@ -132,10 +132,10 @@
     log.first = batch.first;
     for (TallyAdd const& add : batch.adds) append(batch.origin, add);
   }
-  // The totals that were counted on the way are in the stored ones already.
+  // append() has counted the recent additions; the stored totals already include them.
   totals_.clear();
   for (StoredTotal const& stored : state.totals) totals_[stored.tally] = totalOf(stored);
-  for (auto const& [origin, log] : own)
+  for (auto const& [origin, log] : local)
     apply(AddBatch{origin, log.first, vector<TallyAdd>(log.adds.begin(), log.adds.end())});
   return true;
 }
@@ -147,7 +147,8 @@
 }
 
 std::size_t TallyTable::storedSize() const {
-  return recentBytes * recentCount() + bytesPerRememberedKey * remembered_.size() + totalBytes * totals_.size();
+  return bytesPerRecentAddition * recentCount() + bytesPerRememberedKey * remembered_.size() +
+         bytesPerTotal * totals_.size();
 }
 
 }  // namespace tealshelf
--- a/tallies/tally_table.hpp
+++ b/tallies/tally_table.hpp
@@ -3,7 +3,7 @@
 
 namespace tealshelf {
 
-/// The sum of one tally, as it is stored and sent.
+/// The total of one tally, as it is stored and sent.
 struct StoredTotal {
   string tally;
   std::int64_t high = 0;
@@ -13,74 +13,76 @@
 
 /// A whole table, as it is stored and sent.
 struct TallyState {
-  vector<AddBatch> recent;  ///< for each origin one; its `first` is there also where it has no additions
+  vector<AddBatch> recent;  ///< one for each origin; `first` is set even if it has no additions
   vector<StoredTotal> totals;
   vector<RememberedKeys::Generation> remembered;
   MSGPACK_DEFINE(recent, totals, remembered)
 };
 
-/// All additions that one node knows, and their sums; no input or output of its own.
+/// All additions that one node knows, and their totals; does no I/O.
 ///
-/// A total is the sum over the keys of all additions, each key once: whichever order they arrive in, two nodes with the
-/// same additions have the same totals. Where two additions of a key differ, the smaller change counts.
+/// A total is the sum over the keys of all additions, each key once: two nodes with the same additions have the same
+/// totals, whatever order they arrived in. If two additions with the same key differ, the smaller change counts.
 ///
-/// An addition is recent, with its number, until all members have it; then it is settled: its change stays in the
-/// total, and of it only the key is remembered, for as long as a repeat may come.
+/// An addition is recent, and kept with its sequence number, until all members have it; then it is settled: its change
+/// stays in the total, and only its key is remembered, as long as a repeat may arrive.
 class TallyTable {
  public:
   enum class AddResult { added, repeated, conflicting };
   struct AddOutcome {
     AddResult result = AddResult::added;
-    /// Of the new addition, or of the earlier one with its key; nothing if that is settled, and so at all members.
+    /// Of the new addition, or of the earlier one with its key; nullopt if that one is settled, so that all members
+    /// have it.
     std::optional<AddPosition> position;
   };
 
-  /// A repeat is known as one for as long as `retention`.
+  /// A repeat of a settled addition is detected for `retention`.
   explicit TallyTable(Ms retention) : remembered_(retention) {}
 
-  /// Takes an addition of a caller at the end of an origin's log, unless its key is known.
+  /// Appends an addition of a caller to an origin's log, unless its key is known.
   AddOutcome add(OriginId origin, TallyAdd add);
-  /// Takes in additions of an origin that follow the known ones; others are left out. True if one was new.
+  /// Applies the additions of an origin that directly follow the known ones; ignores the others. True if any was new.
   bool apply(AddBatch const& batch);
-  /// The sum of a tally; 0 for a name that is new.
+  /// The total of a tally; 0 for an unknown name.
   TallyTotal total(string const& tally) const;
   std::map<string, TallyTotal> const& totals() const { return totals_; }
 
-  /// What is known of each origin.
+  /// The last known sequence number of each origin.
   VersionVector known() const;
-  /// What is settled of each origin; it can't be told one by one any more.
+  /// The last settled sequence number of each origin; additions up to it can't be sent individually any more.
   VersionVector settled() const;
-  /// The number up to which an origin's additions are known.
+  /// The last known sequence number of an origin; 0 if there is none.
   std::uint64_t lastOf(OriginId origin) const;
-  /// Additions of an origin that follow a number, up to another one; at most `limit`.
+  /// Recent additions of an origin after sequence number `number`, up to `upTo`; at most `limit`.
   AddBatch additionsAfter(OriginId origin, std::uint64_t number, std::uint64_t upTo, std::size_t limit) const;
 
-  /// Settles what all members have by a vector, and was taken before a time of day.
+  /// Settles additions that all members have according to `everywhere`, and that were accepted before
+  /// `acceptedBeforeMs`.
   void settle(VersionVector const& everywhere, std::int64_t acceptedBeforeMs);
-  /// Forgets keys of settled additions that no repeat can come for.
+  /// Removes keys of settled additions that can't be repeated any more.
   void forget(std::int64_t nowMs) { remembered_.forget(nowMs); }
 
   TallyState state() const;
-  /// Takes over the state of another node, and keeps what this one knows beyond it. False, and nothing is changed, if
-  /// this node has settled additions that the state lacks.
+  /// Installs the state of another node, and reapplies local additions that it lacks. Returns false and changes nothing
+  /// if this node has settled additions that the state lacks.
   bool install(TallyState const& state);
 
   std::size_t recentCount() const;
   std::size_t rememberedCount() const { return remembered_.size(); }
-  /// About how many bytes the state takes on a disk.
+  /// The approximate size of the state on disk, in bytes.
   std::size_t storedSize() const;
 
  private:
   /// The recent additions of an origin.
   struct OriginLog {
-    std::uint64_t first = 1;  ///< number of the first recent addition; all before it are settled
+    std::uint64_t first = 1;  ///< sequence number of the first recent addition; all before it are settled
     std::deque<TallyAdd> adds;
     std::uint64_t last() const { return first + adds.size() - 1; }
   };
-  /// A key that a recent addition has.
+  /// The entry of a recent addition's key.
   struct RecentKey {
-    std::int64_t change = 0;  ///< that counts
-    AddPosition position;     ///< of the addition that was known first here
+    std::int64_t change = 0;  ///< the change that is included in the total
+    AddPosition position;     ///< of the first addition with this key that this node learned of
   };
   struct KeyHash {
     std::size_t operator()(AddKey const& key) const { return key.low; }
