--- a/tests/duties/duties_test.cpp
+++ b/tests/duties/duties_test.cpp
@@ -1,4 +1,4 @@
-// The pure parts of the duties: lease, contact with the platform, time of day, table and ledger of usage.
+// The parts of the duties that do no I/O: lease, platform contact, clock, usage table and usage ledger.
 #include "duties/cluster_clock.hpp"
 #include "duties/duty_lease.hpp"
 #include "duties/duty_preference.hpp"
@@ -53,7 +53,7 @@
 }
 
 namespace {
-/// Three control nodes, the first of which decides whom to pass over.
+/// Three control nodes; the first one decides which to deprioritize.
 vector<Member> const threeNodes{Member{NodeId(1), "a", "10.0.0.1", "z"}, Member{NodeId(2), "b", "10.0.0.2", "z"},
                                 Member{NodeId(3), "c", "10.0.0.3", "z"}};
 using Incumbent = DutyPreference::Incumbent;
@@ -81,7 +81,7 @@
   preference.noteOwnership(true, dutyStart);
   preference.noteOwnership(false, dutyStart + Ms(100));
   preference.noteOwnership(false, dutyStart + Ms(200));
-  // Its own copy of the record still names itself.
+  // This node's copy of the record still names itself as holder.
   Incumbent const self{NodeId(1), true};
   CHECK(nodes({1}) == preference.deprioritizedOwners({}, self, threeNodes, dutyStart + Ms(3099)));
   CHECK(nodes({1, 3}) == preference.deprioritizedOwners(nodes({3}), self, threeNodes, dutyStart + Ms(3099)));
@@ -177,7 +177,7 @@
   table.merge(usageOf(secondEdge, 10, 1, 9), dutyStart);
   LONGS_EQUAL(3, table.unfinished(WindowNumber(10), expected, dutyStart).size());
   LONGS_EQUAL(2, table.unfinished(WindowNumber(10), expected, dutyStart + Ms(1)).size());
-  // A process that came after it ends the wait for the former one.
+  // A newer process of the node ends the wait for the older one.
   table.merge(usageOf({"edge-1", 99}, 11, 1, 10), dutyStart + Ms(1));
   vector<string> const unfinished = table.unfinished(WindowNumber(10), expected, dutyStart + Ms(1));
   LONGS_EQUAL(1, unfinished.size());
--- a/tests/duties/duty_fleet_sim.cpp
+++ b/tests/duties/duty_fleet_sim.cpp
@@ -6,8 +6,8 @@
 string const duties = "duties";
 string const holderKey = "holder";
 constexpr std::int64_t startMs = 1000000000000;
-/// Turns between two actions of one kind.
-constexpr std::uint64_t leaseTurns = 60, closeTurns = 50, callTurns = 20, forwardTurns = 50, reportTurns = 100;
+/// Turns between two actions of a kind.
+constexpr std::uint64_t claimPeriod = 60, closePeriod = 50, callPeriod = 20, forwardPeriod = 50, reportPeriod = 100;
 constexpr std::uint64_t turnsWithFaults = 9000, turnsAfterHealing = 6000;
 }  // namespace
 
@@ -23,7 +23,7 @@
   return startMs + std::chrono::duration_cast<Ms>(cluster_.now().time_since_epoch()).count();
 }
 
-bool DutyFleet::runs(std::size_t node) {
+bool DutyFleet::isRunning(std::size_t node) {
   Cluster::Node const& state = cluster_.nodes()[node];
   return state.up && !state.frozen;
 }
@@ -48,10 +48,10 @@
 
 string DutyFleet::run() {
   for (turn_ = 0; turn_ < turnsWithFaults && violation_.empty(); ++turn_) {
-    if (cluster_.dice(250) == 0) trouble();
+    if (cluster_.dice(250) == 0) injectFault();
     advance();
   }
-  isHealed_ = true;
+  faultsEnded_ = true;
   cluster_.heal();
   for (; turn_ < turnsWithFaults + turnsAfterHealing && violation_.empty(); ++turn_) advance();
   if (violation_.empty()) checkEnd();
@@ -66,7 +66,7 @@
     event();
   }
   for (std::size_t node = 0; node < nodeCount; ++node) {
-    if (runs(node))
+    if (isRunning(node))
       stepHolder(node);
     else
       holders_[node].clockStep -= step;
@@ -74,7 +74,7 @@
   for (Edge& edge : edges_) stepEdge(edge);
 }
 
-void DutyFleet::trouble() {
+void DutyFleet::injectFault() {
   std::size_t const node = cluster_.dice(nodeCount);
   Cluster::Node& state = cluster_.nodes()[node];
   switch (cluster_.dice(8)) {
@@ -105,7 +105,7 @@
   }
 }
 
-/// A process that wakes may make a call before it reads what came meanwhile.
+/// A process that is resumed may make a call before it reads the messages that arrived meanwhile.
 void DutyFleet::unfreeze(std::size_t node) {
   callPlatform(node);
   cluster_.unfreeze(node);
@@ -124,14 +124,14 @@
   bool const owns = state.consensus->owns(duties);
   if (!owns && mutation_ != Mutation::actsAfterLease) holder.lease.drop();
   std::uint64_t const turn = turn_ + node;
-  if (owns && turn % leaseTurns == 0 && !holder.isAsking) {
+  if (owns && turn % claimPeriod == 0 && !holder.isAsking) {
     bool const isClaimed = holder.lease.isClaimedUnder(state.consensus->epochOf(duties));
     isClaimed ? confirm(node) : claim(node);
   }
-  if (turn % closeTurns == 0) closeWindow(node);
-  if (turn % callTurns == 0) callPlatform(node);
-  if (turn % closeTurns == 1) removeAcceptedReports(node);
-  if (turn % forwardTurns == 0) forward(node);
+  if (turn % closePeriod == 0) closeWindow(node);
+  if (turn % callPeriod == 0) callPlatform(node);
+  if (turn % closePeriod == 1) removeAcceptedReports(node);
+  if (turn % forwardPeriod == 0) forward(node);
 }
 
 void DutyFleet::claim(std::size_t node) {
@@ -216,15 +216,15 @@
 }
 
 void DutyFleet::send(Call call) {
-  // Between the holder's look at its lease and its call the process may be frozen for longer than the lease lasts, so
-  // only calls that leave at once are held against it.
+  // A real process may be suspended for longer than the lease between checking the lease and sending the call; here a
+  // call is sent at once, so a lower fence is a violation.
   if (call.fence < highestSentFence_)
     fail("node " + std::to_string(call.node) + " calls under fence " + std::to_string(call.fence) + " after fence " +
          std::to_string(highestSentFence_) + " was used");
   highestSentFence_ = std::max(highestSentFence_, call.fence);
   Ms arrivesIn(1 + cluster_.dice(40));
-  if (!isHealed_ && cluster_.dice(12) == 0) arrivesIn = Ms(cluster_.dice(9000));
-  bool const isLost = !isHealed_ && cluster_.dice(10) == 0;
+  if (!faultsEnded_ && cluster_.dice(12) == 0) arrivesIn = Ms(cluster_.dice(9000));
+  bool const isLost = !faultsEnded_ && cluster_.dice(10) == 0;
   events_.emplace(cluster_.now() + arrivesIn, [this, call, isLost] {
     if (isLost)
       answer(call, false);
@@ -241,7 +241,7 @@
     ++superseded_;
   else
     checkAccepted(call);
-  bool const answerIsLost = !isHealed_ && cluster_.dice(6) == 0;
+  bool const answerIsLost = !faultsEnded_ && cluster_.dice(6) == 0;
   answer(call, !isSuperseded && !answerIsLost);
 }
 
@@ -256,13 +256,14 @@
   auto const [holder, isNew] = holderByFence_.emplace(call.fence, call.node);
   if (holder->second != call.node) fail("fence " + std::to_string(call.fence) + " is used by two nodes");
   vector<Accepted>& earlier = accepted_[call.subject];
-  bool const wasHeldBack = cluster_.now() - call.sentAt >= lease;
-  std::size_t others = 0;
+  bool const wasDelayed = cluster_.now() - call.sentAt >= lease;
+  std::size_t callsByOthers = 0;
   for (auto before = earlier.rbegin(); before != earlier.rend() && cluster_.now() - before->at < lease; ++before) {
-    if (before->node != call.node) ++others;
-    if (before->node == call.node && others) fail(call.subject + ": the duty swung back within a lease");
+    if (before->node != call.node) ++callsByOthers;
+    if (before->node == call.node && callsByOthers)
+      fail(call.subject + ": a former holder acted again within a lease after another one");
   }
-  if (!wasHeldBack) earlier.push_back({call.node, call.fence, cluster_.now()});
+  if (!wasDelayed) earlier.push_back({call.node, call.fence, cluster_.now()});
   if (call.window) checkReport(call);
 }
 
@@ -271,14 +272,14 @@
   string const name = "window " + std::to_string(call.window->value);
   if (known->second != call.body) fail(name + " is reported as " + known->second + " and as " + call.body);
   std::map<string, std::uint64_t> const& truth = truth_[*call.window];
-  // Counts may be missing where nodes were cut off for long; nothing may be counted twice.
+  // Counts of nodes that were partitioned for long may be missing, but no request may be counted twice.
   for (std::size_t tenant = 0; tenant < tenantCount; ++tenant) {
-    string const quoted = "\"t" + std::to_string(tenant) + "\":";
-    std::size_t const at = call.body.find(quoted);
+    string const quotedTenant = "\"t" + std::to_string(tenant) + "\":";
+    std::size_t const at = call.body.find(quotedTenant);
     if (at == string::npos) continue;
-    std::uint64_t const told = std::strtoull(call.body.c_str() + at + quoted.size(), nullptr, 10);
+    std::uint64_t const reported = std::strtoull(call.body.c_str() + at + quotedTenant.size(), nullptr, 10);
     auto const counted = truth.find("t" + std::to_string(tenant));
-    if (told > (counted == truth.end() ? 0 : counted->second)) fail(name + " counts requests twice");
+    if (reported > (counted == truth.end() ? 0 : counted->second)) fail(name + " counts requests twice");
   }
 }
 
@@ -305,10 +306,10 @@
     edge.table.count(edge.key, window, tenant);
     ++truth_[window][tenant];
   }
-  if (turn % reportTurns) return;
+  if (turn % reportPeriod) return;
   edge.table.markFinal(edge.key, ledger_.finalAt(clusterTimeMs()), cluster_.now());
   std::size_t const to = cluster_.dice(nodeCount);
-  if (!runs(to)) return;
+  if (!isRunning(to)) return;
   vector<NodeUsage> const changed = edge.table.changedSince(0);
   std::uint64_t const repeats = 1 + cluster_.dice(2);
   for (std::uint64_t repeat = 0; repeat < repeats; ++repeat)
@@ -328,13 +329,13 @@
   if (!owner) return;
   for (std::size_t other = 0; other < nodeCount; ++other) {
     bool const isOwner = cluster_.nodes()[other].self.id == owner->id && other != node;
-    if (!isOwner || !runs(other) || cluster_.cuts.count({node, other})) continue;
+    if (!isOwner || !isRunning(other) || cluster_.cuts.count({node, other})) continue;
     for (NodeUsage const& usage : holders_[node].table.changedSince(0))
       holders_[other].table.merge(usage, cluster_.now());
   }
 }
 
-/// Healed for long, all windows but the last few are reported, in full where all nodes were well.
+/// Long after all faults ended, all windows but the last few are reported, and those since then in full.
 void DutyFleet::checkEnd() {
   WindowNumber const last(ledger_.windowAt(clusterTimeMs() - delay.count()).value - 1);
   WindowNumber const healedSince(
@@ -346,9 +347,9 @@
     auto const report = reports_.find(window);
     string const name = "window " + std::to_string(window.value);
     if (report == reports_.end()) return fail(name + " is never reported");
-    bool const isCalm = window >= healedSince;
-    if (isCalm && report->second != usageBody(window, truth))
-      return fail(name + " is reported as " + report->second + " though it was " + usageBody(window, truth));
+    bool const isAfterFaults = window >= healedSince;
+    if (isAfterFaults && report->second != usageBody(window, truth))
+      return fail(name + " is reported as " + report->second + ", expected " + usageBody(window, truth));
   }
 }
 
--- a/tests/duties/duty_fleet_sim.hpp
+++ b/tests/duties/duty_fleet_sim.hpp
@@ -5,28 +5,28 @@
 
 namespace tealshelf::sim {
 
-/// Control nodes that hold the duties, edges that count, and a platform that takes calls late, on a virtual clock.
+/// Simulates control nodes that hold the duties, edges that count requests, and the platform, on a virtual clock.
 ///
-/// A seed picks kills, losses of power, freezes, cuts, lost answers and calls that arrive seconds late. The platform
-/// checks what it accepts, and the run checks what is sent: see `Mutation` for what must be caught.
+/// A seed determines kills, power losses, suspended processes, partitions, lost answers and calls that arrive seconds
+/// late. Every call that is sent or accepted is checked; `Mutation` lists the faults that must be detected.
 class DutyFleet {
  public:
   enum class Mutation {
     none,
-    reusesFence,       ///< a claim takes the fencing token of the one before
-    recomputesReport,  ///< a report is made of the counts at the time of its call
-    actsAfterLease,    ///< a holder acts as long as it isn't told otherwise
-    leaseByWallClock,  ///< the lease is measured by a clock that is stepped, and stands while the process is frozen
-    callsThroughOtherNode,  ///< another node makes a holder's call
-    countsRepeatsTwice,     ///< a report of counts that comes twice adds twice
-    previousFence,          ///< orders go out under the fencing token of the claim before
-    skipsWait               ///< a claim isn't followed by a wait
+    reusesFence,            ///< a claim reuses the previous claim's fencing token
+    recomputesReport,       ///< a report contains the counts at the time of the call, not the committed ones
+    actsAfterLease,         ///< a holder acts until it learns that it lost the ownership
+    leaseByWallClock,       ///< the lease is measured by a clock that jumps, and stops while the process is suspended
+    callsThroughOtherNode,  ///< a holder's call is sent by another node
+    countsRepeatsTwice,     ///< a usage report that arrives twice is added twice
+    previousFence,          ///< orders carry the fencing token of the previous claim
+    skipsWait               ///< a holder acts at once after its claim, without waiting a lease
   };
   static constexpr Ms lease{3000}, window{5000}, delay{10000}, step{5};
   static constexpr std::size_t nodeCount = 5, edgeCount = 3, tenantCount = 4;
 
   DutyFleet(std::uint64_t seed, Mutation mutation);
-  /// What was violated; empty if nothing was.
+  /// Runs the simulation; returns the first violation, or an empty string.
   string run();
   std::size_t acceptedReports() const { return reports_.size(); }
   std::size_t holders() const { return holderByFence_.size(); }
@@ -34,7 +34,7 @@
   vector<string> const& trace() const { return trace_; }
 
  private:
-  /// What a node knows in one life of its process.
+  /// The state of a node in one run of its process.
   struct Holder {
     DutyLease lease{DutyFleet::lease};
     std::uint64_t life = 0;
@@ -42,7 +42,7 @@
     std::uint64_t previousFence = 0;
     std::set<WindowNumber> taken;
     UsageTable table;
-    Ms clockStep{0};  ///< of the time of day, for the mutation that goes by it
+    Ms clockStep{0};  ///< of the wall clock, for `leaseByWallClock`
   };
   struct Edge {
     UsageTable table;
@@ -62,7 +62,7 @@
   };
 
   void advance();
-  void trouble();
+  void injectFault();
   void unfreeze(std::size_t node);
   void stepHolder(std::size_t node);
   void claim(std::size_t node);
@@ -82,7 +82,7 @@
   TimePoint leaseClock(std::size_t node);
   bool mayAct(std::size_t node);
   std::int64_t clusterTimeMs() const;
-  bool runs(std::size_t node);
+  bool isRunning(std::size_t node);
   void note(string const& line);
   void fail(string const& what) {
     if (violation_.empty()) violation_ = what;
@@ -96,13 +96,13 @@
   std::uint64_t turn_ = 0;
   std::multimap<TimePoint, std::function<void()>> events_;
   std::map<WindowNumber, std::map<string, std::uint64_t>> truth_;
-  std::map<WindowNumber, string> reports_;              ///< that the platform accepted
-  std::map<string, std::uint64_t> highestFence_;        ///< that the platform saw, by subject
+  std::map<WindowNumber, string> reports_;              ///< accepted by the platform
+  std::map<string, std::uint64_t> highestFence_;        ///< seen by the platform, by subject
   std::map<string, vector<Accepted>> accepted_;         ///< by subject
-  std::map<std::uint64_t, std::size_t> holderByFence_;  ///< by fence, the node that called under it
+  std::map<std::uint64_t, std::size_t> holderByFence_;  ///< the node that called, by fencing token
   std::uint64_t highestSentFence_ = 0;
   std::size_t superseded_ = 0;
-  bool isHealed_ = false;
+  bool faultsEnded_ = false;
   string violation_;
   vector<string> trace_;
 };
--- a/tests/duties/duty_fleet_test.cpp
+++ b/tests/duties/duty_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Holders of the duties that are killed, frozen and cut off, on a virtual clock: see duty_fleet_sim.hpp.
+// Simulated holders of the duties under kills, suspensions and partitions: see duty_fleet_sim.hpp.
 #include "tests/duties/duty_fleet_sim.hpp"
 #include "tests/seeds.hpp"
 
@@ -11,10 +11,10 @@
 TEST_GROUP(dutyFleet){};
 
 namespace {
-/// The first seed with a violation must come soon.
-void expectMutationDetected(DutyFleet::Mutation mutation, std::uint64_t seedsToCatch = 40) {
+/// One of the first seeds must show a violation.
+void expectMutationDetected(DutyFleet::Mutation mutation, std::uint64_t maxSeeds = 40) {
   string violation;
-  for (std::uint64_t seed = 1; seed <= seedsToCatch && violation.empty(); ++seed) {
+  for (std::uint64_t seed = 1; seed <= maxSeeds && violation.empty(); ++seed) {
     DutyFleet fleet(seed, mutation);
     violation = fleet.run();
     if (!violation.empty()) std::printf("seed %zu: %s\n", static_cast<std::size_t>(seed), violation.c_str());
@@ -40,7 +40,7 @@
   }
   if (only) return;
   std::printf("%zu reports, %zu holders, %zu superseded calls\n", reports, holders, superseded);
-  // The runs reach what they are for.
+  // The runs exercised reports, changes of holder and superseded calls.
   CHECK(reports > 8 * seeds);
   CHECK(holders > 2 * seeds);
   CHECK(superseded > 0);
--- a/tests/duties/platform_client_test.cpp
+++ b/tests/duties/platform_client_test.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t maxPlatformBody = 1u << 16;
 Epoch const heldEpoch{1, NodeId(1)};
 
-/// A platform on loopback that answers with one status, or not at all, and a holder of the duties that calls it.
+/// A platform on loopback that answers with a fixed status after an optional delay, and a holder that calls it.
 struct PlatformRig {
   PlatformRig() {
     settings.nodeName = "edge-1";
@@ -33,21 +33,22 @@
     lease.noteClaimed(heldEpoch, 12, false, Clock::now());
     lease.noteConfirmed(heldEpoch, Clock::now());
   }
-  /// Makes one call; the lease is confirmed all the while if that is wanted.
+  /// Makes one call; with `keepsLease` the lease is confirmed continuously.
   PlatformAnswer call(bool keepsLease = false) {
-    std::optional<PlatformAnswer> end;
+    std::optional<PlatformAnswer> answer;
     PlatformCall order{"/usage", "{}"};
-    asio::co_spawn(io, client->call(std::move(order)), [&end](std::exception_ptr, PlatformAnswer got) { end = got; });
+    asio::co_spawn(io, client->call(std::move(order)),
+                   [&answer](std::exception_ptr, PlatformAnswer got) { answer = got; });
     TimePoint const limit = Clock::now() + Ms(8000);
-    while (!end && Clock::now() < limit) {
+    while (!answer && Clock::now() < limit) {
       io.restart();
       io.run_for(Ms(10));
       if (!keepsLease) continue;
       lease.noteConfirmed(heldEpoch, Clock::now());
       client->extendCallDeadlines();
     }
-    CHECK(end.has_value());
-    return end.value_or(PlatformAnswer::rejected);
+    CHECK(answer.has_value());
+    return answer.value_or(PlatformAnswer::rejected);
   }
   asio::io_context io{1};
   Settings settings;
--- a/tests/duties/scaling_policy_test.cpp
+++ b/tests/duties/scaling_policy_test.cpp
@@ -17,7 +17,7 @@
   return inputs;
 }
 
-/// Lets a policy decide for some time, and takes its orders.
+/// Runs a policy over an interval, accepting all its orders.
 vector<ScalingOrder> ordersOver(ScalingPolicy& policy, ScalingInputs const& inputs, Ms from, Ms until) {
   vector<ScalingOrder> all;
   for (Ms at = from; at < until; at += Ms(500))
--- a/tests/tallies/tally_fleet_events.cpp
+++ b/tests/tallies/tally_fleet_events.cpp
@@ -1,11 +1,11 @@
-// Callers, troubles and checks of the simulated nodes.
+// Callers, fault injection and checks of the simulation.
 #include "tests/tallies/tally_fleet_sim.hpp"
 
 namespace tealshelf::sim {
 
 void TallyFleet::admit(Node& node) {
   node.isNewcomer = false;
-  note(node.self.name + " is admitted");
+  note(node.self.name + " is admitted as a member");
   for (Member& member : members_)
     if (member.name == node.self.name) member = node.self;
   for (std::unique_ptr<Node> const& other : nodes_)
@@ -29,13 +29,14 @@
     sent_[call.tally] += call.change;
   }
   TallyAdd add{call.tally, addKeyOf(call.tally, call.id), call.change, wallMs()};
-  TallyTable::AddOutcome const taken = node.replica->add(std::move(add));
-  if (taken.result == TallyTable::AddResult::conflicting) return fail("a repeat counts as conflicting");
+  TallyTable::AddOutcome const outcome = node.replica->add(std::move(add));
+  if (outcome.result == TallyTable::AddResult::conflicting)
+    return fail("a repeated addition is treated as conflicting");
   flush(node);
-  if (!taken.position)
+  if (!outcome.position)
     acknowledge(node, call);
   else
-    node.callers.push_back({call, *taken.position, now_ + callLimit});
+    node.callers.push_back({call, *outcome.position, now_ + callLimit});
   answerCallers(node);
   sendPushes(node);
 }
@@ -79,37 +80,38 @@
 void TallyFleet::read(Node& node) {
   bool const answers = mutation_ == Mutation::readsBeforeCatchUp || (node.up && node.replica->isServing());
   if (!node.up || !answers) return;
-  std::map<string, std::map<string, std::int64_t>> owed;
+  std::map<string, std::map<string, std::int64_t>> expectedAdds;
   for (auto const& [id, change] : node.acknowledgedInThisLife)
-    owed[id.substr(id.find('/') + 1)][id.substr(0, id.find('/'))] = change;
-  // Whatever became of this node meanwhile, a wiped disk too.
-  bool const isInReach = !cutEndsAt_ && now_ - lastCutAt_ > mergeTime;
-  if (isInReach)
+    expectedAdds[id.substr(id.find('/') + 1)][id.substr(0, id.find('/'))] = change;
+  // Additions acknowledged by other nodes are expected too, even if this node lost its disk meanwhile.
+  bool const hasNoRecentCut = !cutEndsAt_ && now_ - lastCutAt_ > mergeTime;
+  if (hasNoRecentCut)
     for (Acknowledged const& added : acknowledged_)
       if (now_ - added.at > mergeTime && mustBeVisible(added) && hasBeenUp(added.by))
-        owed[added.call.tally][added.call.id] = added.call.change;
-  for (auto const& [tally, adds] : owed) {
-    TallyTotal least = 0;
-    for (auto const& [id, change] : adds) least += change;
-    if (node.replica->table().total(tally) >= least) continue;
+        expectedAdds[added.call.tally][added.call.id] = added.call.change;
+  for (auto const& [tally, adds] : expectedAdds) {
+    TallyTotal expectedTotal = 0;
+    for (auto const& [id, change] : adds) expectedTotal += change;
+    if (node.replica->table().total(tally) >= expectedTotal) continue;
     noteMissing(node, tally);
-    note(node.self.name + " tells " + std::to_string(static_cast<std::int64_t>(node.replica->table().total(tally))) +
-         " of " + tally + ", owed " + std::to_string(static_cast<std::int64_t>(least)));
-    return fail("a read misses what was acknowledged");
+    note(node.self.name + " reads " + std::to_string(static_cast<std::int64_t>(node.replica->table().total(tally))) +
+         " of " + tally + ", expected " + std::to_string(static_cast<std::int64_t>(expectedTotal)));
+    return fail("a read misses an acknowledged addition");
   }
-  for (auto const& [tally, most] : sent_)
-    if (node.replica->table().total(tally) > most) return fail("a read tells more than was added");
+  for (auto const& [tally, sent] : sent_)
+    if (node.replica->table().total(tally) > sent) return fail("a read is larger than the sum of all additions");
 }
 
-/// The page owes what any machine acknowledged "once `mergeMs` has passed without trouble". Of that only this is made
-/// use of: the machine that acknowledged, which may be the only one that has the addition from a cut, was down lately.
+/// An acknowledged addition must be visible everywhere once `mergeMs` has passed without faults. Besides partitions,
+/// only a recent outage of the acknowledging machine excuses a missing one: after a partition it may have the only
+/// copy.
 bool TallyFleet::hasBeenUp(NodeId id) const {
   return std::none_of(nodes_.begin(), nodes_.end(), [this, id](std::unique_ptr<Node> const& node) {
     return node->self.id == id && (!node->up || now_ - node->upSince <= mergeTime);
   });
 }
 
-void TallyFleet::trouble() {
+void TallyFleet::injectFault() {
   switch (pick(6)) {
     case 0:
     case 1:
@@ -128,7 +130,7 @@
 
 void TallyFleet::stop(Node& node, bool losesPower) {
   if (!node.up) return;
-  // What a killed process wrote stays; without power any beginning of it does.
+  // All writes of a killed process survive; after a power loss any prefix of the unsynced ones does.
   std::size_t keep = losesPower ? pick(node.pending.size() + 1) : node.pending.size();
   for (PendingSync const& sync : node.pending) {
     if (!keep--) break;
@@ -150,7 +152,7 @@
   stop(node, true);
   wiped_.insert(node.self.id);
   node.disk.clear();
-  renew(node);
+  assignNewIdentity(node);
   node.isNewcomer = true;
   note(node.self.name + " loses its disk");
 }
@@ -167,11 +169,12 @@
   for (std::size_t from = 0; from < count; ++from)
     for (std::size_t to = 0; to < count; ++to) {
       bool const fromOff = nodes_[from]->zone == zone, toOff = nodes_[to]->zone == zone;
-      bool blocks = fromOff != toOff;                                  // a zone is off
+      bool blocks = fromOff != toOff;                                  // a zone is isolated
       if (form == 1) blocks = (from < count / 2) != (to < count / 2);  // halves
-      if (form == 2) blocks = fromOff && !toOff;                       // nothing comes out of it
+      if (form == 2) blocks = fromOff && !toOff;                       // nothing gets out of the zone
       if (form == 3)
-        blocks = (fromOff && nodes_[to]->zone == second) || (toOff && nodes_[from]->zone == second);  // a bridge
+        blocks = (fromOff && nodes_[to]->zone == second) ||
+                 (toOff && nodes_[from]->zone == second);  // two zones can't reach each other
       blocked_[from][to] = from != to && blocks;
     }
   for (std::unique_ptr<Node> const& node : nodes_) node->cutOff = form == 1 || node->zone == zone;
@@ -196,16 +199,16 @@
     if (node->isNewcomer) return fail("a node wasn't admitted at the end");
     if (!node->replica->isServing()) return fail("a node doesn't serve at the end");
     if (node->replica->table().totals() != nodes_[firstMember()]->replica->table().totals())
-      return fail("two nodes tell different totals at the end");
+      return fail("two nodes have different totals at the end");
     TallyTable table = node->replica->table();
     for (Acknowledged const& added : acknowledged_) {
       if (!mustBeVisible(added)) continue;
-      TallyAdd const again{added.call.tally, addKeyOf(added.call.tally, added.call.id), added.call.change, wallMs()};
-      if (table.add(OriginId(1), again).result == TallyTable::AddResult::added)
+      TallyAdd const repeated{added.call.tally, addKeyOf(added.call.tally, added.call.id), added.call.change, wallMs()};
+      if (table.add(OriginId(1), repeated).result == TallyTable::AddResult::added)
         return fail("an acknowledged addition is missing at the end");
     }
-    for (auto const& [tally, most] : sent_)
-      if (node->replica->table().total(tally) > most) return fail("a total is too large at the end");
+    for (auto const& [tally, sent] : sent_)
+      if (node->replica->table().total(tally) > sent) return fail("a total is too large at the end");
   }
 }
 
@@ -215,7 +218,7 @@
   return first;
 }
 
-/// Tells what of a tally was acknowledged but isn't known at a node, and who has it.
+/// Traces the acknowledged additions to a tally that a node lacks, and which nodes have them.
 void TallyFleet::noteMissing(Node const& node, string const& tally) {
   for (Acknowledged const& added : acknowledged_) {
     if (added.call.tally != tally) continue;
--- a/tests/tallies/tally_fleet_sim.cpp
+++ b/tests/tallies/tally_fleet_sim.cpp
@@ -1,4 +1,4 @@
-// Processes, disks and links of the simulated nodes.
+// Simulated processes, disks and links.
 #include "tests/tallies/tally_fleet_sim.hpp"
 
 namespace tealshelf::sim {
@@ -11,7 +11,7 @@
     nodes_.push_back(std::make_unique<Node>());
     nodes_[i]->index = i;
     nodes_[i]->zone = "z" + std::to_string(i % zones);
-    renew(*nodes_[i]);
+    assignNewIdentity(*nodes_[i]);
   }
   blocked_.assign(count, vector<bool>(count, false));
   for (std::unique_ptr<Node> const& node : nodes_) members_.push_back(node->self);
@@ -20,7 +20,7 @@
 
 Violation TallyFleet::run() {
   while (elapsed_ < length_ && violation_.empty()) {
-    if (pick(150) == 0) trouble();
+    if (pick(150) == 0) injectFault();
     if (pick(6) == 0) call(*nodes_[pick(nodes_.size())]);
     advance();
     wipeAfterAcknowledgement();
@@ -40,7 +40,7 @@
   return {10, 80, Ms(250), Ms(500), Ms(2000), retention};
 }
 
-void TallyFleet::renew(Node& node) {
+void TallyFleet::assignNewIdentity(Node& node) {
   node.self.id = NodeId(++lastId_);
   node.self.name = "n" + std::to_string(node.index);
   node.self.zone = node.zone;
@@ -84,7 +84,7 @@
     node.disk.insert(node.disk.end(), sync.records.begin(), sync.records.end());
     node.replica->noteSynced(sync.known);
     ++node.syncsDone;
-    // Now and then the log is replaced by a snapshot of what was just synced.
+    // Occasionally the log is replaced by a snapshot of what was just synced.
     if (node.pending.empty() && pick(40) == 0) node.disk = node.replica->snapshot();
   }
   for (PendingReply const& reply : node.replies)
@@ -180,7 +180,7 @@
   now_ += step;
   elapsed_ += step;
   if (cutEndsAt_ && now_ >= *cutEndsAt_) heal();
-  for (std::unique_ptr<Node> const& node : nodes_) live(*node);
+  for (std::unique_ptr<Node> const& node : nodes_) stepNode(*node);
   vector<Packet> due;
   for (Packet& packet : packets_)
     if (packet.at <= now_) due.push_back(std::move(packet));
@@ -188,7 +188,7 @@
   for (Packet const& packet : due) deliver(packet);
 }
 
-void TallyFleet::live(Node& node) {
+void TallyFleet::stepNode(Node& node) {
   if (!node.up) {
     if (now_ < node.upAgainAt) return;
     start(node);
--- a/tests/tallies/tally_fleet_sim.hpp
+++ b/tests/tallies/tally_fleet_sim.hpp
@@ -5,7 +5,7 @@
 
 namespace tealshelf {
 
-/// Reaches into a replica, for what must be broken on purpose.
+/// Access to a replica's internals, for fault injection.
 struct TallyReplicaTestAccess {
   static void replaceTable(TallyReplica& replica, TallyTable const& table) { replica.table_ = table; }
   static void applyShifted(TallyReplica& replica, AddBatch batch) {
@@ -16,25 +16,25 @@
 
 namespace sim {
 
-/// A violated promise; empty if none.
+/// Description of a violated guarantee; empty if none.
 using Violation = string;
 
-/// Nodes that keep tallies, with their disks, links and callers, on a virtual clock.
+/// Simulates nodes that keep tallies, with their disks, links and callers, on a virtual clock.
 ///
-/// A seed picks the cuts (a zone off, halves, one way, a bridge), kills, losses of power, wiped disks and repeats of
-/// calls at other nodes. run() checks reads on the way, and at the end, healed, that all nodes tell the same and that
-/// nothing acknowledged is missing.
+/// A seed determines partitions (a zone isolated, halves, one direction, two zones from each other), kills, power
+/// losses, wiped disks and calls repeated at other nodes. run() checks reads during the run; at the end, with all links
+/// healed, it checks that all nodes have the same totals and that no acknowledged addition is missing.
 class TallyFleet {
  public:
   enum class Mutation {
     none,
-    forgetsIds,            ///< a settled addition isn't remembered
-    reusesOrigin,          ///< a wiped disk goes on under its old origin
+    forgetsIds,            ///< keys of settled additions expire too early
+    reusesOrigin,          ///< a wiped disk continues with its old origin
     acknowledgesUnsynced,  ///< a caller is answered before the sync
-    acknowledgesAlone,     ///< a caller is answered once the own disk has it
-    mergesByLargerTotal,   ///< of two tables the one with the greater sum wins
+    acknowledgesAlone,     ///< a caller is answered once the local disk has the addition
+    mergesByLargerTotal,   ///< of two tables the one with the larger sum replaces the other
     readsBeforeCatchUp,    ///< a node answers reads as soon as it runs
-    appliesTwice           ///< additions that came already are taken in once more
+    appliesTwice           ///< additions that arrived already are applied again
   };
   static constexpr Ms step{10}, replicaTick{50}, mergeTime{3000}, callLimit{800}, pushLimit{500};
   static constexpr std::size_t survive = 2, tallies = 4;
@@ -43,7 +43,7 @@
   Violation run();
   std::size_t acknowledged() const { return acknowledged_.size(); }
   std::size_t wipes() const { return wipes_; }
-  /// What happened, one line each, for a seed that is looked at.
+  /// The events of the run, one line each, for debugging a seed.
   vector<string> const& trace() const { return trace_; }
   std::size_t settledKeys() const { return nodes_.front()->replica->table().rememberedCount(); }
 
@@ -90,14 +90,14 @@
     bool up = false, isNewcomer = false, cutOff = false;
     Ms sinceTick{0};
   };
-  /// Something on its way between two processes.
+  /// A message or a timeout in transit between two processes.
   struct Packet {
     std::size_t from = 0, to = 0;
     std::uint64_t toLife = 0;
     TimePoint at;
     std::optional<TallyPush> push;
     std::optional<TallyPushReply> reply;
-    bool isTimeout = false;  ///< comes to `to` itself: the push to `from` had no answer
+    bool isTimeout = false;  ///< delivered to `to`: its push to `from` had no answer
     std::uint64_t heartbeat = 0;
   };
 
@@ -105,7 +105,7 @@
   std::int64_t wallMs() const { return 1000000 + elapsed_.count(); }
 
   static TallyTiming timing(Mutation mutation);
-  void renew(Node& node);
+  void assignNewIdentity(Node& node);
 
   void start(Node& node);
   void flush(Node& node);
@@ -125,11 +125,11 @@
   static TallyTotal sumOf(TallyTable const& table);
 
   void advance();
-  void live(Node& node);
+  void stepNode(Node& node);
 
   void heartbeat(Node& node);
 
-  /// Takes a wiped node in again, in the place of its earlier self.
+  /// Adds a wiped node to the members, replacing its previous identity.
   void admit(Node& node);
   void call(Node& node);
 
@@ -138,24 +138,24 @@
   static bool isOnOwnDisk(Node const& node, AddPosition position);
   void acknowledge(Node& node, Call const& call);
 
-  /// Right after an acknowledgement its node loses its disk, and maybe others do.
+  /// Wipes the disk of a node right after it acknowledged an addition, and possibly other disks.
   void wipeAfterAcknowledgement();
   void read(Node& node);
 
   bool mustBeVisible(Acknowledged const& added) const { return !added.duringCut || !wiped_.contains(added.by); }
 
-  /// False if a machine was down within mergeTime; one that lost its disk is another machine.
+  /// False if a machine was down within the last mergeTime; a machine that lost its disk counts as a new one.
   bool hasBeenUp(NodeId id) const;
 
-  void trouble();
+  void injectFault();
 
-  /// Kills a process, or takes the power from its machine.
+  /// Kills a process, or cuts the power of its machine.
   void stop(Node& node, bool losesPower);
 
-  /// Loses a disk, if no more than may be lost at once are.
+  /// Wipes a disk, unless that exceeds the number of losses to survive.
   void wipe(Node& node);
 
-  /// One that was cut off, and may not have caught up since, counts as lost.
+  /// True for a node that was partitioned and may not have caught up since; it counts as lost.
   bool mayLackAdditions(Node const& node) const;
   void cut();
 
@@ -182,10 +182,10 @@
   std::optional<TimePoint> cutEndsAt_;
   TimePoint now_ = TimePoint(Ms(1000000)), lastCutAt_, recoveringUntil_;
   Ms elapsed_{0};
-  bool finishing_ = false;  ///< no more troubles; all come back
+  bool finishing_ = false;  ///< no more faults; all nodes restart
   std::uint64_t lastId_ = 0;
   std::size_t pendingWipes_ = 0, wipes_ = 0;
-  std::optional<std::size_t> acknowledgedNow_;  ///< the node that acknowledged in this step
+  std::optional<std::size_t> acknowledgedNow_;  ///< the node that acknowledged an addition in this step
   vector<string> trace_;
   Violation violation_;
 };
--- a/tests/tallies/tally_fleet_test.cpp
+++ b/tests/tallies/tally_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Cuts, losses and repeats over many replicas on a virtual clock: see tally_fleet_sim.hpp.
+// Simulated replicas under partitions, losses and repeated calls: see tally_fleet_sim.hpp.
 #include "tests/seeds.hpp"
 #include "tests/tallies/tally_fleet_sim.hpp"
 
@@ -11,7 +11,7 @@
 TEST_GROUP(tallyFleet){};
 
 namespace {
-/// The first violation among seeds; empty if there is none.
+/// The first violation among the first seeds; empty if there is none.
 string firstViolation(TallyFleet::Mutation mutation, std::uint64_t seeds) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     TallyFleet fleet(seed, mutation);
@@ -21,8 +21,8 @@
   return "";
 }
 
-void expectCaught(TallyFleet::Mutation mutation, std::uint64_t seedsToCatch = 40) {
-  string const violation = firstViolation(mutation, seedsToCatch);
+void expectDetected(TallyFleet::Mutation mutation, std::uint64_t maxSeeds = 40) {
+  string const violation = firstViolation(mutation, maxSeeds);
   std::printf("%s\n", violation.c_str());
   CHECK(!violation.empty());
 }
@@ -44,30 +44,30 @@
     wipes += fleet.wipes();
   }
   if (only) return;
-  // The runs reach what they are for.
+  // The runs acknowledged and settled additions in numbers that matter.
   CHECK(acknowledged > 100 * seeds);
   CHECK(settled > 10 * seeds);
 
   std::printf("%zu acknowledged, %zu settled, %zu wipes\n", acknowledged, settled, wipes);
 }
 TEST(tallyFleet, anIdForgottenTooEarlyIsDetected) {
-  expectCaught(TallyFleet::Mutation::forgetsIds);
+  expectDetected(TallyFleet::Mutation::forgetsIds);
 }
 TEST(tallyFleet, anOriginReusedAfterAWipeIsDetected) {
-  expectCaught(TallyFleet::Mutation::reusesOrigin, 200);
+  expectDetected(TallyFleet::Mutation::reusesOrigin, 200);
 }
 TEST(tallyFleet, anAcknowledgementBeforeTheSyncIsDetected) {
-  expectCaught(TallyFleet::Mutation::acknowledgesUnsynced);
+  expectDetected(TallyFleet::Mutation::acknowledgesUnsynced);
 }
 TEST(tallyFleet, anAcknowledgementOnOneDiskIsDetected) {
-  expectCaught(TallyFleet::Mutation::acknowledgesAlone);
+  expectDetected(TallyFleet::Mutation::acknowledgesAlone);
 }
 TEST(tallyFleet, aMergeByTheLargerTotalIsDetected) {
-  expectCaught(TallyFleet::Mutation::mergesByLargerTotal);
+  expectDetected(TallyFleet::Mutation::mergesByLargerTotal);
 }
 TEST(tallyFleet, aReadBeforeCatchingUpIsDetected) {
-  expectCaught(TallyFleet::Mutation::readsBeforeCatchUp);
+  expectDetected(TallyFleet::Mutation::readsBeforeCatchUp);
 }
 TEST(tallyFleet, anAdditionAppliedTwiceIsDetected) {
-  expectCaught(TallyFleet::Mutation::appliesTwice);
+  expectDetected(TallyFleet::Mutation::appliesTwice);
 }
--- a/tests/tallies/tally_merge_test.cpp
+++ b/tests/tallies/tally_merge_test.cpp
@@ -1,4 +1,4 @@
-// What a merge after a long cut costs.
+// The cost of merging two replicas after a long partition.
 #include "tallies/tally_replica.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -36,7 +36,7 @@
   int pushes = 0;
   std::size_t bytes = 0;
 };
-/// Sends what is due from one side to the other.
+/// Delivers the pending pushes of one side to the other.
 void exchange(Side& from, Side& to, TimePoint now, Cost& cost) {
   for (OutgoingPush const& push : from.replica.takePushes(now)) {
     string const message = serialize(push.push);
--- a/tests/tallies/tally_replica_test.cpp
+++ b/tests/tallies/tally_replica_test.cpp
@@ -9,14 +9,14 @@
 TimePoint const replicaTestStart(Ms(1000000));
 
 Member member(std::uint64_t id, string const& zone) {
-  Member made;
-  made.id = NodeId(id);
-  made.name = "n" + std::to_string(id);
-  made.zone = zone;
-  return made;
+  Member result;
+  result.id = NodeId(id);
+  result.name = "n" + std::to_string(id);
+  result.zone = zone;
+  return result;
 }
 
-/// One replica among four members in two zones; the others are played by hand.
+/// One replica among four members in two zones; the tests send the messages of the others.
 struct ReplicaRig {
   TallyReplica replica{NodeId(1), TallyTiming{unreachableTicks, isolatedTicks, Ms(250), Ms(500), Ms(1000), Ms(8000)},
                        TallyDurability{3, 2}};
@@ -41,14 +41,14 @@
     for (std::uint64_t peer = 2; peer <= 4; ++peer) report(peer, {});
   }
   AddPosition add(string const& id) {
-    TallyTable::AddOutcome const taken = replica.add(TallyAdd{"t", addKeyOf("t", id), 1, 100000});
-    CHECK(taken.position.has_value());
-    return taken.position.value_or(AddPosition());
+    TallyTable::AddOutcome const outcome = replica.add(TallyAdd{"t", addKeyOf("t", id), 1, 100000});
+    CHECK(outcome.position.has_value());
+    return outcome.position.value_or(AddPosition());
   }
   void tick(int times) {
     for (int i = 0; i < times; ++i) replica.tick(100000);
   }
-  /// The members that are sent something now, by number.
+  /// The ids of the members that are sent a push now.
   std::set<std::uint64_t> pushed() {
     std::set<std::uint64_t> to;
     for (OutgoingPush const& push : replica.takePushes(now)) to.insert(push.to.id.value);
@@ -226,8 +226,8 @@
     rig.replica.noteHeartbeat(NodeId(peer), rig.replica.digest(), rig.now);
   CHECK(rig.replica.isDurable(position));
 }
-/// Soak, seed 504: all were killed and two lost their disks. The digests of processes that had synced nothing yet were
-/// alike, so that a node with an empty disk took itself for caught up and told 0.
+/// Soak seed 504: all nodes were killed and two lost their disks. The digests of processes that had synced nothing yet
+/// were equal, so a node with an empty disk considered itself caught up and answered reads with 0.
 TEST(tallyReplica, digestsAreIgnoredBeforeTheFirstSync) {
   TallyTiming const timing{unreachableTicks, isolatedTicks, Ms(250), Ms(500), Ms(1000), Ms(8000)};
   TallyReplica restarted(NodeId(2), timing, TallyDurability{3, 2}), wiped(NodeId(1), timing, TallyDurability{3, 2});
@@ -247,7 +247,7 @@
   push.to = NodeId(9);
   try {
     rig.replica.receive(push);
-    FAIL("it was taken");
+    FAIL("a push for another node was accepted");
   } catch (Error const& error) {
     CHECK(error.code() == ErrorCode::notMember);
   }
--- a/tests/tallies/tally_table_test.cpp
+++ b/tests/tallies/tally_table_test.cpp
@@ -42,7 +42,7 @@
   TallyAdd other{"u", addKeyOf("u", "a"), 5, 100000};
   CHECK(table.add(here, other).result == AddResult::added);
   CHECK(table.total("u") == 5);
-  // Nor do a name and an id run into one another.
+  // The boundary between name and id is part of the key.
   CHECK(addKeyOf("ab", "c") != addKeyOf("a", "bc"));
 }
 TEST(tallyTable, conflictingAdditionsConvergeInAnyOrder) {
