--- a/duties/usage_reporter.cpp
+++ b/duties/usage_reporter.cpp
@@ -49,7 +49,7 @@
     dropped_.increment(dropped);
     logWarning("duties", "dropped the usage counts of " + std::to_string(dropped) + " requests: more than " +
                              std::to_string(maxWindows) +
-                             " windows are unreported; check that a control node can be reached");
+                             " windows haven't been closed; check that a control node can be reached");
   }
   vector<Address> controls = view_.controlAddresses();
   if (controls.size() > maxReceivers) controls.resize(maxReceivers);
--- a/tallies/tally_replica.cpp
+++ b/tallies/tally_replica.cpp
@@ -157,8 +157,8 @@
       std::uint64_t const theirs = sequenceIn(peer.synced, origin);
       if (theirs >= number || !room || !isRelayDue(peer, origin, now)) continue;
       AddBatch batch = table_.additionsAfter(origin, theirs, number, room);
-      bool const follows = batch.first == theirs + 1;
-      if (batch.adds.empty() || !follows) continue;
+      bool const isContiguous = batch.first == theirs + 1;
+      if (batch.adds.empty() || !isContiguous) continue;
       room -= batch.adds.size();
       push.batches.push_back(std::move(batch));
     }
@@ -217,9 +217,9 @@
   reply.from = self_;
   reply.synced = synced_;
   bool const lacks = lacksSettled(push.settled);
-  bool const goesOn = incoming_ && push.state.transfer;
-  bool const isFree = !incoming_ || incoming_->from == push.from;
-  if (!isFree || !(lacks || goesOn)) return reply;
+  bool const continuesTransfer = incoming_ && push.state.transfer;
+  bool const acceptsSender = !incoming_ || incoming_->from == push.from;
+  if (!acceptsSender || !(lacks || continuesTransfer)) return reply;
   if (!incoming_) incoming_ = IncomingState{push.from, 0, "", 0};
   reply.wantsState = true;
   reply.transfer = incoming_->transfer;
@@ -308,12 +308,12 @@
   ticksSinceSettled_ = 0;
   table_.forget(wallClockMs);
   if (!isMember_) return;
-  VersionVector everywhere = synced_;
+  VersionVector syncedByAll = synced_;
   for (auto const& [id, peer] : peers_) {
     if (!peer.reported) return;
-    for (auto& [origin, number] : everywhere) number = std::min(number, sequenceIn(peer.synced, origin));
+    for (auto& [origin, number] : syncedByAll) number = std::min(number, sequenceIn(peer.synced, origin));
   }
-  table_.settle(everywhere, wallClockMs - timing_.settleAfter.count());
+  table_.settle(syncedByAll, wallClockMs - timing_.settleAfter.count());
 }
 
 }  // namespace tealshelf
--- a/tallies/tally_table.cpp
+++ b/tallies/tally_table.cpp
@@ -93,10 +93,10 @@
   return batch;
 }
 
-void TallyTable::settle(VersionVector const& everywhere, std::int64_t acceptedBeforeMs) {
+void TallyTable::settle(VersionVector const& syncedByAll, std::int64_t acceptedBeforeMs) {
   vector<TallyAdd> settled;
   for (auto& [origin, log] : origins_) {
-    std::uint64_t const upTo = sequenceIn(everywhere, origin);
+    std::uint64_t const upTo = sequenceIn(syncedByAll, origin);
     while (!log.adds.empty() && log.first <= upTo && log.adds.front().acceptedAtMs < acceptedBeforeMs) {
       auto const key = recentKeys_.find(log.adds.front().key);
       bool const isFirst = key != recentKeys_.end() && key->second.position == AddPosition{origin, log.first};
--- a/tallies/tally_table.hpp
+++ b/tallies/tally_table.hpp
@@ -56,9 +56,9 @@
   /// Recent additions of an origin after sequence number `number`, up to `upTo`; at most `limit`.
   AddBatch additionsAfter(OriginId origin, std::uint64_t number, std::uint64_t upTo, std::size_t limit) const;
 
-  /// Settles additions that all members have according to `everywhere`, and that were accepted before
+  /// Settles additions that all members have according to `syncedByAll`, and that were accepted before
   /// `acceptedBeforeMs`.
-  void settle(VersionVector const& everywhere, std::int64_t acceptedBeforeMs);
+  void settle(VersionVector const& syncedByAll, std::int64_t acceptedBeforeMs);
   /// Removes keys of settled additions that can't be repeated any more.
   void forget(std::int64_t nowMs) { remembered_.forget(nowMs); }
 
--- a/tests/duties/duty_fleet_sim.cpp
+++ b/tests/duties/duty_fleet_sim.cpp
@@ -271,15 +271,15 @@
   auto const [known, isNew] = reports_.emplace(*call.window, call.body);
   string const name = "window " + std::to_string(call.window->value);
   if (known->second != call.body) fail(name + " is reported as " + known->second + " and as " + call.body);
-  std::map<string, std::uint64_t> const& truth = truth_[*call.window];
+  std::map<string, std::uint64_t> const& counts = countedRequests_[*call.window];
   // Counts of nodes that were partitioned for long may be missing, but no request may be counted twice.
   for (std::size_t tenant = 0; tenant < tenantCount; ++tenant) {
     string const quotedTenant = "\"t" + std::to_string(tenant) + "\":";
     std::size_t const at = call.body.find(quotedTenant);
     if (at == string::npos) continue;
     std::uint64_t const reported = std::strtoull(call.body.c_str() + at + quotedTenant.size(), nullptr, 10);
-    auto const counted = truth.find("t" + std::to_string(tenant));
-    if (reported > (counted == truth.end() ? 0 : counted->second)) fail(name + " counts requests twice");
+    auto const counted = counts.find("t" + std::to_string(tenant));
+    if (reported > (counted == counts.end() ? 0 : counted->second)) fail(name + " counts requests twice");
   }
 }
 
@@ -304,7 +304,7 @@
   if (cluster_.dice(10) == 0) {
     string const tenant = "t" + std::to_string(cluster_.dice(tenantCount));
     edge.table.count(edge.key, window, tenant);
-    ++truth_[window][tenant];
+    ++countedRequests_[window][tenant];
   }
   if (turn % reportPeriod) return;
   edge.table.markFinal(edge.key, ledger_.finalAt(clusterTimeMs()), cluster_.now());
@@ -342,14 +342,14 @@
       ledger_.windowAt(clusterTimeMs() - static_cast<std::int64_t>(turnsAfterHealing) * step.count() + delay.count())
           .value +
       1);
-  for (auto const& [window, truth] : truth_) {
+  for (auto const& [window, counts] : countedRequests_) {
     if (window > last) break;
     auto const report = reports_.find(window);
     string const name = "window " + std::to_string(window.value);
     if (report == reports_.end()) return fail(name + " is never reported");
     bool const isAfterFaults = window >= healedSince;
-    if (isAfterFaults && report->second != usageBody(window, truth))
-      return fail(name + " is reported as " + report->second + ", expected " + usageBody(window, truth));
+    if (isAfterFaults && report->second != usageBody(window, counts))
+      return fail(name + " is reported as " + report->second + ", expected " + usageBody(window, counts));
   }
 }
 
--- a/tests/duties/duty_fleet_sim.hpp
+++ b/tests/duties/duty_fleet_sim.hpp
@@ -95,7 +95,7 @@
   vector<Edge> edges_;
   std::uint64_t turn_ = 0;
   std::multimap<TimePoint, std::function<void()>> events_;
-  std::map<WindowNumber, std::map<string, std::uint64_t>> truth_;
+  std::map<WindowNumber, std::map<string, std::uint64_t>> countedRequests_;
   std::map<WindowNumber, string> reports_;              ///< accepted by the platform
   std::map<string, std::uint64_t> highestFence_;        ///< seen by the platform, by subject
   std::map<string, vector<Accepted>> accepted_;         ///< by subject
--- a/tests/tallies/tally_fleet_events.cpp
+++ b/tests/tallies/tally_fleet_events.cpp
@@ -137,7 +137,7 @@
     node.disk.insert(node.disk.end(), sync.records.begin(), sync.records.end());
   }
   node.up = false;
-  node.upAgainAt = now_ + Ms(300 + pick(3000));
+  node.restartAt = now_ + Ms(300 + pick(3000));
   note(node.self.name + (losesPower ? " loses power" : " is killed"));
 }
 
@@ -159,7 +159,7 @@
 
 bool TallyFleet::mayLackAdditions(Node const& node) const {
   bool const isRecent = cutEndsAt_.has_value() || now_ - lastCutAt_ < mergeTime;
-  return isRecent && node.cutOff;
+  return isRecent && node.isPartitioned;
 }
 
 void TallyFleet::cut() {
@@ -177,7 +177,7 @@
                  (toOff && nodes_[from]->zone == second);  // two zones can't reach each other
       blocked_[from][to] = from != to && blocks;
     }
-  for (std::unique_ptr<Node> const& node : nodes_) node->cutOff = form == 1 || node->zone == zone;
+  for (std::unique_ptr<Node> const& node : nodes_) node->isPartitioned = form == 1 || node->zone == zone;
   cutEndsAt_ = now_ + Ms(1000 + pick(pick(2) ? 25000 : 3000));
   lastCutAt_ = now_;
   note("cut " + std::to_string(form) + " of " + zone + " and " + second + ", for " +
--- a/tests/tallies/tally_fleet_sim.cpp
+++ b/tests/tallies/tally_fleet_sim.cpp
@@ -28,7 +28,7 @@
   }
   heal();
   finishing_ = true;
-  for (std::unique_ptr<Node> const& node : nodes_) node->upAgainAt = std::min(node->upAgainAt, now_);
+  for (std::unique_ptr<Node> const& node : nodes_) node->restartAt = std::min(node->restartAt, now_);
   Ms const rest = 2 * mergeTime;
   for (Ms waited(0); waited < rest && violation_.empty(); waited += step) advance();
   if (violation_.empty()) checkEnd();
@@ -190,10 +190,10 @@
 
 void TallyFleet::stepNode(Node& node) {
   if (!node.up) {
-    if (now_ < node.upAgainAt) return;
+    if (now_ < node.restartAt) return;
     start(node);
   }
-  bool const isAdmitted = finishing_ || (pick(100) == 0 && !(cutEndsAt_ && node.cutOff));
+  bool const isAdmitted = finishing_ || (pick(100) == 0 && !(cutEndsAt_ && node.isPartitioned));
   if (node.isNewcomer && isAdmitted) admit(node);
   finishSyncs(node);
   node.sinceTick += step;
--- a/tests/tallies/tally_fleet_sim.hpp
+++ b/tests/tallies/tally_fleet_sim.hpp
@@ -86,8 +86,8 @@
     vector<WaitingCaller> callers;
     std::map<string, std::int64_t> acknowledgedInThisLife;
     std::uint64_t life = 0;
-    TimePoint upAgainAt, upSince;
-    bool up = false, isNewcomer = false, cutOff = false;
+    TimePoint restartAt, upSince;
+    bool up = false, isNewcomer = false, isPartitioned = false;
     Ms sinceTick{0};
   };
   /// A message or a timeout in transit between two processes.
