--- a/tests/duties/duties_test.cpp
+++ b/tests/duties/duties_test.cpp
@@ -156,10 +156,10 @@
 TEST(usageTable, onlyChangesAreForwarded) {
   UsageTable table;
   table.count(firstEdge, WindowNumber(10), "huka");
-  std::uint64_t const told = table.revision();
-  CHECK(table.changedSince(told).empty());
+  std::uint64_t const sentRevision = table.revision();
+  CHECK(table.changedSince(sentRevision).empty());
   table.count(firstEdge, WindowNumber(11), "puhu");
-  vector<NodeUsage> const changed = table.changedSince(told);
+  vector<NodeUsage> const changed = table.changedSince(sentRevision);
   LONGS_EQUAL(1, changed.size());
   LONGS_EQUAL(1, changed[0].windows.size());
   LONGS_EQUAL(11, changed[0].windows[0].window.value);
