--- a/configuration/change_decision.cpp
+++ b/configuration/change_decision.cpp
@@ -41,7 +41,7 @@
   } catch (Error const& error) {
     return refuse(ChangeVerdict::invalid, error.code(), error.what());
   }
-  if (history.mayHaveForgotten(*base)) return refuse(ChangeVerdict::tooOld, ErrorCode::changeTooOld, request.ifMatch);
+  if (history.mayHaveEvicted(*base)) return refuse(ChangeVerdict::tooOld, ErrorCode::changeTooOld, request.ifMatch);
   if (*base != current)
     return refuse(ChangeVerdict::conflict, ErrorCode::versionConflict,
                   "version " + std::to_string(current) + " is current");
--- a/configuration/change_history.cpp
+++ b/configuration/change_history.cpp
@@ -36,7 +36,7 @@
   return nullptr;
 }
 
-bool ChangeHistory::mayHaveForgotten(std::uint64_t baseVersion) const {
+bool ChangeHistory::mayHaveEvicted(std::uint64_t baseVersion) const {
   std::uint64_t const oldestKnown = changes_.empty() ? currentVersion_ : changes_.begin()->second.baseVersion;
   return baseVersion < oldestKnown;
 }
--- a/configuration/change_history.hpp
+++ b/configuration/change_history.hpp
@@ -41,7 +41,7 @@
   /// The change if it was accepted and is still kept, or null.
   AcceptedChange const* find(ChangeId const& id) const;
   /// True if changes on this base may have been accepted and forgotten since.
-  bool mayHaveForgotten(std::uint64_t baseVersion) const;
+  bool mayHaveEvicted(std::uint64_t baseVersion) const;
   /// A value to write together with the configuration that a change brings.
   struct Row {
     string key, value;
--- a/configuration/configuration_reader.cpp
+++ b/configuration/configuration_reader.cpp
@@ -19,7 +19,7 @@
 /// The highest rate or burst of a tenant.
 constexpr double maxRate = 1e9;
 /// Bytes of a name that a fault quotes.
-constexpr std::size_t maxNameInFault = 60;
+constexpr std::size_t maxQuotedNameBytes = 60;
 
 /// True for a text that can stand in a header as it is: visible ASCII, not empty.
 bool isHeaderText(string_view text) {
@@ -151,7 +151,7 @@
 }
 
 /// A real number from 0 to a limit.
-double readLimit(FieldReader& reader, Tree const& object, char const* name, string const& where) {
+double readNonNegativeReal(FieldReader& reader, Tree const& object, char const* name, string const& where) {
   boost::optional<Tree const&> const field = object.get_child_optional(name);
   if (!field) return 0;
   char* end = nullptr;
@@ -166,7 +166,7 @@
   ServiceScaling scaling;
   scaling.lowest = reader.number(object, "lowest", where, 0);
   scaling.highest = reader.number(object, "highest", where, 0);
-  scaling.startTime = Ms(static_cast<std::int64_t>(1000 * readLimit(reader, object, "startTimeS", where)));
+  scaling.startTime = Ms(static_cast<std::int64_t>(1000 * readNonNegativeReal(reader, object, "startTimeS", where)));
   return scaling;
 }
 
@@ -176,8 +176,8 @@
   string const where = "service " + service.name;
   service.healthPath = reader.text(object, "healthPath", where, Presence::optional);
   service.maxConnections = reader.number(object, "maxConnections", where, 0);
-  service.warmUp = Ms(static_cast<std::int64_t>(1000 * readLimit(reader, object, "warmUpS", where)));
-  service.warmUpPerSecond = readLimit(reader, object, "warmupPerS", where);
+  service.warmUp = Ms(static_cast<std::int64_t>(1000 * readNonNegativeReal(reader, object, "warmUpS", where)));
+  service.warmUpPerSecond = readNonNegativeReal(reader, object, "warmupPerS", where);
   if (boost::optional<Tree const&> const runtime = object.get_child_optional("runtime")) {
     string const whereRuntime = "runtime of " + service.name;
     service.capacity = reader.number(*runtime, "capacity", whereRuntime, 0);
@@ -235,13 +235,13 @@
     Tree const& object = element.second;
     Tenant tenant;
     tenant.name = reader.text(object, "name", "customer", Presence::required);
-    string const where = "customer " + tenant.name.substr(0, maxNameInFault);
+    string const where = "customer " + tenant.name.substr(0, maxQuotedNameBytes);
     std::uint32_t const index = static_cast<std::uint32_t>(configuration.tenants.size());
     bool const isUnique = configuration.tenantsByName.emplace(tenant.name, index).second;
     if (!isHeaderText(tenant.name) || !isUnique) reader.fault(ErrorCode::badTenant, where);
     if (object.get_child_optional("priority")) tenant.priority = reader.number(object, "priority", where, 0);
-    tenant.ratePerSecond = readLimit(reader, object, "ratePerS", where);
-    tenant.burst = readLimit(reader, object, "burst", where);
+    tenant.ratePerSecond = readNonNegativeReal(reader, object, "ratePerS", where);
+    tenant.burst = readNonNegativeReal(reader, object, "burst", where);
     readKeys(reader, object, where, index, configuration);
     configuration.tenants.push_back(std::move(tenant));
   }
--- a/edge/edge_node.cpp
+++ b/edge/edge_node.cpp
@@ -259,7 +259,7 @@
   string const target(request.target().data(), request.target().size());
   string const host = hostOf(request);
   if (lots_.isLotRequest(*configuration, verb, host, target)) {
-    Caller const caller = identifyCaller(*configuration, request, KeyNeed::required);
+    Caller const caller = identifyCaller(*configuration, request, KeyRequirement::required);
     if (caller.status == CallerStatus::refused)
       co_return co_await reply(client, errorReply(Error(ErrorCode::unknownKey)));
     std::uint64_t const hold = parseNumber(headerOf(request, "Hold-Read-Ms")).value_or(0);
--- a/edge/request_plan.cpp
+++ b/edge/request_plan.cpp
@@ -37,7 +37,7 @@
     plan.route = plan.configuration->findRoute(hostOf(request), string_view(target.data(), target.size()));
   if (!plan.route) return plan;
   Route const& route = *plan.route;
-  KeyNeed const keyNeed = route.isPublic ? KeyNeed::optional : KeyNeed::required;
+  KeyRequirement const keyNeed = route.isPublic ? KeyRequirement::optional : KeyRequirement::required;
   plan.caller = identifyCaller(*plan.configuration, request, keyNeed);
   Ms limit = route.timeLimit;
   if (std::optional<std::uint64_t> const left = parseNumber(headerOf(request, "Time-Left-Ms")))
--- a/tenants/caller.cpp
+++ b/tenants/caller.cpp
@@ -13,7 +13,7 @@
 }
 }  // namespace
 
-std::optional<string_view> keyOf(http::fields const& headers) {
+std::optional<string_view> bearerKey(http::fields const& headers) {
   auto const [first, end] = headers.equal_range(http::field::authorization);
   // Of two keys, none can be said to be the sender's.
   if (first == end || std::next(first) != end) return std::nullopt;
@@ -27,12 +27,12 @@
   return trimmed(value.substr(space));
 }
 
-Caller identifyCaller(Configuration const& configuration, http::fields const& headers, KeyNeed need) {
+Caller identifyCaller(Configuration const& configuration, http::fields const& headers, KeyRequirement need) {
   if (!configuration.needsKeys) return {};
-  std::optional<string_view> const key = keyOf(headers);
+  std::optional<string_view> const key = bearerKey(headers);
   Tenant const* const tenant = key ? configuration.findTenantByKey(*key) : nullptr;
   if (tenant) return {CallerStatus::tenant, tenant};
-  return {need == KeyNeed::optional ? CallerStatus::anonymous : CallerStatus::refused, nullptr};
+  return {need == KeyRequirement::optional ? CallerStatus::anonymous : CallerStatus::refused, nullptr};
 }
 
 void replaceIdentity(http::fields& headers, Configuration const& configuration, string const& tenantName) {
--- a/tenants/caller.hpp
+++ b/tenants/caller.hpp
@@ -18,15 +18,15 @@
 };
 
 /// Whether a request can do without a key.
-enum class KeyNeed { required, optional };
+enum class KeyRequirement { required, optional };
 
 /// The key in a request's `Authorization`, of the scheme Bearer; nothing if there is none, more than one, or another
 /// scheme.
-std::optional<string_view> keyOf(http::fields const& headers);
+std::optional<string_view> bearerKey(http::fields const& headers);
 
 /// Finds out who sent a request, by the configuration alone. Where the configuration names no tenants, everybody is
 /// anonymous and the header belongs to the workers.
-Caller identifyCaller(Configuration const& configuration, http::fields const& headers, KeyNeed need);
+Caller identifyCaller(Configuration const& configuration, http::fields const& headers, KeyRequirement need);
 
 /// Replaces what a client says of its identity by what this system found: the key is taken out, and `Customer` names
 /// the tenant, or is absent. Does nothing where the configuration names no tenants and there is none.
--- a/tenants/credit_client.cpp
+++ b/tenants/credit_client.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 /// A shard that hasn't answered for this part of inTouch is taken for failed.
-constexpr int askLimitPart = 64;
+constexpr int shardTimeoutDivisor = 64;
 /// A shard that doesn't count for a worker yet is asked again after this part of the window.
-constexpr int notCountingPart = 10;
+constexpr int notCountingRetryDivisor = 10;
 
 string nameOf(CreditKind kind) {
   return kind == CreditKind::tenant ? "quota" : "warm_up";
@@ -49,8 +49,8 @@
     members_ = view_.members();
   }
   if (members_.size() <= maxShards(limit)) return members_;
-  fewShards_ = shardsOf(members_, subject, limit);
-  return fewShards_;
+  shardSubset_ = shardsOf(members_, subject, limit);
+  return shardSubset_;
 }
 
 Task<CreditClient::Outcome> CreditClient::take(string subject, RateAllowance limit, TimePoint until) {
@@ -68,14 +68,15 @@
     if (credit) co_return Outcome{*credit, Refusal::unreachable};
   }
   TimePoint const now = Clock::now();
-  if (choice_.obstacle(shards, subject, now) != ShardChoice::Obstacle::exhausted) co_return Outcome();
+  if (choice_.noShardReason(shards, subject, now) != ShardChoice::NoShardReason::exhausted) co_return Outcome();
   if (!choice_.next(shards, subject, {}, now)) choice_.noteAllExhausted(subject, now);
   co_return Outcome{std::nullopt, Refusal::exhausted};
 }
 
 Task<std::optional<Credit>> CreditClient::ask(Member shard, string subject, TimePoint until) {
   TimePoint const askedAt = Clock::now();
-  Ms const limit = std::min(settings_.bounds.inTouch / askLimitPart, Ms(std::max<std::int64_t>(1, remainingMs(until))));
+  Ms const limit =
+      std::min(settings_.bounds.inTouch / shardTimeoutDivisor, Ms(std::max<std::int64_t>(1, remainingMs(until))));
   asked_.increment();
   TakeCreditReply reply;
   try {
@@ -107,7 +108,7 @@
   if (kind_ == CreditKind::tenant)
     choice_.noteFailed(shard, Clock::now());
   else
-    choice_.noteExhausted(shard, subject, window_ / notCountingPart, Clock::now());
+    choice_.noteExhausted(shard, subject, window_ / notCountingRetryDivisor, Clock::now());
 }
 
 void CreditClient::sweep() {
--- a/tenants/credit_client.hpp
+++ b/tenants/credit_client.hpp
@@ -8,8 +8,8 @@
 
 /// Leave to send one request to a worker, until it lapses.
 struct Credit {
-  TimePoint lapsesAt = TimePoint::max();
-  bool isValid(TimePoint now) const { return now < lapsesAt; }
+  TimePoint expiresAt = TimePoint::max();
+  bool isValid(TimePoint now) const { return now < expiresAt; }
 };
 
 /// Has requests counted by the shards of limits that all nodes share, for a data-plane node.
@@ -52,7 +52,7 @@
   std::map<string, vector<Credit>> returned_;  ///< by subject
   vector<Member> members_;
   std::uint64_t membersRevision_ = 0;
-  vector<Member> fewShards_;  ///< of the subject asked for last, where not all members are its shards
+  vector<Member> shardSubset_;  ///< of the subject asked for last, where not all members are its shards
   Counter asked_, granted_;
 };
 
--- a/tenants/credit_shard.cpp
+++ b/tenants/credit_shard.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 /// The longest time for which a node is put off, in parts of the window.
-constexpr int windowInLongestPause = 10;
+constexpr int maxRetryDelayDivisor = 10;
 
 bool contains(vector<Member> const& members, Member const& wanted) {
   return std::any_of(members.begin(), members.end(), [&wanted](Member const& member) {
@@ -18,7 +18,7 @@
 }
 
 double CreditShard::divisor(Bucket const& bucket) const {
-  std::size_t const members = std::max({membership_.members.size(), largestSize_, std::size_t{1}});
+  std::size_t const members = std::max({membership_.members.size(), largestMemberCount_, std::size_t{1}});
   return static_cast<double>(std::min(members, maxShards(bucket.total)));
 }
 
@@ -38,9 +38,9 @@
   bucket.refilledAt = now;
   bool const isNew = firstLimitsAt_ && now - *firstLimitsAt_ > memory();
   if (isNew) bucket.tokens = total.burst / divisor(bucket);
-  bucket.waitsUntil = mayCountFrom_;
-  bool const isTakenOver = membership_.exists() && !countsFor(subject, bucket, membership_.formerMembers);
-  if (isTakenOver) bucket.waitsUntil = now + timing_.shards.takeOver;
+  bucket.noGrantsBefore = mayGrantFrom_;
+  bool const wasOwnedElsewhere = membership_.exists() && !countsFor(subject, bucket, membership_.formerMembers);
+  if (wasOwnedElsewhere) bucket.noGrantsBefore = now + timing_.shards.takeOver;
   return bucket;
 }
 
@@ -62,7 +62,8 @@
     bucket.present = true;
     bucket.tokens = std::min(bucket.tokens, total.burst / divisor(bucket));
     // The set of shards depends on the burst.
-    if (!counted && countsFor(subject, bucket, membership_.members)) bucket.waitsUntil = now + timing_.shards.takeOver;
+    if (!counted && countsFor(subject, bucket, membership_.members))
+      bucket.noGrantsBefore = now + timing_.shards.takeOver;
   }
   // What a subject spent must not be forgotten while a window may still hold it, also if it is put back.
   std::erase_if(buckets_,
@@ -75,15 +76,15 @@
   if (membership.number == membership_.number && self == self_) return;
   vector<Member> const before = isFirst ? membership.formerMembers : membership_.members;
   for (auto& [name, bucket] : buckets_) refill(bucket, now);
-  if (now >= largestUntil_) largestSize_ = 0;
-  largestSize_ = std::max(largestSize_, before.size());
-  largestUntil_ = now + timing_.shards.takeOver;
+  if (now >= largestMemberCountUntil_) largestMemberCount_ = 0;
+  largestMemberCount_ = std::max(largestMemberCount_, before.size());
+  largestMemberCountUntil_ = now + timing_.shards.takeOver;
   membership_ = membership;
   self_ = self;
-  if (!contains(before, self_)) mayCountFrom_ = now + timing_.shards.takeOver;
+  if (!contains(before, self_)) mayGrantFrom_ = now + timing_.shards.takeOver;
   for (auto& [name, bucket] : buckets_) {
-    bool const isTakenOver = !countsFor(name, bucket, before) && countsFor(name, bucket, membership_.members);
-    if (isTakenOver) bucket.waitsUntil = now + timing_.shards.takeOver;
+    bool const wasOwnedElsewhere = !countsFor(name, bucket, before) && countsFor(name, bucket, membership_.members);
+    if (wasOwnedElsewhere) bucket.noGrantsBefore = now + timing_.shards.takeOver;
     bucket.tokens = std::min(bucket.tokens, bucket.total.burst / divisor(bucket));
   }
 }
@@ -98,9 +99,9 @@
   auto const found = buckets_.find(subject);
   bool const hasLimit = found != buckets_.end() && found->second.present;
   if (!hasLimit || !mayCount(majorityContact, now)) return reply;
-  if (now >= largestUntil_) largestSize_ = 0;
+  if (now >= largestMemberCountUntil_) largestMemberCount_ = 0;
   Bucket& bucket = found->second;
-  if (now < bucket.waitsUntil || !countsFor(subject, bucket, membership_.members)) return reply;
+  if (now < bucket.noGrantsBefore || !countsFor(subject, bucket, membership_.members)) return reply;
   refill(bucket, now);
   if (bucket.tokens >= 1) {
     bucket.tokens -= 1;
@@ -114,9 +115,9 @@
   double const rate = bucket.total.perSecond / divisor(bucket);
   std::chrono::duration<double> const untilToken((1 - bucket.tokens) / rate), perToken(1 / rate);
   TimePoint const nextToken = now + std::chrono::duration_cast<Clock::duration>(untilToken);
-  bucket.nextSlot = std::max(nextToken, bucket.nextSlot + std::chrono::duration_cast<Clock::duration>(perToken));
-  bucket.nextSlot = std::min(bucket.nextSlot, now + timing_.window / windowInLongestPause);
-  reply.retryAfterMs = std::max<std::int64_t>(1, std::chrono::duration_cast<Ms>(bucket.nextSlot - now).count());
+  bucket.nextRetryAt = std::max(nextToken, bucket.nextRetryAt + std::chrono::duration_cast<Clock::duration>(perToken));
+  bucket.nextRetryAt = std::min(bucket.nextRetryAt, now + timing_.window / maxRetryDelayDivisor);
+  reply.retryAfterMs = std::max<std::int64_t>(1, std::chrono::duration_cast<Ms>(bucket.nextRetryAt - now).count());
   return reply;
 }
 
--- a/tenants/credit_shard.hpp
+++ b/tenants/credit_shard.hpp
@@ -46,8 +46,8 @@
     RateAllowance total;  ///< of all shards
     double tokens = 0;
     TimePoint refilledAt;
-    TimePoint waitsUntil;  ///< nothing is granted before
-    TimePoint nextSlot;    ///< until when those who were refused are put off
+    TimePoint noGrantsBefore;  ///< nothing is granted before
+    TimePoint nextRetryAt;     ///< until when those who were refused are put off
     std::uint64_t granted = 0, refused = 0;
     bool present = true;  ///< the subject has a limit
     TimePoint absentSince;
@@ -64,9 +64,9 @@
   Membership membership_;
   Member self_;
   std::map<string, Bucket> buckets_;
-  std::size_t largestSize_ = 0;  ///< of the memberships that may still be in use
-  TimePoint largestUntil_;
-  TimePoint mayCountFrom_;  ///< a node that became a member counts for nobody before
+  std::size_t largestMemberCount_ = 0;  ///< of the memberships that may still be in use
+  TimePoint largestMemberCountUntil_;
+  TimePoint mayGrantFrom_;  ///< a node that became a member counts for nobody before
   std::optional<TimePoint> firstLimitsAt_;
 };
 
--- a/tenants/rate_allowance.cpp
+++ b/tenants/rate_allowance.cpp
@@ -4,15 +4,15 @@
 
 namespace {
 /// A credit lives for this part of the window.
-constexpr int windowInCreditLives = 20;
+constexpr int creditLifeDivisor = 20;
 /// Parts of what the rule allows beyond the limit that are used; the rest is the reserve.
-constexpr double usedOverrun = 0.8, usedMargin = 0.7;
+constexpr double usedOverrunShare = 0.8, usedMarginShare = 0.7;
 /// Lease of a shard, in halves of inTouch: longer than the cuts after which the control nodes soon meet again.
 constexpr int leaseHalves = 5;
 }  // namespace
 
 Ms creditLifeIn(Ms window) {
-  return std::max(Ms(1), window / windowInCreditLives);
+  return std::max(Ms(1), window / creditLifeDivisor);
 }
 
 Ms creditLife(Bounds const& bounds) {
@@ -26,8 +26,9 @@
 RateAllowance totalAllowance(Tenant const& tenant, Bounds const& bounds) {
   double const window = static_cast<double>(bounds.quotaWindow.count());
   double const span = window + static_cast<double>(creditLife(bounds).count());
-  double const stretched = 1 + usedOverrun * bounds.quotaOverrun;
-  return {tenant.ratePerSecond * stretched * window / span, tenant.burst * stretched + usedMargin * bounds.quotaMargin};
+  double const stretched = 1 + usedOverrunShare * bounds.quotaOverrun;
+  return {tenant.ratePerSecond * stretched * window / span,
+          tenant.burst * stretched + usedMarginShare * bounds.quotaMargin};
 }
 
 std::size_t maxShards(RateAllowance const& total) {
--- a/tenants/shard_choice.cpp
+++ b/tenants/shard_choice.cpp
@@ -4,19 +4,19 @@
 
 namespace {
 /// Parts of inTouch: the rest of a shard after its first failure, and after many.
-constexpr int firstRestPart = 16, longestRestPart = 4;
-constexpr int maxCountedFailures = 4;
+constexpr int initialBackoffDivisor = 16, maxBackoffDivisor = 4;
+constexpr int maxBackoffFailures = 4;
 /// A subject counts as at its limit for this part of the window after all its shards had nothing left.
-constexpr int windowInLimitMemory = 5;
-constexpr std::size_t askedAtLimit = 2;
+constexpr int atLimitDurationDivisor = 5;
+constexpr std::size_t maxAskedAtLimit = 2;
 }  // namespace
 
 ShardChoice::ShardChoice(string self, string zone, Ms inTouch, Ms window)
     : self_(std::move(self)),
       zone_(std::move(zone)),
-      firstRest_(inTouch / firstRestPart),
-      longestRest_(inTouch / longestRestPart),
-      limitMemory_(window / windowInLimitMemory) {}
+      initialBackoff_(inTouch / initialBackoffDivisor),
+      maxBackoff_(inTouch / maxBackoffDivisor),
+      atLimitDuration_(window / atLimitDurationDivisor) {}
 
 bool ShardChoice::isExhausted(NodeId shard, string const& subject, TimePoint now) const {
   auto const found = exhausted_.find({subject, shard});
@@ -25,7 +25,7 @@
 
 bool ShardChoice::rests(NodeId shard, TimePoint now) const {
   auto const found = failures_.find(shard);
-  return found != failures_.end() && now < found->second.restsUntil;
+  return found != failures_.end() && now < found->second.backoffUntil;
 }
 
 std::optional<Member> ShardChoice::next(vector<Member> const& shards, string const& subject,
@@ -44,16 +44,17 @@
   return *best;
 }
 
-ShardChoice::Obstacle ShardChoice::obstacle(vector<Member> const& shards, string const& subject, TimePoint now) const {
+ShardChoice::NoShardReason ShardChoice::noShardReason(vector<Member> const& shards, string const& subject,
+                                                      TimePoint now) const {
   for (Member const& shard : shards)
-    if (isExhausted(shard.id, subject, now)) return Obstacle::exhausted;
-  return Obstacle::unreachable;
+    if (isExhausted(shard.id, subject, now)) return NoShardReason::exhausted;
+  return NoShardReason::unreachable;
 }
 
 std::size_t ShardChoice::maxAsked(string const& subject, TimePoint now) const {
   auto const found = atLimit_.find(subject);
   bool const isAtLimit = found != atLimit_.end() && now < found->second;
-  return isAtLimit ? askedAtLimit : std::numeric_limits<std::size_t>::max();
+  return isAtLimit ? maxAskedAtLimit : std::numeric_limits<std::size_t>::max();
 }
 
 void ShardChoice::noteGranted(NodeId shard, string const& subject) {
@@ -67,21 +68,21 @@
 }
 
 void ShardChoice::noteAllExhausted(string const& subject, TimePoint now) {
-  atLimit_[subject] = now + limitMemory_;
+  atLimit_[subject] = now + atLimitDuration_;
 }
 
 void ShardChoice::noteFailed(NodeId shard, TimePoint now) {
   Failure& failure = failures_[shard];
   // Requests that were under way together fail together; they count once.
-  if (now < failure.restsUntil) return;
-  failure.count = std::min(failure.count + 1, maxCountedFailures);
-  failure.restsUntil = now + std::min(longestRest_, firstRest_ * (1 << (failure.count - 1)));
+  if (now < failure.backoffUntil) return;
+  failure.count = std::min(failure.count + 1, maxBackoffFailures);
+  failure.backoffUntil = now + std::min(maxBackoff_, initialBackoff_ * (1 << (failure.count - 1)));
 }
 
 void ShardChoice::sweep(TimePoint now) {
   std::erase_if(exhausted_, [now](auto const& item) { return item.second <= now; });
   std::erase_if(atLimit_, [now](auto const& item) { return item.second <= now; });
-  std::erase_if(failures_, [&](auto const& item) { return item.second.restsUntil + longestRest_ <= now; });
+  std::erase_if(failures_, [&](auto const& item) { return item.second.backoffUntil + maxBackoff_ <= now; });
 }
 
 }  // namespace tealshelf
--- a/tenants/shard_choice.hpp
+++ b/tenants/shard_choice.hpp
@@ -11,7 +11,7 @@
 class ShardChoice {
  public:
   /// What stands in the way of a credit where no shard is left to be asked.
-  enum class Obstacle {
+  enum class NoShardReason {
     exhausted,   ///< the subject's limit is used up, as far as it can be told
     unreachable  ///< no shard answers
   };
@@ -21,7 +21,7 @@
   /// The next shard to ask for a request that was tried at others before; nothing if none is left.
   std::optional<Member> next(vector<Member> const& shards, string const& subject, std::set<NodeId> const& asked,
                              TimePoint now) const;
-  Obstacle obstacle(vector<Member> const& shards, string const& subject, TimePoint now) const;
+  NoShardReason noShardReason(vector<Member> const& shards, string const& subject, TimePoint now) const;
   /// How many shards a request may ask: few while the subject is at its limit, as most have nothing left.
   std::size_t maxAsked(string const& subject, TimePoint now) const;
 
@@ -42,13 +42,13 @@
   };
   struct Failure {
     int count = 0;  ///< in a row
-    TimePoint restsUntil;
+    TimePoint backoffUntil;
   };
   bool isExhausted(NodeId shard, string const& subject, TimePoint now) const;
   bool rests(NodeId shard, TimePoint now) const;
 
   string self_, zone_;
-  Ms firstRest_, longestRest_, limitMemory_;
+  Ms initialBackoff_, maxBackoff_, atLimitDuration_;
   std::map<SubjectAtShard, TimePoint> exhausted_;  ///< until when
   std::map<string, TimePoint> atLimit_;            ///< until when a subject counts as at its limit
   std::map<NodeId, Failure> failures_;
--- a/tenants/warm_up_allowance.cpp
+++ b/tenants/warm_up_allowance.cpp
@@ -5,11 +5,11 @@
 namespace {
 /// The part of the bound that the shards grant in a window. The rest is a reserve for what their sum doesn't count:
 /// requests that are on their way for longer than a credit lives, and those that cut-off nodes send after a question.
-constexpr double usedBound = 0.8;
+constexpr double usedBoundShare = 0.8;
 /// The part of what is granted that is depth at least, so that several shards have a whole token each.
-constexpr double minDepthPart = 0.2;
+constexpr double minBurstShare = 0.2;
 /// A worker's word that it is warm is trusted for this part of inTouch.
-constexpr int inTouchInProbeTrusts = 256;
+constexpr int probeTrustDivisor = 256;
 }  // namespace
 
 Ms warmUpCreditLife() {
@@ -17,7 +17,7 @@
 }
 
 Ms warmUpProbeTrust(Bounds const& bounds) {
-  return std::max(Ms(1), bounds.inTouch / inTouchInProbeTrusts);
+  return std::max(Ms(1), bounds.inTouch / probeTrustDivisor);
 }
 
 CreditTiming warmUpTiming(Bounds const& bounds) {
@@ -30,9 +30,9 @@
 }
 
 RateAllowance warmUpAllowance(ServiceSettings const& service, Bounds const& bounds) {
-  double const granted = usedBound * warmUpBound(service, bounds);
+  double const granted = usedBoundShare * warmUpBound(service, bounds);
   double const span = std::chrono::duration<double>(warmUpWindow + warmUpCreditLife()).count();
-  double const perSecond = std::min(service.warmUpPerSecond, granted * (1 - minDepthPart) / span);
+  double const perSecond = std::min(service.warmUpPerSecond, granted * (1 - minBurstShare) / span);
   return {perSecond, granted - perSecond * span};
 }
 
--- a/tests/configuration/canonical_json_test.cpp
+++ b/tests/configuration/canonical_json_test.cpp
@@ -33,7 +33,7 @@
     CHECK_EQUAL_TEXT(line.equal, equal, line.one);
   }
 }
-TEST(canonicalJson, whatIsNotJsonIsRefused) {
+TEST(canonicalJson, invalidJsonIsRefused) {
   string const deep(1000000, '['), objects = [] {
     string text;
     for (int i = 0; i < 100000; ++i) text += "{\"a\":";
--- a/tests/configuration/change_checker.hpp
+++ b/tests/configuration/change_checker.hpp
@@ -21,7 +21,7 @@
 /// Orders and reads are linearizable if each order of the chain can be given one moment, in the chain's order, within
 /// its attempts, such that all answers agree. With the chain known, taking each moment as early as the answers allow
 /// finds such moments if there are any.
-class OrderChecker {
+class LinearizabilityChecker {
  public:
   vector<Attempt> attempts;
   vector<ReadEvent> reads;
--- a/tests/configuration/change_decision_test.cpp
+++ b/tests/configuration/change_decision_test.cpp
@@ -85,7 +85,7 @@
   };
   for (auto const& line : table) expect(line.rows, line.order, line.verdict, line.code);
 }
-TEST(changeDecision, takenOrdersAreKnownThroughTheDay) {
+TEST(changeDecision, theLast1024ChangesAreRecognized) {
   std::uint64_t const changes = 1024 + 200;
   Rows const rows = after(changes);
   std::size_t bytes = 0, keys = 0;
@@ -105,7 +105,7 @@
   expect(rows, order(0, 3), ChangeVerdict::tooOld, 111);
   expect(rows, order(0, 3, "b"), ChangeVerdict::tooOld, 111);
 }
-TEST(changeDecision, aRingOfAnyShapeKeepsTheNewest) {
+TEST(changeDecision, aRingOfAnyShapeKeepsTheNewestChanges) {
   for (HistoryShape const shape : {HistoryShape{2, 1}, HistoryShape{2, 3}, HistoryShape{4, 4}})
     for (std::uint64_t changes = 1; changes < 40; ++changes) {
       Rows const rows = after(changes, shape);
@@ -128,13 +128,13 @@
   expect(rows, order(9, 12, "lost"), ChangeVerdict::conflict, 109, shape);
   expect(rows, order(9, 11), ChangeVerdict::acknowledgeAgain, 0, shape);
 }
-TEST(changeDecision, aStateWithoutHistoryLeavesOldOrdersOpen) {
+TEST(changeDecision, withoutHistoryAnOldChangeIsNeitherAcceptedNorRefused) {
   Rows rows;
   rows[currentConfigurationKey] = configuration(9);
   expect(rows, order(6, 9), ChangeVerdict::tooOld, 111);
   expect(rows, order(9, 10), ChangeVerdict::apply);
 }
-TEST(changeDecision, nothingIsJudgedWhileAnOrderIsUnsettled) {
+TEST(changeDecision, noChangeIsDecidedWhileAnotherIsUndecided) {
   Rows rows = after(2);
   UndecidedChange unsettled;
   CHECK_FALSE(unsettled.isOpen(5, rows));
--- a/tests/configuration/change_simulation_test.cpp
+++ b/tests/configuration/change_simulation_test.cpp
@@ -10,7 +10,7 @@
 /// Operators send orders and reads to a simulated group in trouble; their history is checked for linearizability.
 namespace {
 /// The rules of an owner: the real ones, and variants that are known to be wrong.
-enum class Rules { real, currentTextOnly, withoutConfirm, withoutSettling };
+enum class Rules { real, currentTextOnly, withoutConfirm, ignoresUndecided };
 
 std::uint64_t changeSeeds() {
   return seedCount(12);
@@ -29,9 +29,9 @@
   return decision;
 }
 
-class OrdersSimulation {
+class ChangesSimulation {
  public:
-  OrdersSimulation(std::uint64_t seed, std::size_t nodes, Rules rules)
+  ChangesSimulation(std::uint64_t seed, std::size_t nodes, Rules rules)
       : cluster_(seed, nodes), rules_(rules), shape_{256, 1 + seed % 4}, owners_(nodes) {
     cluster_.joins = true;
     cluster_.survive = 1;
@@ -144,7 +144,7 @@
     std::map<string, string> const& rows = consensus.committedValues("configuration");
     std::uint64_t const epoch = consensus.epochOf("configuration").number;
     owner.busy = false;
-    if (rules_ != Rules::withoutSettling && owner.unsettled.isOpen(epoch, rows)) return;
+    if (rules_ != Rules::ignoresUndecided && owner.unsettled.isOpen(epoch, rows)) return;
     ChangeDecision const decision =
         rules_ == Rules::currentTextOnly ? decideByText(rows, order) : decideChange(rows, order, shape_);
     if (decision.verdict == ChangeVerdict::acknowledgeAgain) return answer(index, sim::Answer::acknowledged);
@@ -241,13 +241,13 @@
   HistoryShape shape_;
   vector<Owner> owners_;
   vector<Sent> sent_;
-  sim::OrderChecker checker_;
+  sim::LinearizabilityChecker checker_;
   std::uint64_t seen_ = 0;
   std::set<std::size_t> doomed_;
 };
 bool caught(Rules rules, std::uint64_t most) {
   for (std::uint64_t seed = 1; seed <= most; ++seed)
-    if (!OrdersSimulation(seed, 4, rules).play(3000).empty()) return true;
+    if (!ChangesSimulation(seed, 4, rules).play(3000).empty()) return true;
   return false;
 }
 }  // namespace
@@ -257,7 +257,7 @@
 TEST(changeSimulation, everyHistoryIsLinearizable) {
   std::uint64_t taken = 0, repeated = 0, refused = 0, reads = 0, wipes = 0;
   for (std::uint64_t seed = 1; seed <= changeSeeds(); ++seed) {
-    OrdersSimulation simulation(seed, 3 + seed % 3, Rules::real);
+    ChangesSimulation simulation(seed, 3 + seed % 3, Rules::real);
     string const fault = simulation.play(3000);
     if (!fault.empty()) FAIL(("seed " + std::to_string(seed) + ": " + fault).c_str());
     taken += simulation.taken;
@@ -273,12 +273,12 @@
   CHECK(taken > 10 * changeSeeds() && repeated > taken && refused > changeSeeds() && reads > changeSeeds() &&
         wipes > 0);
 }
-TEST(changeSimulation, theRuleOfTheCurrentTextOnlyIsCaught) {
+TEST(changeSimulation, decidingByTheCurrentTextAloneIsDetected) {
   CHECK(caught(Rules::currentTextOnly, 100));
 }
-TEST(changeSimulation, anOwnerThatDoesNotConfirmIsCaught) {
+TEST(changeSimulation, anOwnerThatDoesNotConfirmItsOwnershipIsDetected) {
   CHECK(caught(Rules::withoutConfirm, 300));
 }
-TEST(changeSimulation, anOwnerThatJudgesBesideAnUnsettledOrderIsCaught) {
-  CHECK(caught(Rules::withoutSettling, 300));
+TEST(changeSimulation, decidingDuringAnUndecidedChangeIsDetected) {
+  CHECK(caught(Rules::ignoresUndecided, 300));
 }
--- a/tests/configuration/configuration_test.cpp
+++ b/tests/configuration/configuration_test.cpp
@@ -33,7 +33,7 @@
   POINTERS_EQUAL(nullptr, c->findRoute("other.example", "/a/"));
   LONGS_EQUAL(4096, c->limits.maxBodyBytes);
 }
-TEST(configuration, everyFaultHasItsNumber) {
+TEST(configuration, everyFaultHasItsErrorCode) {
   LONGS_EQUAL(0, firstFault(configuration(route("r", fine))));
   LONGS_EQUAL(100, firstFault(configuration(route("r", fine)).substr(0, 80)));
   LONGS_EQUAL(100, firstFault(configuration(route("r", fine)) + "x"));
@@ -48,7 +48,7 @@
   LONGS_EQUAL(107, firstFault(configuration(route("r", "\"timeLimitMs\":1e300,\"service\":\"s\""))));
   LONGS_EQUAL(108, firstFault(configuration(route("r", fine, "/a"))));
 }
-TEST(configuration, scalingIsReadAndAnEmptyRangeOrdersNothing) {
+TEST(configuration, scalingIsReadAndAnEmptyRangeIsUnusable) {
   auto const scalingOf = [](string const& scaling) {
     string text = configuration(route("r", fine));
     string const service = "{\"name\":\"t\"}";
@@ -103,7 +103,7 @@
   CHECK(compileConfiguration(withTenants("[]"))->needsKeys);
   CHECK_FALSE(compileConfiguration(configuration(route("r", fine)))->needsKeys);
 }
-TEST(tenants, everyFaultHasItsNumber) {
+TEST(tenants, everyFaultHasItsErrorCode) {
   LONGS_EQUAL(113,
               firstFault(withTenants("[{\"name\":\"a\",\"apiKeys\":[\"k\"]},{\"name\":\"b\",\"apiKeys\":[\"k\"]}]")));
   LONGS_EQUAL(0, firstFault(withTenants("[{\"name\":\"a\",\"apiKeys\":[\"k\",\"k\"]}]")));
@@ -127,7 +127,7 @@
   for (ConfigurationFault const& fault : faults)
     for (char const* const secret : {"secret", "planted"}) CHECK(fault.text.find(secret) == string::npos);
 }
-TEST(tenants, fingerprintsTellKeysApartAndNotWhatTheyAre) {
+TEST(tenants, fingerprintsDistinguishKeysWithoutRevealingThem) {
   std::map<string, std::set<string>> const keys =
       keyFingerprints(withTenants("[{\"name\":\"a\",\"apiKeys\":[\"planted1\",\"planted2\"]}]"));
   LONGS_EQUAL(2, keys.at("a").size());
--- a/tests/tenants/quota_fleet_sim.hpp
+++ b/tests/tenants/quota_fleet_sim.hpp
@@ -13,10 +13,10 @@
 class QuotaFleet {
  public:
   struct Faults {
-    bool takesOverAtOnce = false;  ///< mutation: a part that may be in use elsewhere is used at once
-    bool restartsFull = false;     ///< mutation: a process that starts has its buckets full
-    bool ignoresItsLease = false;  ///< mutation: a shard goes on without a majority
-    bool limitIsLowered = false;   ///< the rate is halved midway, and later raised
+    bool skipsTakeoverDelay = false;       ///< mutation: a part that may be in use elsewhere is used at once
+    bool restartsWithFullBuckets = false;  ///< mutation: a process that starts has its buckets full
+    bool ignoresLease = false;             ///< mutation: a shard goes on without a majority
+    bool limitIsLowered = false;           ///< the rate is halved midway, and later raised
   };
   static constexpr Ms tick{20}, length{60000};
 
@@ -27,7 +27,7 @@
     bounds_.quotaMargin = 20;
     rate_ = pick(2) ? 200 : 3;
     burst_ = pick(2) ? rate_ : 0;
-    crashLoops_ = pick(4) == 0;
+    hasCrashLoops_ = pick(4) == 0;
     configure(rate_);
     std::size_t const members = 3 + pick(6);
     for (std::size_t i = 0; i < members; ++i) addNode();
@@ -44,11 +44,11 @@
       if (faults_.limitIsLowered && now == length / 3) configure(rate_ / 2);
       if (faults_.limitIsLowered && now == 2 * length / 3) configure(rate_);
       for (Node& node : nodes_) live(node);
-      if (pick(crashLoops_ ? 8 : 40) == 0) trouble();
-      replaceSilent();
+      if (pick(hasCrashLoops_ ? 8 : 40) == 0) trouble();
+      replaceUnreachable();
       // Edges rest now and then, so that buckets fill.
       bool const resting = (now / Ms(4000)) % 4 == 3;
-      if (!resting) askEverywhere();
+      if (!resting) requestCredits();
     }
     return largestShare();
   }
@@ -90,14 +90,14 @@
 
   void start(Node& node) {
     ShardTiming timing = ShardTiming::of(bounds_);
-    if (faults_.takesOverAtOnce) timing.takeOver = Ms(0);
+    if (faults_.skipsTakeoverDelay) timing.takeOver = Ms(0);
     node.shard = std::make_unique<QuotaShard>(bounds_, timing);
     node.configurationSeen = 0;
     node.up = true;
     // From its disk.
     if (node.known.exists()) node.shard->setMembership(node.known, node.self, clockOf(node, now_));
     // A full bucket is what a process has that has counted for long.
-    if (faults_.restartsFull) {
+    if (faults_.restartsWithFullBuckets) {
       node.shard->setConfiguration(std::make_shared<Configuration>(), clockOf(node, now_) - 3 * bounds_.quotaWindow);
     }
   }
@@ -128,8 +128,8 @@
   /// Kills a node or cuts one off, for longer than it takes to replace it, too.
   void trouble() {
     Node& node = nodes_[pick(nodes_.size())];
-    Ms const duration(crashLoops_ ? 40 + pick(100) : 200 + pick(20000));
-    if (crashLoops_ || pick(2)) {
+    Ms const duration(hasCrashLoops_ ? 40 + pick(100) : 200 + pick(20000));
+    if (hasCrashLoops_ || pick(2)) {
       node.up = false;
       node.upAgainAt = now_ + duration;
     } else {
@@ -138,7 +138,7 @@
     }
   }
 
-  void replaceSilent() {
+  void replaceUnreachable() {
     constexpr Ms deadAfter{4000};
     constexpr std::size_t maxNodes = 40;
     for (std::size_t i = 0; i < nodes_.size() && nodes_.size() < maxNodes; ++i) {
@@ -162,12 +162,12 @@
     }
   }
 
-  void askEverywhere() {
+  void requestCredits() {
     int const asks = rate_ > 100 ? 12 : 2;
     for (int i = 0; i < asks; ++i)
       for (Node& node : nodes_) {
         if (!node.up) continue;
-        TimePoint const contact = faults_.ignoresItsLease ? now_ : node.lastContact;
+        TimePoint const contact = faults_.ignoresLease ? now_ : node.lastContact;
         TakeCreditReply const reply = node.shard->take("t", clockOf(node, contact), clockOf(node, now_));
         if (reply.verdict != CreditVerdict::granted) continue;
         Ms const kept(static_cast<std::int64_t>(pick(static_cast<std::uint64_t>(creditLife(bounds_).count()))));
@@ -191,7 +191,7 @@
   Faults faults_;
   Bounds bounds_;
   double rate_ = 0, burst_ = 0;
-  bool crashLoops_ = false;  ///< members end again and again, each time for a moment
+  bool hasCrashLoops_ = false;  ///< members end again and again, each time for a moment
   std::uint64_t version_ = 0;
   std::shared_ptr<Configuration const> configuration_;
   Membership membership_;
--- a/tests/tenants/quota_shard_test.cpp
+++ b/tests/tenants/quota_shard_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 /// The largest part of the bound that any window of any seed used.
-double worstShare(QuotaFleet::Faults faults) {
+double largestUsedShare(QuotaFleet::Faults faults) {
   double worst = 0;
   for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) worst = std::max(worst, QuotaFleet(seed, faults).run());
   return worst;
@@ -58,28 +58,28 @@
 TEST_GROUP(quotaFleet){};
 
 TEST(quotaFleet, noWindowExceedsItsBound) {
-  double const worst = worstShare({});
+  double const worst = largestUsedShare({});
   CHECK(worst <= 1);
   // The search does press against the bound.
   CHECK(worst > 0.8);
 }
-TEST(quotaFleet, aLoweredLimitKeepsTheBoundOfTheHigherOne) {
-  CHECK(worstShare({false, false, false, true}) <= 1);
+TEST(quotaFleet, aLoweredLimitStaysWithinThePreviousBound) {
+  CHECK(largestUsedShare({false, false, false, true}) <= 1);
 }
 /// The search finds what it is there to find.
-TEST(quotaFleet, aTakeoverThatDoesNotWaitIsFound) {
-  CHECK(worstShare({true, false, false, false}) > 1);
+TEST(quotaFleet, aTakeoverWithoutDelayIsDetected) {
+  CHECK(largestUsedShare({true, false, false, false}) > 1);
 }
-TEST(quotaFleet, aProcessThatStartsWithFullBucketsIsFound) {
-  CHECK(worstShare({false, true, false, false}) > 1);
+TEST(quotaFleet, aProcessThatStartsWithFullBucketsIsDetected) {
+  CHECK(largestUsedShare({false, true, false, false}) > 1);
 }
-TEST(quotaFleet, aShardWithoutALeaseIsFound) {
-  CHECK(worstShare({false, false, true, false}) > 1);
+TEST(quotaFleet, aShardThatIgnoresItsLeaseIsDetected) {
+  CHECK(largestUsedShare({false, false, true, false}) > 1);
 }
 
 TEST_GROUP(quotaShard){};
 
-TEST(quotaShard, grantsItsPartOfTheRate) {
+TEST(quotaShard, grantsItsShareOfTheRate) {
   ShardRig rig;
   rig.shard.setConfiguration(limited(300, 0), rig.now);
   rig.now += Ms(10000);
@@ -92,7 +92,7 @@
   // A third of 300 a second, a little stretched, for 200 ms.
   CHECK(taken >= 19 && taken <= 21);
 }
-TEST(quotaShard, saysWhenToComeAgain) {
+TEST(quotaShard, reportsWhenToRetry) {
   ShardRig rig;
   rig.shard.setConfiguration(limited(30, 0), rig.now);
   TakeCreditReply const first = rig.shard.take("t", rig.now, rig.now);
@@ -112,7 +112,7 @@
   CHECK(rig.shard.take("t", contact, rig.now).verdict == CreditVerdict::notCounting);
   CHECK(rig.shard.take("t", TimePoint(), rig.now).verdict == CreditVerdict::notCounting);
 }
-TEST(quotaShard, aTenantThatIsPutBackHasNoFreshBurst) {
+TEST(quotaShard, aTenantThatIsReaddedGetsNoNewBurst) {
   ShardRig rig;
   rig.shard.setConfiguration(limited(1, 300), rig.now);
   rig.now += Ms(600000);
@@ -123,21 +123,21 @@
   rig.shard.setConfiguration(limited(1, 300), rig.now);
   CHECK(rig.takeAll() <= 1);
 }
-TEST(quotaShard, aTenantThatIsNewMayUseItsBurstAtOnce) {
+TEST(quotaShard, aNewTenantMayUseItsBurstAtOnce) {
   ShardRig rig;
   rig.shard.setConfiguration(std::make_shared<Configuration>(), rig.now);
   rig.now += Ms(60000);
   rig.shard.setConfiguration(limited(1, 300), rig.now);
   CHECK(rig.takeAll() > 100);
 }
-TEST(quotaShard, aLoweredLimitCountsAtOnce) {
+TEST(quotaShard, aLoweredLimitAppliesAtOnce) {
   ShardRig rig;
   rig.shard.setConfiguration(limited(300, 300), rig.now);
   rig.now += Ms(60000);
   rig.shard.setConfiguration(limited(3, 3), rig.now);
   CHECK(rig.takeAll() < 10);
 }
-TEST(quotaShard, aSmallBurstIsNotDividedIntoPartsOfATokens) {
+TEST(quotaShard, aSmallBurstIsNotDividedIntoFractionsOfTokens) {
   Bounds tight = bounds();
   tight.quotaMargin = 0;
   tight.quotaOverrun = 0;
--- a/tests/traffic/warm_up_fleet_sim.hpp
+++ b/tests/traffic/warm_up_fleet_sim.hpp
@@ -32,7 +32,7 @@
     service_.warmUp = coldFor;
     service_.warmUpPerSecond = 12;
     startsCold_ = pick(2) == 0;
-    crashLoops_ = pick(4) == 0;
+    hasCrashLoops_ = pick(4) == 0;
     cutShare_ = std::array{0.0, 0.3, 1.0}[pick(3)];
     coldAt_ = startsCold_ ? at(5000) : at(8000);
     addShards(3 + pick(6));
@@ -44,7 +44,7 @@
   double run() {
     for (now_ = at(0); now_ < at(length.count()); now_ += tick) {
       for (Shard& shard : shards_) advance(shard);
-      if (pick(crashLoops_ ? 4 : 100) == 0) injectFault();
+      if (pick(hasCrashLoops_ ? 4 : 100) == 0) injectFault();
       // All nodes prefer this worker: it looks idle, and refused requests are retried at other nodes.
       for (std::uint64_t tries = pick(5); tries > 0; --tries) request(nodes_[pick(nodeCount)]);
     }
@@ -196,8 +196,8 @@
 
   void injectFault() {
     Shard& shard = shards_[pick(shards_.size())];
-    Ms const duration = Ms(20) + pickMs(crashLoops_ ? 40 : 2000);
-    if (crashLoops_ || pick(2)) {
+    Ms const duration = Ms(20) + pickMs(hasCrashLoops_ ? 40 : 2000);
+    if (hasCrashLoops_ || pick(2)) {
       shard.up = false;
       shard.upAgainAt = now_ + duration;
     } else {
@@ -221,7 +221,7 @@
   Bounds bounds_;
   ServiceSettings service_;
   bool startsCold_ = false;
-  bool crashLoops_ = false;  ///< shards crash again and again and restart soon
+  bool hasCrashLoops_ = false;  ///< shards crash again and again and restart soon
   double cutShare_ = 0;
   TimePoint coldAt_, now_ = TimePoint(Ms(1000000));
   Membership membership_;
--- a/tests/updates/updates_sim.hpp
+++ b/tests/updates/updates_sim.hpp
@@ -12,7 +12,7 @@
  public:
   struct Config {
     std::size_t controls = 8, zones = 4, perZone = 20;
-    bool relaysLieAboutAge = false, deltasLoseRows = false, configurationsGoBack = false, rowsAreDropped = false;
+    bool relaysReportFalseAge = false, deltasLoseRows = false, configurationsRollBack = false, rowsAreDropped = false;
   };
   struct Server {
     string name;
@@ -220,7 +220,7 @@
       return;
     }
     if (now_ < x.wake) return;
-    if (x.node->allSourcesRest(now_)) x.wake = now_ + Ms(60);
+    if (x.node->allSourcesBackingOff(now_)) x.wake = now_ + Ms(60);
     if (!x.publisher->configurationVersion()) {
       vector<Address> const l = x.node->controlAddresses(now_);
       x.asking = x.node->firstPlan(l[dice(l.size())], now_);
@@ -236,11 +236,11 @@
     net_.emplace(now_ + Ms(1 + dice(3)), [this, to, q, from, id] {
       if (!to->up) return;
       to->publisher->noteSubscriber(q, now_);
-      bool const crowded = dynamicCrowded(*to);
+      bool const crowded = isAtHoldLimit(*to);
       to->held.push_back({q, now_, from, id, crowded});
     });
   }
-  bool dynamicCrowded(Server& s) const { return s.name[0] == 'n' && s.held.size() >= 2 * RelayTopology::fanOut; }
+  bool isAtHoldLimit(Server& s) const { return s.name[0] == 'n' && s.held.size() >= 2 * RelayTopology::fanOut; }
   void answerHeld(Server& s, string const& name) {
     vector<Server::Held> keep;
     for (Server::Held& h : s.held) {
@@ -273,7 +273,7 @@
     s.held = std::move(keep);
   }
   void tamper(UpdateReply& r, string const& name) {
-    if (conf_.relaysLieAboutAge && name[0] == 'n') {
+    if (conf_.relaysReportFalseAge && name[0] == 'n') {
       r.proofAgeMs = 0;
       r.healthy = true;
     }
@@ -291,7 +291,7 @@
     for (Node& x : nodes_) {
       if (!x.up) continue;
       std::uint64_t v = x.publisher->configurationVersion();
-      if (conf_.configurationsGoBack && v > 3 && dice(400) == 0) {
+      if (conf_.configurationsRollBack && v > 3 && dice(400) == 0) {
         x.publisher->setConfiguration(v - 1, "old");
         v = v - 1;
       }
--- a/tests/updates/updates_test.cpp
+++ b/tests/updates/updates_test.cpp
@@ -97,7 +97,7 @@
 
 TEST_GROUP(updates){};
 
-TEST(updates, aTableGivesDeltasFromAnyContentItHad) {
+TEST(updates, aTableServesDeltasFromAnyVersionInItsHistory) {
   std::mt19937_64 g(5);
   VersionedTable b(64);
   vector<std::pair<std::uint64_t, std::map<string, string>>> was;
@@ -128,7 +128,7 @@
   CHECK(parts > 20);
 }
 
-TEST(updates, aDeltaForAnotherContentChangesNothing) {
+TEST(updates, aDeltaForAnotherVersionChangesNothing) {
   VersionedTable a, b;
   a.put("x", "1");
   std::uint64_t const base = a.digest();
@@ -145,7 +145,7 @@
   CHECK_FALSE(b.apply(twice, [](TableRow const&) {}));
 }
 
-TEST(updates, relaysAreTheStrongOnesAndSmallZonesHaveNone) {
+TEST(updates, relaysAreTheStrongestNodesAndSmallZonesHaveNone) {
   vector<DataNode> z;
   for (int i = 0; i < 8; ++i) z.push_back({"n" + std::to_string(i), "z", "edge", {"10.0.0.1", i + 1}, 40});
   CHECK(RelayTopology::relaysOf(z).empty());
@@ -163,7 +163,7 @@
   LONGS_EQUAL(3, RelayTopology::parentsOf("n1", r, false).size());
 }
 
-TEST(updates, aFailedSourceRestsLongerEachTime) {
+TEST(updates, aFailedSourceBacksOffLongerEachTime) {
   UpdateSources s(Ms(100), 7);
   Address const a{"10.0.0.1", 1}, b{"10.0.0.2", 1}, c{"10.0.0.3", 1};
   s.set({a}, {b, c});
@@ -176,12 +176,12 @@
   CHECK(s.next(t + Ms(151 + 199)) == b);
   s.noteFailed(b, t + Ms(151));
   s.noteFailed(c, t + Ms(151));
-  CHECK(s.allRest(t + Ms(152)));
+  CHECK(s.allBackingOff(t + Ms(152)));
   s.noteAnswered(a);
   CHECK(s.next(t + Ms(152)) == a);
 }
 
-TEST(updates, olderProofsAndLongChainsAreRefused) {
+TEST(updates, olderProofsAndTooLongRelayChainsAreRefused) {
   asio::io_context io;
   Settings settings;
   UpdatePublisher up(io, settings, 0), publisher(io, settings, 0);
@@ -217,7 +217,7 @@
   LONGS_EQUAL(2, publisher.configurationVersion());
 }
 
-TEST(updates, aStartingNodeIsToldWhomToAskAndGetsTheTablesThere) {
+TEST(updates, aStartingNodeIsIntroducedToASourceOfTheTables) {
   asio::io_context io;
   Settings settings;
   UpdatePublisher control(io, settings, 0), publisher(io, settings, 0);
@@ -251,7 +251,7 @@
   LONGS_EQUAL(2, publisher.configurationVersion());
   LONGS_EQUAL(2, publisher.common.rows().size());
 }
-TEST(updates, anIntroductionOfANodeThatIsNotHealthyIsNotTaken) {
+TEST(updates, anIntroductionByAnUnhealthyNodeIsRejected) {
   asio::io_context io;
   Settings settings;
   UpdatePublisher publisher(io, settings, 0);
@@ -270,7 +270,7 @@
   }
 }
 
-TEST(updates, aSmallFleetHasNoTierAndConverges) {
+TEST(updates, aSmallFleetWithoutRelaysConverges) {
   for (std::uint64_t s = 1; s <= seedCount(updateSeeds); ++s) {
     sim::Fleet::Config const c{4, 4, 3, false, false, false, false};
     string const b = play(100 + s, c);
@@ -309,7 +309,7 @@
   STRCMP_EQUAL("", f.broken.c_str());
 }
 
-TEST(updates, allRelaysOfAZoneLostAtOnce) {
+TEST(updates, aZoneThatLosesAllItsRelaysConverges) {
   sim::Fleet f(10, {});
   f.commitConfiguration();
   f.run(1200);
@@ -325,23 +325,23 @@
   STRCMP_EQUAL("", f.broken.c_str());
 }
 
-TEST(updates, aQuietLyingRelayIsCaughtByTheCheck) {
+TEST(updates, aRelayThatReportsAFalseProofAgeIsDetected) {
   bool caught = false;
   for (std::uint64_t s = 1; s <= 30 && !caught; ++s) caught = !play(s, {8, 4, 20, true, false, false, false}).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
-TEST(updates, aDeltaThatLostRowsHeals) {
+TEST(updates, aDeltaWithLostRowsIsRepaired) {
   for (std::uint64_t s = 1; s <= 3; ++s) {
     string const b = play(300 + s, {8, 4, 20, false, true, false, false});
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
 }
-TEST(updates, aDroppedRowIsCaughtByTheCheck) {
+TEST(updates, aDroppedRowIsDetected) {
   bool caught = false;
   for (std::uint64_t s = 1; s <= 30 && !caught; ++s) caught = !play(s, {8, 4, 20, false, false, false, true}).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
-TEST(updates, aConfigurationThatGoesBackIsCaughtByTheCheck) {
+TEST(updates, aConfigurationRollbackIsDetected) {
   bool caught = false;
   for (std::uint64_t s = 1; s <= 30 && !caught; ++s) caught = !play(s, {8, 4, 20, false, false, true, false}).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
--- a/tools/soak/lot_client.cpp
+++ b/tools/soak/lot_client.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr int maxSubmissions = 8;
-constexpr Ms firstPause{100}, maxPause{1000}, submitLimit{12000}, readLimit{6000}, endLimit{10000};
+constexpr Ms firstPause{100}, maxPause{1000}, submitLimit{12000}, readNonNegativeReal{6000}, endLimit{10000};
 constexpr Ms observePause{60};
 constexpr double failingShare = 0.02, impossibleShare = 0.02, endedShare = 0.06, sentAgainShare = 0.1,
                  lostAnswerShare = 0.05, impatientShare = 0.3, bodyShare = 0.2, earlierShare = 0.4;
@@ -176,7 +176,7 @@
   string const target = "/lots/" + lot.id + "?startAfter=" + std::to_string(from);
   HttpRequest request = makeRequest(http::verb::get, target, lot.host);
   if (hold > Ms(0)) request.set("Hold-Read-Ms", std::to_string(hold.count()));
-  HttpAnswer answer = co_await callHttp(io_, edge.address(outsidePort), std::move(request), readLimit);
+  HttpAnswer answer = co_await callHttp(io_, edge.address(outsidePort), std::move(request), readNonNegativeReal);
   sabotage_.spoilRead(lot, answer);
   checkAnswered(edge, "a read of lot " + lot.id, answer);
   book_.checkRead(lot, from, answer, edge.plan.name);
@@ -205,7 +205,7 @@
 
 Task<ReadOutcome> LotClient::readBody(Lot& lot, ClusterNode& edge, string item) {
   HttpRequest request = makeRequest(http::verb::get, "/items/" + lot.id + "?serverId=" + item, lot.host);
-  HttpAnswer answer = co_await callHttp(io_, edge.address(outsidePort), std::move(request), readLimit);
+  HttpAnswer answer = co_await callHttp(io_, edge.address(outsidePort), std::move(request), readNonNegativeReal);
   sabotage_.spoilBody(lot, answer);
   checkAnswered(edge, "the body of " + item, answer);
   bool const missing = book_.checkItem(lot, item, answer, edge.plan.name);
--- a/traffic/warm_up_gate.cpp
+++ b/traffic/warm_up_gate.cpp
@@ -52,7 +52,7 @@
   if (!grantsAnything(limit)) co_return Admission{false, TimePoint::max()};
   CreditClient::Outcome const outcome = co_await credits_.take(worker.id, limit, until);
   if (!outcome.credit) co_return Admission{false, TimePoint::max()};
-  co_return Admission{true, outcome.credit->lapsesAt};
+  co_return Admission{true, outcome.credit->expiresAt};
 }
 
 Task<WarmUpGate::Admission> WarmUpGate::probe(Worker worker, string healthPath, TimePoint until) {
--- a/updates/fleet_view.cpp
+++ b/updates/fleet_view.cpp
@@ -34,11 +34,11 @@
       subscriber_(
           selfOf(settings, std::move(role), std::move(address)), UpdateSubscriber::Timeouts::of(settings.bounds),
           controlSeeds(settings), [&settings](string const& ip) { return settings.controlAddress(ip); }, publisher_),
-      firstAnswer_(io) {
+      firstReplyTimer_(io) {
   publisher_.proof = [this] { return subscriber_.proof(Clock::now()); };
   subscriber_.onRow = [this](TableRow const& row) { applyRow(row); };
   subscriber_.updateSelf = [this](DataNode& self) { confirmRollouts(self); };
-  subscriber_.isHurried = [this] { return awaitsConfirmations(); };
+  subscriber_.needsShortPolls = [this] { return awaitsConfirmations(); };
 }
 
 void FleetView::start(RpcServer& server) {
@@ -71,10 +71,10 @@
 Task<bool> FleetView::carryOut(UpdateSubscriber::Plan plan) {
   TimePoint const sentAt = Clock::now();
   ++requestsSent_;
-  if (sentAt - talliesSentAt_ >= settings_.bounds.inTouch / 32) {
+  if (sentAt - lastTalliesSentAt_ >= settings_.bounds.inTouch / 32) {
     plan.request.tallies = publisher_.takeTallies();
     plan.request.versionTallies = publisher_.takeVersionTallies();
-    talliesSentAt_ = sentAt;
+    lastTalliesSentAt_ = sentAt;
   }
   UpdateReply reply;
   try {
@@ -98,34 +98,34 @@
   co_return good;
 }
 
-Task<void> FleetView::askFirst(Address source) {
-  askedFirst_.insert(source);
+Task<void> FleetView::sendFirstRequest(Address source) {
+  firstRequestSources_.insert(source);
   try {
     co_await carryOut(subscriber_.firstPlan(source, Clock::now()));
   } catch (Error const& error) {
     logDebug("updates", error.what());
     subscriber_.noteFailed(source, Clock::now());
   }
-  askedFirst_.erase(source);
-  firstAnswer_.cancel();
+  firstRequestSources_.erase(source);
+  firstReplyTimer_.cancel();
 }
 
-Task<void> FleetView::pauseFirst(Ms limit) {
-  firstAnswer_.expires_after(limit);
+Task<void> FleetView::waitForFirstReply(Ms limit) {
+  firstReplyTimer_.expires_after(limit);
   error_code ignored;
-  co_await firstAnswer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+  co_await firstReplyTimer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-Task<void> FleetView::getFirstConfiguration() {
+Task<void> FleetView::fetchFirstConfiguration() {
   while (!configuration_) {
     bool const introduced = subscriber_.isIntroduced();
     vector<Address> const sources = subscriber_.firstSources(Clock::now());
     for (Address const& source : sources) {
       if (configuration_ || subscriber_.isIntroduced() != introduced) break;
-      if (askedFirst_.contains(source) || askedFirst_.size() >= maxFirstRequests) continue;
-      spawnTask(io_, "first updates", askFirst(source));
+      if (firstRequestSources_.contains(source) || firstRequestSources_.size() >= maxFirstRequests) continue;
+      spawnTask(io_, "first updates", sendFirstRequest(source));
       // Introductions are small; everything is asked for a second time only if it takes long.
-      co_await pauseFirst(settings_.bounds.inTouch / (introduced ? 50 : 200));
+      co_await waitForFirstReply(settings_.bounds.inTouch / (introduced ? 50 : 200));
     }
     // Sources that fail at once must not be asked in a tight loop.
     bool const nothingCame = !configuration_ && subscriber_.isIntroduced() == introduced;
@@ -134,9 +134,9 @@
 }
 
 Task<void> FleetView::updateLoop() {
-  co_await getFirstConfiguration();
+  co_await fetchFirstConfiguration();
   for (;;) {
-    if (subscriber_.allSourcesRest(Clock::now())) co_await sleepFor(settings_.bounds.inTouch / 60);
+    if (subscriber_.allSourcesBackingOff(Clock::now())) co_await sleepFor(settings_.bounds.inTouch / 60);
     UpdateSubscriber::Plan const plan = subscriber_.plan(Clock::now());
     try {
       co_await carryOut(plan);
@@ -223,7 +223,7 @@
   ++revision_;
 }
 
-bool FleetView::runsAtExcludedVersion() const {
+bool FleetView::hasRequestsAtExcludedVersion() const {
   for (auto const& [id, worker] : workers_) {
     auto const rollout = rollouts_.find(worker.service);
     if (rollout == rollouts_.end() || isAdmitted(rollout->second, worker.version)) continue;
@@ -235,7 +235,7 @@
 void FleetView::confirmRollouts(DataNode& self) const {
   if (self.rolloutDrained == rolloutRevision_) return;
   self.rolloutConfirmed = rolloutRevision_;
-  if (!runsAtExcludedVersion()) self.rolloutDrained = rolloutRevision_;
+  if (!hasRequestsAtExcludedVersion()) self.rolloutDrained = rolloutRevision_;
 }
 
 bool FleetView::awaitsConfirmations() const {
--- a/updates/fleet_view.hpp
+++ b/updates/fleet_view.hpp
@@ -37,12 +37,12 @@
 
   /// True if the node may call itself ready: it has a configuration, and updates not too long ago. One that is cut off
   /// goes on with what it knows, as the workers themselves refuse what is not for them.
-  bool isReady() const { return knowsFleetWithin(5 * settings_.bounds.inTouch); }
+  bool isReady() const { return isUpToDateWithin(5 * settings_.bounds.inTouch); }
   /// True if what is known here is recent.
-  bool isFresh() const { return knowsFleetWithin(settings_.bounds.inTouch / 3); }
+  bool isFresh() const { return isUpToDateWithin(settings_.bounds.inTouch / 3); }
   /// True if the keys that are known here may still be gone by: always, unless the deployment wants nodes to fail
   /// closed.
-  bool mayTrustKeys() const { return !settings_.bounds.failClosed || knowsFleetWithin(settings_.bounds.revokeWithin); }
+  bool mayTrustKeys() const { return !settings_.bounds.failClosed || isUpToDateWithin(settings_.bounds.revokeWithin); }
   /// Control nodes to call, those that failed lately last.
   vector<Address> controlAddresses() const { return subscriber_.controlAddresses(Clock::now()); }
   /// The members of the control plane, as far as they are known here.
@@ -68,14 +68,14 @@
   Counts counts() const;
 
  private:
-  bool knowsFleetWithin(Ms age) const { return configuration_ && Clock::now() - subscriber_.provenAt() < age; }
+  bool isUpToDateWithin(Ms age) const { return configuration_ && Clock::now() - subscriber_.provenAt() < age; }
   Task<void> updateLoop();
   /// Asks the sources that are known, one after the other and a few at once, until the first configuration is there:
   /// first control nodes for an introduction, then the nearest for everything.
-  Task<void> getFirstConfiguration();
-  Task<void> askFirst(Address source);
+  Task<void> fetchFirstConfiguration();
+  Task<void> sendFirstRequest(Address source);
   /// Waits, but no longer than until an answer to a first request came.
-  Task<void> pauseFirst(Ms limit);
+  Task<void> waitForFirstReply(Ms limit);
   /// Sends a planned request and takes its reply; true if its source may be asked on.
   Task<bool> carryOut(UpdateSubscriber::Plan plan);
   void installConfiguration();
@@ -87,7 +87,7 @@
   /// True while a rollout is in its last stage, and all wait for the last confirmations.
   bool awaitsConfirmations() const;
   /// True if this node has a request under way at a worker whose version is excluded.
-  bool runsAtExcludedVersion() const;
+  bool hasRequestsAtExcludedVersion() const;
 
   asio::io_context& io_;
   Settings const& settings_;
@@ -101,9 +101,9 @@
   std::uint64_t rolloutRevision_ = 0;                        ///< highest of those records
   mutable std::map<string, VersionGroups> groupsByService_;  ///< of the revision below
   mutable std::uint64_t groupsRevision_ = 0;
-  std::set<Address> askedFirst_;  ///< sources with a first request under way
-  asio::steady_timer firstAnswer_;
-  TimePoint talliesSentAt_;
+  std::set<Address> firstRequestSources_;  ///< sources with a first request under way
+  asio::steady_timer firstReplyTimer_;
+  TimePoint lastTalliesSentAt_;
   std::uint64_t revision_ = 1;
   std::uint64_t requestsSent_ = 0;
 };
--- a/updates/relay_topology.cpp
+++ b/updates/relay_topology.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 /// Machines whose processor shares are within a power of two of each other count as equals.
-int strengthOf(DataNode const& node) {
+int cpuClassOf(DataNode const& node) {
   return node.cpuThousandths ? std::ilogb(static_cast<double>(node.cpuThousandths)) : -1;
 }
 
 struct Candidate {
-  int weakness = 0;
+  int negatedCpuClass = 0;
   std::uint64_t hash = 0;
   std::size_t index = 0;
   auto operator<=>(Candidate const&) const = default;
@@ -22,7 +22,7 @@
   if (zone.size() <= fanOut) return {};
   vector<Candidate> candidates;
   for (std::size_t i = 0; i < zone.size(); ++i)
-    candidates.push_back({-strengthOf(zone[i]), hash64(zone[i].name, hash64(zone[i].zone)), i});
+    candidates.push_back({-cpuClassOf(zone[i]), hash64(zone[i].name, hash64(zone[i].zone)), i});
   std::sort(candidates.begin(), candidates.end());
   std::size_t const count = (zone.size() + fanOut - 1) / fanOut;
   vector<DataNode> relays;
--- a/updates/update_publisher.cpp
+++ b/updates/update_publisher.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t maxTallies = 4096;
 constexpr std::size_t maxSerializedDeltas = 16;
 /// Counted for each reply beside its content.
-constexpr std::uint64_t replyOverhead = 64;
+constexpr std::uint64_t replyOverheadBytes = 64;
 /// Age of a proof that stands for none.
 constexpr std::int64_t maxProofAgeMs = 1000 * 1000 * 1000;
 }  // namespace
@@ -112,7 +112,7 @@
   reply.commonDigest = common.digest();
   reply.zoneDigest = zone.digest();
   if (reply.healthy && request.isIntroduction) {
-    introduce(request, reply);
+    fillIntroduction(request, reply);
   } else if (reply.healthy) {
     if (newConfiguration) reply.configuration = configuration_;
     if (reply.commonDigest != request.commonDigest) reply.common = serializedDelta(common, request.commonDigest);
@@ -120,11 +120,11 @@
   }
   ++repliesSent_;
   for (TableRow const& member : reply.members) bytesSent_ += member.key.size() + member.value.size();
-  bytesSent_ += reply.configuration.size() + reply.common.size() + reply.zone.size() + replyOverhead;
+  bytesSent_ += reply.configuration.size() + reply.common.size() + reply.zone.size() + replyOverheadBytes;
   return reply;
 }
 
-void UpdatePublisher::introduce(UpdateRequest const& request, UpdateReply& reply) {
+void UpdatePublisher::fillIntroduction(UpdateRequest const& request, UpdateReply& reply) {
   if (reply.zoneDigest != request.zoneDigest)
     reply.zone = serializedDelta(zones[request.self.zone], request.zoneDigest);
   string const prefix(memberRowPrefix);
--- a/updates/update_publisher.hpp
+++ b/updates/update_publisher.hpp
@@ -70,7 +70,7 @@
   bool isRecent(Subscriber const& subscriber, TimePoint now) const;
   Ms holdOf(UpdateRequest const& request) const;
   /// Tells a node that knows nothing whom to ask.
-  void introduce(UpdateRequest const& request, UpdateReply& reply);
+  void fillIntroduction(UpdateRequest const& request, UpdateReply& reply);
   string const& serializedDelta(VersionedTable const& table, std::uint64_t fromDigest);
 
   asio::io_context& io_;
--- a/updates/update_sources.cpp
+++ b/updates/update_sources.cpp
@@ -3,7 +3,7 @@
 namespace tealshelf {
 
 namespace {
-constexpr int maxSourceFailures = 5;
+constexpr int maxSourceBackoffFailures = 5;
 }
 
 void UpdateSources::set(vector<Address> parents, vector<Address> controls) {
@@ -17,24 +17,24 @@
 
 bool UpdateSources::rests(Address const& source, TimePoint now) const {
   auto const failure = failures_.find(source);
-  return failure != failures_.end() && now < failure->second.restsUntil;
+  return failure != failures_.end() && now < failure->second.backoffUntil;
 }
 
 Address UpdateSources::next(TimePoint now) const {
-  Address firstToReturn;
+  Address soonestAvailable;
   TimePoint earliest = TimePoint::max();
   for (vector<Address> const* const sources : {&parents_, &controls_})
     for (Address const& source : *sources) {
       if (!rests(source, now)) return source;
-      TimePoint const restsUntil = failures_.at(source).restsUntil;
-      if (restsUntil >= earliest) continue;
-      earliest = restsUntil;
-      firstToReturn = source;
+      TimePoint const backoffUntil = failures_.at(source).backoffUntil;
+      if (backoffUntil >= earliest) continue;
+      earliest = backoffUntil;
+      soonestAvailable = source;
     }
-  return firstToReturn;
+  return soonestAvailable;
 }
 
-bool UpdateSources::allRest(TimePoint now) const {
+bool UpdateSources::allBackingOff(TimePoint now) const {
   for (vector<Address> const* const sources : {&parents_, &controls_})
     for (Address const& source : *sources)
       if (!rests(source, now)) return false;
@@ -43,12 +43,12 @@
 
 void UpdateSources::noteFailed(Address const& source, TimePoint now) {
   Failure& failure = failures_[source];
-  failure.count = std::min(failure.count + 1, maxSourceFailures);
+  failure.count = std::min(failure.count + 1, maxSourceBackoffFailures);
   randomState_ = randomState_ * 6364136223846793005ull + 1442695040888963407ull;
-  Ms const rest = firstRest_ * (1 << (failure.count - 1));
+  Ms const rest = initialBackoff_ * (1 << (failure.count - 1));
   std::int64_t const maxJitter = std::max<std::int64_t>(1, rest.count() / 2);
   std::uint64_t const jitter = (randomState_ >> 33) % static_cast<std::uint64_t>(maxJitter);
-  failure.restsUntil = now + rest + Ms(static_cast<std::int64_t>(jitter));
+  failure.backoffUntil = now + rest + Ms(static_cast<std::int64_t>(jitter));
 }
 
 vector<Address> UpdateSources::inOrder(TimePoint now) const {
--- a/updates/update_sources.hpp
+++ b/updates/update_sources.hpp
@@ -7,12 +7,13 @@
 /// time, so that many who lose one relay don't all press on the next at once.
 class UpdateSources {
  public:
-  UpdateSources(Ms firstRest, std::uint64_t randomSeed) : firstRest_(firstRest), randomState_(randomSeed) {}
+  UpdateSources(Ms initialBackoff, std::uint64_t randomSeed)
+      : initialBackoff_(initialBackoff), randomState_(randomSeed) {}
   void set(vector<Address> parents, vector<Address> controls);
   /// The first that doesn't rest, relays before control nodes; else the one whose rest ends first.
   Address next(TimePoint now) const;
   /// True if all rest, so that the subscriber should pause.
-  bool allRest(TimePoint now) const;
+  bool allBackingOff(TimePoint now) const;
   bool isParent(Address const& source) const;
   void noteAnswered(Address const& source) { failures_.erase(source); }
   void noteFailed(Address const& source, TimePoint now);
@@ -24,11 +25,11 @@
  private:
   struct Failure {
     int count = 0;  ///< in a row
-    TimePoint restsUntil;
+    TimePoint backoffUntil;
   };
   bool rests(Address const& source, TimePoint now) const;
 
-  Ms firstRest_;
+  Ms initialBackoff_;
   std::uint64_t randomState_;
   vector<Address> parents_, controls_;
   std::map<Address, Failure> failures_;
--- a/updates/update_subscriber.cpp
+++ b/updates/update_subscriber.cpp
@@ -18,7 +18,7 @@
       publisher_(publisher),
       copy_(publisher, self_.zone, timeouts.inTouch / 40),
       sources_(timeouts.inTouch / 4, hash64(self_.name)) {
-  arrangeSources();
+  recomputeSources();
 }
 
 /// Control nodes of this zone first, then the others, then seeds that aren't known as such.
@@ -37,7 +37,7 @@
   return controls;
 }
 
-void UpdateSubscriber::arrangeSources() {
+void UpdateSubscriber::recomputeSources() {
   vector<DataNode> zone;
   for (auto const& [name, row] : publisher_.zones[self_.zone].rows()) zone.push_back(deserialize<DataNode>(row));
   vector<DataNode> const relays = RelayTopology::relaysOf(zone);
@@ -76,7 +76,7 @@
   // relays asks in long ones.
   bool const servesOthers = isRelay_ || publisher_.heldRequests();
   plan.hold = timeouts_.inTouch / (servesOthers ? 32 : plan.fromParent ? 16 : 8);
-  if (isHurried && isHurried()) plan.hold = std::min(plan.hold, timeouts_.inTouch / 80);
+  if (needsShortPolls && needsShortPolls()) plan.hold = std::min(plan.hold, timeouts_.inTouch / 80);
   plan.limit = plan.hold + timeouts_.inTouch / (plan.fromParent ? 16 : 10);
   plan.request = makeRequest(now, plan.hold, false);
   return plan;
@@ -112,7 +112,7 @@
   if (!reply.zone.empty())
     publisher_.zones[self_.zone].apply(deserialize<TableDelta>(reply.zone), [](TableRow const&) {});
   for (TableRow const& row : reply.members) applyMemberRow(row);
-  arrangeSources();
+  recomputeSources();
   return true;
 }
 
@@ -131,7 +131,7 @@
   };
   UpdateCopy::Result const result =
       copy_.apply(reply, sentAt, onCommonChange, [&nodesChanged](TableRow const&) { nodesChanged = true; });
-  if (nodesChanged) arrangeSources();
+  if (nodesChanged) recomputeSources();
   if (result == UpdateCopy::Result::gap) logDebug("updates", plan.source.text() + " gave a delta for another content");
   // A relay that answers but doesn't hear from control itself is left in time.
   bool const fresh = !plan.fromParent || now - copy_.provenAt() <= timeouts_.tooOld;
--- a/updates/update_subscriber.hpp
+++ b/updates/update_subscriber.hpp
@@ -34,7 +34,7 @@
   /// Brings what this node says of itself up to date before a request.
   std::function<void(DataNode&)> updateSelf;
   /// True while answers are awaited that must not be late: the node asks in the shortest turns.
-  std::function<bool()> isHurried;
+  std::function<bool()> needsShortPolls;
 
   Plan plan(TimePoint now);
   /// The request with which a node that has no configuration yet begins: an introduction at any control node, then all
@@ -50,7 +50,7 @@
   void noteFailed(Address const& source, TimePoint now) { sources_.noteFailed(source, now); }
   void noteAnswered(Address const& source) { sources_.noteAnswered(source); }
 
-  bool allSourcesRest(TimePoint now) const { return sources_.allRest(now); }
+  bool allSourcesBackingOff(TimePoint now) const { return sources_.allBackingOff(now); }
   vector<Address> controlAddresses(TimePoint now) const { return sources_.controlAddresses(now); }
   /// The members of the control plane, by the key of their row.
   std::map<string, Member> const& members() const { return members_; }
@@ -63,7 +63,7 @@
 
  private:
   /// Works out anew whom this node asks, and whether it relays.
-  void arrangeSources();
+  void recomputeSources();
   vector<Address> controlsByDistance() const;
   UpdateRequest makeRequest(TimePoint now, Ms hold, bool isFirst);
   void applyMemberRow(TableRow const& row);
--- a/updates/versioned_table.cpp
+++ b/updates/versioned_table.cpp
@@ -60,7 +60,7 @@
   return delta;
 }
 
-bool VersionedTable::leadsToPromise(TableDelta const& delta) const {
+bool VersionedTable::reachesTargetDigest(TableDelta const& delta) const {
   std::uint64_t digest = delta.full ? emptyDigest : digest_;
   std::set<string> named;
   for (TableRow const& row : delta.rows) {
@@ -73,8 +73,8 @@
 }
 
 bool VersionedTable::apply(TableDelta const& delta, std::function<void(TableRow const&)> const& onChange) {
-  bool const fitsBase = delta.full || delta.fromDigest == digest_;
-  if (!fitsBase || !leadsToPromise(delta)) return false;
+  bool const matchesBase = delta.full || delta.fromDigest == digest_;
+  if (!matchesBase || !reachesTargetDigest(delta)) return false;
   vector<string> vanished;
   if (delta.full) {
     std::set<string> named;
--- a/updates/versioned_table.hpp
+++ b/updates/versioned_table.hpp
@@ -44,7 +44,7 @@
   static constexpr std::uint64_t emptyDigest = 0x7ea15be1f0000001ull;
   static std::uint64_t rowHash(string const& key, string const& value);
   void remember(string const& key);
-  bool leadsToPromise(TableDelta const& delta) const;
+  bool reachesTargetDigest(TableDelta const& delta) const;
 
   std::size_t maxHistory_;
   std::map<string, string> rows_;
