--- a/tenants/credit_shard.cpp
+++ b/tenants/credit_shard.cpp
@@ -36,11 +36,11 @@
   Bucket bucket;
   bucket.total = total;
   bucket.refilledAt = now;
-  bool const isNew = firstLimitsAt_ && now - *firstLimitsAt_ > memory();
+  bool const isNew = firstLimitsAt_ && now - *firstLimitsAt_ > retention();
   if (isNew) bucket.tokens = total.burst / divisor(bucket);
   bucket.noGrantsBefore = mayGrantFrom_;
   bool const wasOwnedElsewhere = membership_.exists() && !countsFor(subject, bucket, membership_.formerMembers);
-  if (wasOwnedElsewhere) bucket.noGrantsBefore = now + timing_.shards.takeOver;
+  if (wasOwnedElsewhere) bucket.noGrantsBefore = now + timing_.shards.takeoverDelay;
   return bucket;
 }
 
@@ -63,11 +63,11 @@
     bucket.tokens = std::min(bucket.tokens, total.burst / divisor(bucket));
     // The set of shards depends on the burst.
     if (!counted && countsFor(subject, bucket, membership_.members))
-      bucket.noGrantsBefore = now + timing_.shards.takeOver;
+      bucket.noGrantsBefore = now + timing_.shards.takeoverDelay;
   }
   // What a subject spent must not be forgotten while a window may still hold it, also if it is put back.
   std::erase_if(buckets_,
-                [&](auto const& item) { return !item.second.present && now - item.second.absentSince > memory(); });
+                [&](auto const& item) { return !item.second.present && now - item.second.absentSince > retention(); });
   if (!firstLimitsAt_) firstLimitsAt_ = now;
 }
 
@@ -78,13 +78,13 @@
   for (auto& [name, bucket] : buckets_) refill(bucket, now);
   if (now >= largestMemberCountUntil_) largestMemberCount_ = 0;
   largestMemberCount_ = std::max(largestMemberCount_, before.size());
-  largestMemberCountUntil_ = now + timing_.shards.takeOver;
+  largestMemberCountUntil_ = now + timing_.shards.takeoverDelay;
   membership_ = membership;
   self_ = self;
-  if (!contains(before, self_)) mayGrantFrom_ = now + timing_.shards.takeOver;
+  if (!contains(before, self_)) mayGrantFrom_ = now + timing_.shards.takeoverDelay;
   for (auto& [name, bucket] : buckets_) {
     bool const wasOwnedElsewhere = !countsFor(name, bucket, before) && countsFor(name, bucket, membership_.members);
-    if (wasOwnedElsewhere) bucket.noGrantsBefore = now + timing_.shards.takeOver;
+    if (wasOwnedElsewhere) bucket.noGrantsBefore = now + timing_.shards.takeoverDelay;
     bucket.tokens = std::min(bucket.tokens, bucket.total.burst / divisor(bucket));
   }
 }
--- a/tenants/credit_shard.hpp
+++ b/tenants/credit_shard.hpp
@@ -58,7 +58,7 @@
   void refill(Bucket& bucket, TimePoint now) const;
   Bucket makeBucket(string const& subject, RateAllowance const& total, TimePoint now) const;
   /// How long what was granted may still be in a window.
-  Ms memory() const { return timing_.window + timing_.life; }
+  Ms retention() const { return timing_.window + timing_.life; }
 
   CreditTiming timing_;
   Membership membership_;
--- a/tenants/rate_allowance.hpp
+++ b/tenants/rate_allowance.hpp
@@ -27,8 +27,8 @@
 
 /// The times that keep parts of a limit from being in use twice.
 struct ShardTiming {
-  Ms lease{0};     ///< see shardLease
-  Ms takeOver{0};  ///< a part that may be in use elsewhere is idle for so long first
+  Ms lease{0};          ///< see shardLease
+  Ms takeoverDelay{0};  ///< a part that may be in use elsewhere is idle for so long first
   static ShardTiming of(Bounds const& bounds) { return {shardLease(bounds), shardLease(bounds) + creditLife(bounds)}; }
 };
 
--- a/tenants/shard_choice.cpp
+++ b/tenants/shard_choice.cpp
@@ -23,7 +23,7 @@
   return found != exhausted_.end() && now < found->second;
 }
 
-bool ShardChoice::rests(NodeId shard, TimePoint now) const {
+bool ShardChoice::isBackingOff(NodeId shard, TimePoint now) const {
   auto const found = failures_.find(shard);
   return found != failures_.end() && now < found->second.backoffUntil;
 }
@@ -34,7 +34,7 @@
   std::pair<bool, std::uint64_t> bestRank;
   std::uint64_t const order = hash64(subject, hash64(self_));
   for (Member const& shard : shards) {
-    if (asked.contains(shard.id) || rests(shard.id, now) || isExhausted(shard.id, subject, now)) continue;
+    if (asked.contains(shard.id) || isBackingOff(shard.id, now) || isExhausted(shard.id, subject, now)) continue;
     std::pair<bool, std::uint64_t> const rank(shard.zone != zone_, hash64(shard.name, order));
     if (best && rank >= bestRank) continue;
     best = &shard;
--- a/tenants/shard_choice.hpp
+++ b/tenants/shard_choice.hpp
@@ -45,7 +45,7 @@
     TimePoint backoffUntil;
   };
   bool isExhausted(NodeId shard, string const& subject, TimePoint now) const;
-  bool rests(NodeId shard, TimePoint now) const;
+  bool isBackingOff(NodeId shard, TimePoint now) const;
 
   string self_, zone_;
   Ms initialBackoff_, maxBackoff_, atLimitDuration_;
--- a/tests/configuration/change_simulation_test.cpp
+++ b/tests/configuration/change_simulation_test.cpp
@@ -19,13 +19,13 @@
   return "{\"version\":" + std::to_string(version) + ",\"routes\":[],\"services\":[{\"name\":\"s" +
          std::to_string(mark) + "\"}]}";
 }
-ChangeDecision decideByText(std::map<string, string> const& rows, ChangeRequest const& order) {
+ChangeDecision decideByText(std::map<string, string> const& rows, ChangeRequest const& request) {
   std::map<string, string> current;
   std::map<string, string>::const_iterator const row = rows.find(currentConfigurationKey);
   if (row != rows.end()) current.insert(*row);
-  ChangeDecision decision = decideChange(current, order);
+  ChangeDecision decision = decideChange(current, request);
   if (decision.verdict == ChangeVerdict::tooOld) decision.verdict = ChangeVerdict::conflict;
-  if (row != rows.end() && row->second == order.body) decision.verdict = ChangeVerdict::acknowledgeAgain;
+  if (row != rows.end() && row->second == request.body) decision.verdict = ChangeVerdict::acknowledgeAgain;
   return decision;
 }
 
@@ -38,30 +38,30 @@
     cluster_.run(400);
   }
   /// Plays a day; says what is broken.
-  string play(std::size_t steps) {
+  string run(std::size_t steps) {
     for (std::size_t k = 0; k < steps && cluster_.violation.empty(); ++k) {
       cluster_.step();
       cluster_.check();
-      for (std::size_t const victim : std::exchange(doomed_, {}))
+      for (std::size_t const victim : std::exchange(nodesToFail_, {}))
         if (cluster_.nodes()[victim].up) dice(2) ? cluster_.kill(victim) : cluster_.losePower(victim);
       if (dice(6) == 0) operate();
-      if (dice(120) == 0) trouble();
-      if (dice(60) == 0) relief();
+      if (dice(120) == 0) injectFault();
+      if (dice(60) == 0) repairFault();
     }
     if (!cluster_.violation.empty()) return cluster_.violation;
-    return judge();
+    return checkHistory();
   }
-  std::uint64_t taken = 0, repeated = 0, refused = 0, reads = 0, wipes = 0;
+  std::uint64_t accepted = 0, repeated = 0, refused = 0, reads = 0, wipes = 0;
 
  private:
   struct Sent {
-    ChangeId identity;
-    ChangeRequest order;
+    ChangeId id;
+    ChangeRequest request;
   };
   struct Owner {
     std::uint64_t life = 0, turn = 0;
     bool busy = false;
-    UndecidedChange unsettled;
+    UndecidedChange undecided;
   };
   std::uint64_t dice(std::uint64_t n) { return cluster_.dice(n); }
 
@@ -75,9 +75,9 @@
       ++repeated;
       return send(node, sent_[sent_.size() - 1 - dice(recent)]);
     }
-    std::uint64_t const base = seen_;
-    ChangeRequest const order{std::to_string(base), configuration(base + 1 + dice(3), dice(1000000))};
-    sent_.push_back(Sent{ChangeId{base, sha256(canonicalJson(order.body))}, order});
+    std::uint64_t const base = highestVersionRead_;
+    ChangeRequest const request{std::to_string(base), configuration(base + 1 + dice(3), dice(1000000))};
+    sent_.push_back(Sent{ChangeId{base, sha256(canonicalJson(request.body))}, request});
     send(node, sent_.back());
     if (dice(3) == 0) operate();
   }
@@ -98,10 +98,10 @@
     return owner;
   }
   /// Trouble may strike the owner at each stage of an order.
-  void stage(std::size_t node) {
-    if (dice(25) == 0) doomed_.insert(node);
+  void maybeFailLater(std::size_t node) {
+    if (dice(25) == 0) nodesToFail_.insert(node);
   }
-  void confirmed(std::size_t node, std::function<void(bool)> then) {
+  void afterConfirmation(std::size_t node, std::function<void(bool)> then) {
     if (rules_ == Rules::withoutConfirm) return then(true);
     cluster_.begin(
         node, [this](Consensus& c) { return c.confirmOwnership("configuration", cluster_.now()); }, std::move(then));
@@ -110,43 +110,43 @@
     TimePoint const from = cluster_.now();
     std::optional<std::size_t> const node = serving(asked);
     if (!node) return;
-    confirmed(*node, [this, from, node = *node](bool ok) {
+    afterConfirmation(*node, [this, from, node = *node](bool ok) {
       if (!ok) return;
       std::map<string, string> const& rows = cluster_.nodes()[node].consensus->committedValues("configuration");
       std::map<string, string>::const_iterator const current = rows.find(currentConfigurationKey);
       std::uint64_t const version = current == rows.end() ? 0 : compileConfiguration(current->second)->version;
-      seen_ = std::max(seen_, version);
+      highestVersionRead_ = std::max(highestVersionRead_, version);
       checker_.reads.push_back({from, cluster_.now(), version});
       ++reads;
     });
   }
   void send(std::size_t asked, Sent const& sent) {
     std::size_t const index = checker_.attempts.size();
-    checker_.attempts.push_back({sent.identity, cluster_.now(), TimePoint(), sim::Answer::none});
+    checker_.attempts.push_back({sent.id, cluster_.now(), TimePoint(), sim::Answer::none});
     std::optional<std::size_t> const node = serving(asked);
     if (!node || ownerState(*node).busy) return;
     Owner& owner = ownerState(*node);
     owner.busy = true;
     std::uint64_t const turn = ++owner.turn;
-    stage(*node);
-    confirmed(*node, [this, index, turn, node = *node, order = sent.order](bool ok) {
+    maybeFailLater(*node);
+    afterConfirmation(*node, [this, index, turn, node = *node, request = sent.request](bool ok) {
       Owner& state = ownerState(node);
       if (state.turn != turn) return;
       if (ok)
-        judgeAt(node, index, order);
+        decideAt(node, index, request);
       else
         state.busy = false;
     });
   }
-  void judgeAt(std::size_t node, std::size_t index, ChangeRequest const& order) {
+  void decideAt(std::size_t node, std::size_t index, ChangeRequest const& request) {
     Consensus& consensus = *cluster_.nodes()[node].consensus;
     Owner& owner = ownerState(node);
     std::map<string, string> const& rows = consensus.committedValues("configuration");
     std::uint64_t const epoch = consensus.epochOf("configuration").number;
     owner.busy = false;
-    if (rules_ != Rules::ignoresUndecided && owner.unsettled.isOpen(epoch, rows)) return;
+    if (rules_ != Rules::ignoresUndecided && owner.undecided.isOpen(epoch, rows)) return;
     ChangeDecision const decision =
-        rules_ == Rules::currentTextOnly ? decideByText(rows, order) : decideChange(rows, order, shape_);
+        rules_ == Rules::currentTextOnly ? decideByText(rows, request) : decideChange(rows, request, shape_);
     if (decision.verdict == ChangeVerdict::acknowledgeAgain) return answer(index, sim::Answer::acknowledged);
     if (decision.verdict == ChangeVerdict::conflict || decision.verdict == ChangeVerdict::invalid)
       return answer(index, sim::Answer::refused);
@@ -154,9 +154,9 @@
     vector<KeyChange> changes;
     for (ChangeHistory::Row const& row : decision.rows) changes.push_back({row.key, row.value, false});
     owner.busy = true;
-    owner.unsettled.begin(decision.id, epoch);
+    owner.undecided.begin(decision.id, epoch);
     std::uint64_t const turn = ++owner.turn;
-    stage(node);
+    maybeFailLater(node);
     cluster_.begin(
         node, [&](Consensus& c) { return c.propose("configuration", changes, cluster_.now()); },
         [this, index, turn, node](bool ok) {
@@ -164,8 +164,8 @@
           if (state.turn != turn) return;
           state.busy = false;
           if (!ok) return;
-          state.unsettled.settle();
-          stage(node);
+          state.undecided.settle();
+          maybeFailLater(node);
           answer(index, sim::Answer::acknowledged);
         });
     // The wait for the end is bounded: at times the owner gives up on it and serves others.
@@ -179,20 +179,20 @@
     attempt.answer = given;
     if (given == sim::Answer::refused) ++refused;
   }
-  void trouble() {
+  void injectFault() {
     std::size_t const count = cluster_.nodes().size(), i = dice(count);
     sim::Cluster::Node& x = cluster_.nodes()[i];
-    std::size_t thin = 0, away = 0;
+    std::size_t withoutDisk = 0, unavailable = 0;
     for (sim::Cluster::Node const& y : cluster_.nodes()) {
-      thin += !y.diskHoldsAllKeys;
-      away += !y.up || y.frozen;
+      withoutDisk += !y.diskHoldsAllKeys;
+      unavailable += !y.up || y.frozen;
     }
     switch (dice(5)) {
       case 0:
-        if (x.up && away < 2) dice(2) ? cluster_.losePower(i) : cluster_.kill(i);
+        if (x.up && unavailable < 2) dice(2) ? cluster_.losePower(i) : cluster_.kill(i);
         break;
       case 1:
-        if (x.up && away < 2) x.frozen = true;
+        if (x.up && unavailable < 2) x.frozen = true;
         break;
       case 2:
         for (std::size_t j = 0; j < count; ++j) {
@@ -204,12 +204,12 @@
         cluster_.loss = dice(3) * 0.1;
         break;
       default:
-        if (thin || away) break;
+        if (withoutDisk || unavailable) break;
         cluster_.wipe(i);
         ++wipes;
     }
   }
-  void relief() {
+  void repairFault() {
     std::size_t const i = dice(cluster_.nodes().size());
     sim::Cluster::Node& x = cluster_.nodes()[i];
     if (!x.up)
@@ -223,14 +223,14 @@
       cluster_.cuts.clear();
   }
   /// All is healed; the chain that is in force then must explain the whole history.
-  string judge() {
+  string checkHistory() {
     cluster_.heal();
     cluster_.run(2500);
     for (sim::Cluster::Node& x : cluster_.nodes()) {
       if (!x.consensus->owns("configuration")) continue;
       std::map<string, string> const& rows = x.consensus->committedValues("configuration");
       ChangeHistory const history(rows, currentVersion(rows));
-      taken = history.changes().size();
+      accepted = history.changes().size();
       return checker_.check(history.changes());
     }
     return "nobody owns the configuration after all was healed";
@@ -242,12 +242,12 @@
   vector<Owner> owners_;
   vector<Sent> sent_;
   sim::LinearizabilityChecker checker_;
-  std::uint64_t seen_ = 0;
-  std::set<std::size_t> doomed_;
+  std::uint64_t highestVersionRead_ = 0;
+  std::set<std::size_t> nodesToFail_;
 };
-bool caught(Rules rules, std::uint64_t most) {
-  for (std::uint64_t seed = 1; seed <= most; ++seed)
-    if (!ChangesSimulation(seed, 4, rules).play(3000).empty()) return true;
+bool isDetected(Rules rules, std::uint64_t maxSeeds) {
+  for (std::uint64_t seed = 1; seed <= maxSeeds; ++seed)
+    if (!ChangesSimulation(seed, 4, rules).run(3000).empty()) return true;
   return false;
 }
 }  // namespace
@@ -255,30 +255,30 @@
 TEST_GROUP(changeSimulation){};
 
 TEST(changeSimulation, everyHistoryIsLinearizable) {
-  std::uint64_t taken = 0, repeated = 0, refused = 0, reads = 0, wipes = 0;
+  std::uint64_t accepted = 0, repeated = 0, refused = 0, reads = 0, wipes = 0;
   for (std::uint64_t seed = 1; seed <= changeSeeds(); ++seed) {
     ChangesSimulation simulation(seed, 3 + seed % 3, Rules::real);
-    string const fault = simulation.play(3000);
+    string const fault = simulation.run(3000);
     if (!fault.empty()) FAIL(("seed " + std::to_string(seed) + ": " + fault).c_str());
-    taken += simulation.taken;
+    accepted += simulation.accepted;
     repeated += simulation.repeated;
     refused += simulation.refused;
     reads += simulation.reads;
     wipes += simulation.wipes;
   }
-  string const totals = std::to_string(taken) + " taken, " + std::to_string(repeated) + " sent again, " +
+  string const totals = std::to_string(accepted) + " accepted, " + std::to_string(repeated) + " sent again, " +
                         std::to_string(refused) + " refused, " + std::to_string(reads) + " reads, " +
                         std::to_string(wipes) + " disks wiped";
   UT_PRINT(totals.c_str());
-  CHECK(taken > 10 * changeSeeds() && repeated > taken && refused > changeSeeds() && reads > changeSeeds() &&
+  CHECK(accepted > 10 * changeSeeds() && repeated > accepted && refused > changeSeeds() && reads > changeSeeds() &&
         wipes > 0);
 }
 TEST(changeSimulation, decidingByTheCurrentTextAloneIsDetected) {
-  CHECK(caught(Rules::currentTextOnly, 100));
+  CHECK(isDetected(Rules::currentTextOnly, 100));
 }
 TEST(changeSimulation, anOwnerThatDoesNotConfirmItsOwnershipIsDetected) {
-  CHECK(caught(Rules::withoutConfirm, 300));
+  CHECK(isDetected(Rules::withoutConfirm, 300));
 }
 TEST(changeSimulation, decidingDuringAnUndecidedChangeIsDetected) {
-  CHECK(caught(Rules::ignoresUndecided, 300));
+  CHECK(isDetected(Rules::ignoresUndecided, 300));
 }
--- a/tests/tenants/quota_fleet_sim.hpp
+++ b/tests/tenants/quota_fleet_sim.hpp
@@ -43,12 +43,12 @@
       now_ = TimePoint(Ms(1000000) + now);
       if (faults_.limitIsLowered && now == length / 3) configure(rate_ / 2);
       if (faults_.limitIsLowered && now == 2 * length / 3) configure(rate_);
-      for (Node& node : nodes_) live(node);
-      if (pick(hasCrashLoops_ ? 8 : 40) == 0) trouble();
+      for (Node& node : nodes_) advance(node);
+      if (pick(hasCrashLoops_ ? 8 : 40) == 0) injectFault();
       replaceUnreachable();
       // Edges rest now and then, so that buckets fill.
-      bool const resting = (now / Ms(4000)) % 4 == 3;
-      if (!resting) requestCredits();
+      bool const idle = (now / Ms(4000)) % 4 == 3;
+      if (!idle) requestCredits();
     }
     return largestShare();
   }
@@ -59,7 +59,7 @@
     Member self;
     double clockRate = 1;
     bool up = true, cut = false;
-    TimePoint upAgainAt, healsAt, lastContact;
+    TimePoint restartsAt, healsAt, lastContact;
     std::unique_ptr<QuotaShard> shard;
     Membership known;
     std::uint64_t configurationSeen = 0;
@@ -67,7 +67,7 @@
 
   std::uint64_t pick(std::uint64_t below) { return random_() % below; }
   /// What a node's own clock shows.
-  TimePoint clockOf(Node const& node, TimePoint at) const {
+  TimePoint localTime(Node const& node, TimePoint at) const {
     return TimePoint(std::chrono::duration_cast<Clock::duration>(node.clockRate * at.time_since_epoch()));
   }
 
@@ -90,25 +90,25 @@
 
   void start(Node& node) {
     ShardTiming timing = ShardTiming::of(bounds_);
-    if (faults_.skipsTakeoverDelay) timing.takeOver = Ms(0);
+    if (faults_.skipsTakeoverDelay) timing.takeoverDelay = Ms(0);
     node.shard = std::make_unique<QuotaShard>(bounds_, timing);
     node.configurationSeen = 0;
     node.up = true;
     // From its disk.
-    if (node.known.exists()) node.shard->setMembership(node.known, node.self, clockOf(node, now_));
+    if (node.known.exists()) node.shard->setMembership(node.known, node.self, localTime(node, now_));
     // A full bucket is what a process has that has counted for long.
     if (faults_.restartsWithFullBuckets) {
-      node.shard->setConfiguration(std::make_shared<Configuration>(), clockOf(node, now_) - 3 * bounds_.quotaWindow);
+      node.shard->setConfiguration(std::make_shared<Configuration>(), localTime(node, now_) - 3 * bounds_.quotaWindow);
     }
   }
 
   void install(Node& node) {
     node.known = membership_;
-    node.shard->setMembership(membership_, node.self, clockOf(node, now_));
+    node.shard->setMembership(membership_, node.self, localTime(node, now_));
   }
 
-  void live(Node& node) {
-    if (!node.up && now_ >= node.upAgainAt) start(node);
+  void advance(Node& node) {
+    if (!node.up && now_ >= node.restartsAt) start(node);
     if (node.cut && now_ >= node.healsAt) node.cut = false;
     if (!node.up || node.cut) return;
     node.lastContact = now_;
@@ -116,7 +116,7 @@
     if (learns && node.known.number != membership_.number) install(node);
     if (learns && node.configurationSeen != version_) {
       node.configurationSeen = version_;
-      node.shard->setConfiguration(configuration_, clockOf(node, now_));
+      node.shard->setConfiguration(configuration_, localTime(node, now_));
     }
   }
 
@@ -126,12 +126,12 @@
   }
 
   /// Kills a node or cuts one off, for longer than it takes to replace it, too.
-  void trouble() {
+  void injectFault() {
     Node& node = nodes_[pick(nodes_.size())];
     Ms const duration(hasCrashLoops_ ? 40 + pick(100) : 200 + pick(20000));
     if (hasCrashLoops_ || pick(2)) {
       node.up = false;
-      node.upAgainAt = now_ + duration;
+      node.restartsAt = now_ + duration;
     } else {
       node.cut = true;
       node.healsAt = now_ + duration;
@@ -144,17 +144,17 @@
     for (std::size_t i = 0; i < nodes_.size() && nodes_.size() < maxNodes; ++i) {
       bool const silent = isMember(nodes_[i]) && now_ - nodes_[i].lastContact > deadAfter;
       if (!silent || nodes_[i].lastContact == TimePoint()) continue;
-      NodeId const gone = nodes_[i].self.id;
+      NodeId const replaced = nodes_[i].self.id;
       Membership next;
       next.number = MembershipNumber(membership_.number.value + 1);
       next.formerMembers = membership_.members;
       next.members = membership_.members;
       if (pick(2) && next.members.size() > 3) {
-        std::erase_if(next.members, [gone](Member const& member) { return member.id == gone; });
+        std::erase_if(next.members, [replaced](Member const& member) { return member.id == replaced; });
       } else {
         addNode();
         for (Member& member : next.members)
-          if (member.id == gone) member = nodes_.back().self;
+          if (member.id == replaced) member = nodes_.back().self;
       }
       membership_ = next;
       if (isMember(nodes_.back())) install(nodes_.back());
@@ -168,10 +168,10 @@
       for (Node& node : nodes_) {
         if (!node.up) continue;
         TimePoint const contact = faults_.ignoresLease ? now_ : node.lastContact;
-        TakeCreditReply const reply = node.shard->take("t", clockOf(node, contact), clockOf(node, now_));
+        TakeCreditReply const reply = node.shard->take("t", localTime(node, contact), localTime(node, now_));
         if (reply.verdict != CreditVerdict::granted) continue;
-        Ms const kept(static_cast<std::int64_t>(pick(static_cast<std::uint64_t>(creditLife(bounds_).count()))));
-        spends_.push_back(now_ + kept);
+        Ms const delay(static_cast<std::int64_t>(pick(static_cast<std::uint64_t>(creditLife(bounds_).count()))));
+        spends_.push_back(now_ + delay);
       }
   }
 
--- a/tests/updates/updates_sim.hpp
+++ b/tests/updates/updates_sim.hpp
@@ -20,8 +20,8 @@
     bool up = true, frozen = false;
     std::unique_ptr<UpdatePublisher> publisher;
     struct Held {
-      UpdateRequest ask;
-      TimePoint came;
+      UpdateRequest request;
+      TimePoint receivedAt;
       Address from;
       std::uint64_t id;
       bool crowded;
@@ -30,26 +30,26 @@
   };
   struct Control : Server {
     Member self;
-    TimePoint proven;
-    std::size_t known = 0;  ///< commits taken in
+    TimePoint provenAt;
+    std::size_t appliedCommits = 0;
     bool healthy = true;
   };
   struct Node : Server {
     DataNode row;
-    std::unique_ptr<UpdateSubscriber> node;
-    std::optional<UpdateSubscriber::Plan> asking;
+    std::unique_ptr<UpdateSubscriber> subscriber;
+    std::optional<UpdateSubscriber::Plan> pendingPlan;
     std::uint64_t id = 0, version = 0;
-    TimePoint sent, wake, calmSince;
+    TimePoint sentAt, nextRequestAt, lastFaultAt;
     std::map<string, string> workers;
   };
   struct Commit {
     std::uint64_t configuration = 0;
     string key, value;
-    bool gone = false;
+    bool removed = false;
     TimePoint at;
   };
 
-  Fleet(std::uint64_t seed, Config c) : g_(seed), conf_(c), controls_(c.controls), nodes_(c.zones * c.perZone) {
+  Fleet(std::uint64_t seed, Config c) : random_(seed), config_(c), controls_(c.controls), nodes_(c.zones * c.perZone) {
     for (std::size_t i = 0; i < controls_.size(); ++i) {
       Control& x = controls_[i];
       x.name = "c" + std::to_string(i);
@@ -57,7 +57,7 @@
       x.self = Member{NodeId(i + 1), x.name, x.at.ip, zoneName(i % c.zones), true};
       makePublisher(x, 0);
       Control* const p = &x;
-      x.publisher->proof = [p] { return UpdatePublisher::Proof{p->healthy, 0, p->proven}; };
+      x.publisher->proof = [p] { return UpdatePublisher::Proof{p->healthy, 0, p->provenAt}; };
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       Node& x = nodes_[i];
@@ -72,7 +72,7 @@
   std::set<std::pair<string, string>> cuts;  ///< one-way, by name
   string broken;
   std::uint64_t fullDeltas = 0, deltas = 0;
-  std::uint64_t dice(std::uint64_t n) { return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(g_); }
+  std::uint64_t dice(std::uint64_t n) { return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(random_); }
   vector<Control>& controls() { return controls_; }
   vector<Node>& nodes() { return nodes_; }
   TimePoint now() const { return now_; }
@@ -81,17 +81,17 @@
   void commitConfiguration() { commits_.push_back({++version_, "", "", false, now_}); }
   void commitWorker() {
     string const key = "w/i" + std::to_string(dice(60));
-    bool const gone = dice(3) == 0;
-    commits_.push_back({0, key, gone ? "" : "v" + std::to_string(commits_.size()), gone, now_});
+    bool const removed = dice(3) == 0;
+    commits_.push_back({0, key, removed ? "" : "v" + std::to_string(commits_.size()), removed, now_});
   }
   void kill(Node& x) {
     x.up = false;
     x.held.clear();
-    x.asking.reset();
+    x.pendingPlan.reset();
   }
   void start(Node& x) {
     x.held.clear();
-    x.asking.reset();
+    x.pendingPlan.reset();
     x.workers.clear();
     x.version = 0;
     x.up = true;
@@ -99,42 +99,42 @@
     makePublisher(x, 2 * RelayTopology::fanOut);
     vector<Address> seeds;
     for (std::size_t i = 0; i < 3 && i < controls_.size(); ++i) seeds.push_back(controls_[i].at);
-    x.node = std::make_unique<UpdateSubscriber>(
+    x.subscriber = std::make_unique<UpdateSubscriber>(
         x.row, UpdateSubscriber::Timeouts::of(settings_.bounds), seeds,
         [](string const& ip) {
           return Address{ip, 1};
         },
         *x.publisher);
-    UpdateSubscriber* const n = x.node.get();
+    UpdateSubscriber* const n = x.subscriber.get();
     x.publisher->proof = [this, n] { return n->proof(now_); };
-    Node* const p = &x;
-    x.node->onRow = [this, p](TableRow const& r) {
-      if (r.key[0] != 'w' || (conf_.rowsAreDropped && dice(50) == 0)) return;
+    Node* const node = &x;
+    x.subscriber->onRow = [this, node](TableRow const& r) {
+      if (r.key[0] != 'w' || (config_.rowsAreDropped && dice(50) == 0)) return;
       if (r.removed)
-        p->workers.erase(r.key);
+        node->workers.erase(r.key);
       else
-        p->workers[r.key] = r.value;
+        node->workers[r.key] = r.value;
     };
-    x.wake = now_ + Ms(dice(20));
-    x.calmSince = now_;
+    x.nextRequestAt = now_ + Ms(dice(20));
+    x.lastFaultAt = now_;
   }
   /// A trouble at a node: it is not in touch until so long after it.
-  void touch(Node& x) { x.calmSince = now_; }
-  void touchAll() {
-    for (Node& x : nodes_) touch(x);
+  void noteFault(Node& x) { x.lastFaultAt = now_; }
+  void noteFaultEverywhere() {
+    for (Node& x : nodes_) noteFault(x);
   }
 
   void step() {
     now_ += Ms(5);
     for (Control& c : controls_) runControl(c);
-    if (++turn_ % 20 == 0) listNodes();
+    if (++steps_ % 20 == 0) listNodes();
     for (Node& x : nodes_) runNode(x);
-    while (!net_.empty() && net_.begin()->first <= now_) {
-      std::function<void()> const f = std::move(net_.begin()->second);
-      net_.erase(net_.begin());
+    while (!messagesInFlight_.empty() && messagesInFlight_.begin()->first <= now_) {
+      std::function<void()> const f = std::move(messagesInFlight_.begin()->second);
+      messagesInFlight_.erase(messagesInFlight_.begin());
       f();
     }
-    if (turn_ % 4 == 0) check();
+    if (steps_ % 4 == 0) check();
   }
   void run(std::size_t steps) {
     for (std::size_t i = 0; i < steps && broken.empty(); ++i) step();
@@ -153,8 +153,8 @@
     }
   }
   /// Asks held or in flight at a server.
-  std::size_t asksAt(Server const& s) const { return s.held.size(); }
-  bool relays(Node const& x) const { return x.node->isRelay(); }
+  std::size_t heldRequestsAt(Server const& s) const { return s.held.size(); }
+  bool relays(Node const& x) const { return x.subscriber->isRelay(); }
 
  private:
   static string zoneName(std::size_t i) { return "z" + std::to_string(i); }
@@ -164,19 +164,19 @@
   void makePublisher(Server& s, std::size_t most) {
     s.publisher = std::make_unique<UpdatePublisher>(io_, settings_, most);
   }
-  bool passes(string const& a, string const& b) {
+  bool isDelivered(string const& a, string const& b) {
     if (cuts.count({a, b})) return false;
-    return std::uniform_real_distribution<>(0, 1)(g_) >= loss;
+    return std::uniform_real_distribution<>(0, 1)(random_) >= loss;
   }
   void runControl(Control& c) {
     if (!c.up || c.frozen) return;
     if (c.healthy) {
-      c.proven = std::max(c.proven, now_ - Ms(dice(200)));
-      while (c.known < commits_.size() && now_ - commits_[c.known].at >= Ms(dice(60))) {
-        Commit const& k = commits_[c.known++];
+      c.provenAt = std::max(c.provenAt, now_ - Ms(dice(200)));
+      while (c.appliedCommits < commits_.size() && now_ - commits_[c.appliedCommits].at >= Ms(dice(60))) {
+        Commit const& k = commits_[c.appliedCommits++];
         if (k.configuration)
           c.publisher->setConfiguration(k.configuration, "configuration " + std::to_string(k.configuration));
-        else if (k.gone)
+        else if (k.removed)
           c.publisher->common.erase(k.key);
         else
           c.publisher->common.put(k.key, k.value);
@@ -212,28 +212,28 @@
   void runNode(Node& x) {
     if (!x.up || x.frozen) return;
     answerHeld(x, x.name);
-    if (x.asking) {
-      if (now_ > x.sent + x.asking->limit) {
-        x.node->noteFailed(x.asking->source, now_);
-        x.asking.reset();
+    if (x.pendingPlan) {
+      if (now_ > x.sentAt + x.pendingPlan->timeout) {
+        x.subscriber->noteFailed(x.pendingPlan->source, now_);
+        x.pendingPlan.reset();
       }
       return;
     }
-    if (now_ < x.wake) return;
-    if (x.node->allSourcesBackingOff(now_)) x.wake = now_ + Ms(60);
+    if (now_ < x.nextRequestAt) return;
+    if (x.subscriber->allSourcesBackingOff(now_)) x.nextRequestAt = now_ + Ms(60);
     if (!x.publisher->configurationVersion()) {
-      vector<Address> const l = x.node->controlAddresses(now_);
-      x.asking = x.node->firstPlan(l[dice(l.size())], now_);
+      vector<Address> const l = x.subscriber->controlAddresses(now_);
+      x.pendingPlan = x.subscriber->firstPlan(l[dice(l.size())], now_);
     } else {
-      x.asking = x.node->plan(now_);
+      x.pendingPlan = x.subscriber->plan(now_);
     }
-    x.sent = now_;
+    x.sentAt = now_;
     std::uint64_t const id = x.id = ++lastId_;
-    Server* const to = at(x.asking->source);
-    if (!to || !passes(x.name, to->name)) return;
-    UpdateRequest const q = x.asking->request;
+    Server* const to = at(x.pendingPlan->source);
+    if (!to || !isDelivered(x.name, to->name)) return;
+    UpdateRequest const q = x.pendingPlan->request;
     Address const from = x.at;
-    net_.emplace(now_ + Ms(1 + dice(3)), [this, to, q, from, id] {
+    messagesInFlight_.emplace(now_ + Ms(1 + dice(3)), [this, to, q, from, id] {
       if (!to->up) return;
       to->publisher->noteSubscriber(q, now_);
       bool const crowded = isAtHoldLimit(*to);
@@ -244,7 +244,7 @@
   void answerHeld(Server& s, string const& name) {
     vector<Server::Held> keep;
     for (Server::Held& h : s.held) {
-      std::optional<UpdateReply> r = s.publisher->answerIfDue(h.ask, h.came, now_, h.crowded);
+      std::optional<UpdateReply> r = s.publisher->answerIfDue(h.request, h.receivedAt, now_, h.crowded);
       if (!r) {
         keep.push_back(std::move(h));
         continue;
@@ -257,27 +257,27 @@
           ++deltas;
       }
       Server* const to = at(h.from);
-      if (!to || !passes(name, to->name)) continue;
+      if (!to || !isDelivered(name, to->name)) continue;
       std::uint64_t const id = h.id;
       Address const from = h.from;
-      net_.emplace(now_ + Ms(1 + dice(3)), [this, from, id, r = std::move(*r)] {
+      messagesInFlight_.emplace(now_ + Ms(1 + dice(3)), [this, from, id, r = std::move(*r)] {
         for (Node& x : nodes_) {
-          if (x.at != from || !x.up || x.frozen || !x.asking || x.id != id) continue;
-          UpdateSubscriber::Plan const p = std::move(*x.asking);
-          x.asking.reset();
-          x.node->receive(p, r, x.sent, now_);
-          x.wake = now_ + Ms(5);
+          if (x.at != from || !x.up || x.frozen || !x.pendingPlan || x.id != id) continue;
+          UpdateSubscriber::Plan const p = std::move(*x.pendingPlan);
+          x.pendingPlan.reset();
+          x.subscriber->receive(p, r, x.sentAt, now_);
+          x.nextRequestAt = now_ + Ms(5);
         }
       });
     }
     s.held = std::move(keep);
   }
   void tamper(UpdateReply& r, string const& name) {
-    if (conf_.relaysReportFalseAge && name[0] == 'n') {
+    if (config_.relaysReportFalseAge && name[0] == 'n') {
       r.proofAgeMs = 0;
       r.healthy = true;
     }
-    if (conf_.deltasLoseRows && name[0] == 'n' && !r.common.empty() && dice(10) == 0) {
+    if (config_.deltasLoseRows && name[0] == 'n' && !r.common.empty() && dice(10) == 0) {
       VersionedTable b(8);
       TableDelta d = deserialize<TableDelta>(r.common);
       if (!d.full || d.rows.size() < 2) return;
@@ -291,14 +291,14 @@
     for (Node& x : nodes_) {
       if (!x.up) continue;
       std::uint64_t v = x.publisher->configurationVersion();
-      if (conf_.configurationsRollBack && v > 3 && dice(400) == 0) {
+      if (config_.configurationsRollBack && v > 3 && dice(400) == 0) {
         x.publisher->setConfiguration(v - 1, "old");
         v = v - 1;
       }
       if (v < x.version)
         fail(x.name + " went back from configuration " + std::to_string(x.version) + " to " + std::to_string(v));
       x.version = v;
-      if (x.frozen || now_ - x.calmSince < Ms(settings_.bounds.inTouch)) continue;
+      if (x.frozen || now_ - x.lastFaultAt < Ms(settings_.bounds.inTouch)) continue;
       // In touch: what was committed so long ago must be in force.
       for (std::size_t i = commits_.size(); i-- > 0;) {
         Commit const& k = commits_[i];
@@ -307,25 +307,25 @@
         if (k.configuration && v < k.configuration)
           fail(x.name + " in touch has configuration " + std::to_string(v) + ", " + std::to_string(k.configuration) +
                " was acknowledged long ago");
-        if (!k.configuration && k.gone && x.workers.count(k.key)) {
+        if (!k.configuration && k.removed && x.workers.count(k.key)) {
           bool again = false;
           for (std::size_t j = i + 1; j < commits_.size(); ++j) again = again || commits_[j].key == k.key;
-          if (!again) fail(x.name + " in touch still knows a worker that is gone");
+          if (!again) fail(x.name + " in touch still knows a removed worker");
         }
       }
     }
   }
 
-  std::mt19937_64 g_;
-  Config conf_;
+  std::mt19937_64 random_;
+  Config config_;
   asio::io_context io_;
   Settings settings_;
   vector<Control> controls_;
   vector<Node> nodes_;
   vector<Commit> commits_;
-  std::uint64_t version_ = 0, lastId_ = 0, turn_ = 0;
+  std::uint64_t version_ = 0, lastId_ = 0, steps_ = 0;
   TimePoint now_ = TimePoint() + std::chrono::hours(1);
-  std::multimap<TimePoint, std::function<void()>> net_;
+  std::multimap<TimePoint, std::function<void()>> messagesInFlight_;
 };
 
 }  // namespace tealshelf::sim
--- a/tests/updates/updates_test.cpp
+++ b/tests/updates/updates_test.cpp
@@ -9,7 +9,7 @@
 constexpr std::uint64_t updateSeeds = 6;
 
 /// A day of random troubles; says which invariant broke, if any.
-string play(std::uint64_t seed, sim::Fleet::Config c) {
+string runScenario(std::uint64_t seed, sim::Fleet::Config c) {
   sim::Fleet f(seed, c);
   f.commitConfiguration();
   f.run(400);
@@ -24,33 +24,33 @@
       case 0:
       case 1:
         if (x.up) f.kill(x);
-        f.touch(x);
+        f.noteFault(x);
         break;
       case 2:
       case 3:
       case 4:
         if (!x.up) {
           f.start(x);
-          f.touch(x);
+          f.noteFault(x);
         } else if (x.frozen) {
           x.frozen = false;
-          f.touch(x);
+          f.noteFault(x);
         }
         break;
       case 5:
         if (x.up) {
           x.frozen = true;
-          f.touch(x);
+          f.noteFault(x);
         }
         break;
       case 6:  // a node is cut off from all control nodes, one way; it still answers its children
         for (sim::Fleet::Control const& m : f.controls()) f.cuts.insert({x.name, m.name});
-        f.touch(x);
+        f.noteFault(x);
         break;
       case 7: {
         for (std::pair<string, string> const& p : f.cuts)
           for (sim::Fleet::Node& n : f.nodes())
-            if (p.first == n.name || p.second == n.name) f.touch(n);
+            if (p.first == n.name || p.second == n.name) f.noteFault(n);
         f.cuts.clear();
         break;
       }
@@ -59,7 +59,7 @@
         break;
       case 9:
         f.loss = f.dice(2) * 0.02;
-        f.touchAll();
+        f.noteFaultEverywhere();
         break;
       default:
         break;
@@ -68,10 +68,10 @@
     std::size_t ill = 0;
     for (sim::Fleet::Control& m : f.controls())
       if (!m.healthy && ++ill > 1) m.healthy = true;
-    if (f.loss > 0) f.touchAll();
+    if (f.loss > 0) f.noteFaultEverywhere();
     for (std::pair<string, string> const& p : f.cuts)
       for (sim::Fleet::Node& n : f.nodes())
-        if (p.first == n.name || p.second == n.name) f.touch(n);
+        if (p.first == n.name || p.second == n.name) f.noteFault(n);
   }
   f.cuts.clear();
   f.loss = 0;
@@ -79,7 +79,7 @@
   for (sim::Fleet::Node& n : f.nodes()) {
     if (!n.up) f.start(n);
     n.frozen = false;
-    f.touch(n);
+    f.noteFault(n);
   }
   f.run(1200);
   if (f.broken.empty()) f.checkEqual();
@@ -109,13 +109,13 @@
     else
       b.erase(k);
   }
-  std::size_t parts = 0;
+  std::size_t partialDeltas = 0;
   for (std::pair<std::uint64_t, std::map<string, string>> const& w : was) {
     VersionedTable o(8);
     for (std::pair<string const, string> const& r : w.second) o.put(r.first, r.second);
     CHECK(o.digest() == w.first);
     TableDelta const d = b.deltaSince(w.first);
-    parts += !d.full;
+    partialDeltas += !d.full;
     std::map<string, string> heard = w.second;
     CHECK(o.apply(d, [&](TableRow const& r) {
       if (r.removed)
@@ -125,7 +125,7 @@
     }));
     CHECK(o.digest() == b.digest() && o.rows() == b.rows() && heard == b.rows());
   }
-  CHECK(parts > 20);
+  CHECK(partialDeltas > 20);
 }
 
 TEST(updates, aDeltaForAnotherVersionChangesNothing) {
@@ -265,7 +265,7 @@
 
 TEST(updates, aFleetWithRelaysConverges) {
   for (std::uint64_t s = 1; s <= seedCount(updateSeeds); ++s) {
-    string const b = play(s, {});
+    string const b = runScenario(s, {});
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
 }
@@ -273,7 +273,7 @@
 TEST(updates, aSmallFleetWithoutRelaysConverges) {
   for (std::uint64_t s = 1; s <= seedCount(updateSeeds); ++s) {
     sim::Fleet::Config const c{4, 4, 3, false, false, false, false};
-    string const b = play(100 + s, c);
+    string const b = runScenario(100 + s, c);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
 }
@@ -281,7 +281,7 @@
 TEST(updates, aZoneWithoutControlConverges) {
   for (std::uint64_t s = 1; s <= seedCount(updateSeeds); ++s) {
     sim::Fleet::Config const c{3, 5, 20, false, false, false, false};
-    string const b = play(200 + s, c);
+    string const b = runScenario(200 + s, c);
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
 }
@@ -293,10 +293,10 @@
   std::size_t relays = 0, atControl = 0;
   for (sim::Fleet::Node const& n : f.nodes()) {
     relays += f.relays(n);
-    CHECK(f.asksAt(n) <= 2 * RelayTopology::fanOut);
-    if (!f.relays(n)) LONGS_EQUAL(0, f.asksAt(n));
+    CHECK(f.heldRequestsAt(n) <= 2 * RelayTopology::fanOut);
+    if (!f.relays(n)) LONGS_EQUAL(0, f.heldRequestsAt(n));
   }
-  for (sim::Fleet::Control const& c : f.controls()) atControl += f.asksAt(c);
+  for (sim::Fleet::Control const& c : f.controls()) atControl += f.heldRequestsAt(c);
   LONGS_EQUAL(4 * 5, relays);
   CHECK_TEXT(atControl <= relays, "only relays ask at control");
   std::uint64_t const full = f.fullDeltas;
@@ -327,22 +327,25 @@
 
 TEST(updates, aRelayThatReportsAFalseProofAgeIsDetected) {
   bool caught = false;
-  for (std::uint64_t s = 1; s <= 30 && !caught; ++s) caught = !play(s, {8, 4, 20, true, false, false, false}).empty();
+  for (std::uint64_t s = 1; s <= 30 && !caught; ++s)
+    caught = !runScenario(s, {8, 4, 20, true, false, false, false}).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 TEST(updates, aDeltaWithLostRowsIsRepaired) {
   for (std::uint64_t s = 1; s <= 3; ++s) {
-    string const b = play(300 + s, {8, 4, 20, false, true, false, false});
+    string const b = runScenario(300 + s, {8, 4, 20, false, true, false, false});
     if (!b.empty()) FAIL(("seed " + std::to_string(s) + ": " + b).c_str());
   }
 }
 TEST(updates, aDroppedRowIsDetected) {
   bool caught = false;
-  for (std::uint64_t s = 1; s <= 30 && !caught; ++s) caught = !play(s, {8, 4, 20, false, false, false, true}).empty();
+  for (std::uint64_t s = 1; s <= 30 && !caught; ++s)
+    caught = !runScenario(s, {8, 4, 20, false, false, false, true}).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
 TEST(updates, aConfigurationRollbackIsDetected) {
   bool caught = false;
-  for (std::uint64_t s = 1; s <= 30 && !caught; ++s) caught = !play(s, {8, 4, 20, false, false, true, false}).empty();
+  for (std::uint64_t s = 1; s <= 30 && !caught; ++s)
+    caught = !runScenario(s, {8, 4, 20, false, false, true, false}).empty();
   CHECK_TEXT(caught, "the broken variant was never caught");
 }
--- a/updates/fleet_view.cpp
+++ b/updates/fleet_view.cpp
@@ -68,7 +68,7 @@
   }
 }
 
-Task<bool> FleetView::carryOut(UpdateSubscriber::Plan plan) {
+Task<bool> FleetView::executePlan(UpdateSubscriber::Plan plan) {
   TimePoint const sentAt = Clock::now();
   ++requestsSent_;
   if (sentAt - lastTalliesSentAt_ >= settings_.bounds.inTouch / 32) {
@@ -78,7 +78,7 @@
   }
   UpdateReply reply;
   try {
-    reply = co_await rpc_.call(plan.source, plan.request, plan.limit);
+    reply = co_await rpc_.call(plan.source, plan.request, plan.timeout);
   } catch (Error const&) {
     publisher_.addTallies(plan.request.tallies);
     publisher_.addVersionTallies(plan.request.versionTallies);
@@ -101,7 +101,7 @@
 Task<void> FleetView::sendFirstRequest(Address source) {
   firstRequestSources_.insert(source);
   try {
-    co_await carryOut(subscriber_.firstPlan(source, Clock::now()));
+    co_await executePlan(subscriber_.firstPlan(source, Clock::now()));
   } catch (Error const& error) {
     logDebug("updates", error.what());
     subscriber_.noteFailed(source, Clock::now());
@@ -139,7 +139,7 @@
     if (subscriber_.allSourcesBackingOff(Clock::now())) co_await sleepFor(settings_.bounds.inTouch / 60);
     UpdateSubscriber::Plan const plan = subscriber_.plan(Clock::now());
     try {
-      co_await carryOut(plan);
+      co_await executePlan(plan);
     } catch (Error const& error) {
       logDebug("updates", error.what());
       subscriber_.noteFailed(plan.source, Clock::now());
--- a/updates/fleet_view.hpp
+++ b/updates/fleet_view.hpp
@@ -77,7 +77,7 @@
   /// Waits, but no longer than until an answer to a first request came.
   Task<void> waitForFirstReply(Ms limit);
   /// Sends a planned request and takes its reply; true if its source may be asked on.
-  Task<bool> carryOut(UpdateSubscriber::Plan plan);
+  Task<bool> executePlan(UpdateSubscriber::Plan plan);
   void installConfiguration();
   void applyRow(TableRow const& row);
   void applyRollout(TableRow const& row);
--- a/updates/update_sources.cpp
+++ b/updates/update_sources.cpp
@@ -15,7 +15,7 @@
   return std::find(parents_.begin(), parents_.end(), source) != parents_.end();
 }
 
-bool UpdateSources::rests(Address const& source, TimePoint now) const {
+bool UpdateSources::isBackingOff(Address const& source, TimePoint now) const {
   auto const failure = failures_.find(source);
   return failure != failures_.end() && now < failure->second.backoffUntil;
 }
@@ -25,7 +25,7 @@
   TimePoint earliest = TimePoint::max();
   for (vector<Address> const* const sources : {&parents_, &controls_})
     for (Address const& source : *sources) {
-      if (!rests(source, now)) return source;
+      if (!isBackingOff(source, now)) return source;
       TimePoint const backoffUntil = failures_.at(source).backoffUntil;
       if (backoffUntil >= earliest) continue;
       earliest = backoffUntil;
@@ -37,7 +37,7 @@
 bool UpdateSources::allBackingOff(TimePoint now) const {
   for (vector<Address> const* const sources : {&parents_, &controls_})
     for (Address const& source : *sources)
-      if (!rests(source, now)) return false;
+      if (!isBackingOff(source, now)) return false;
   return true;
 }
 
@@ -54,13 +54,15 @@
 vector<Address> UpdateSources::inOrder(TimePoint now) const {
   vector<Address> sources = parents_;
   sources.insert(sources.end(), controls_.begin(), controls_.end());
-  std::stable_partition(sources.begin(), sources.end(), [&](Address const& source) { return !rests(source, now); });
+  std::stable_partition(sources.begin(), sources.end(),
+                        [&](Address const& source) { return !isBackingOff(source, now); });
   return sources;
 }
 
 vector<Address> UpdateSources::controlAddresses(TimePoint now) const {
   vector<Address> controls = controls_;
-  std::stable_partition(controls.begin(), controls.end(), [&](Address const& control) { return !rests(control, now); });
+  std::stable_partition(controls.begin(), controls.end(),
+                        [&](Address const& control) { return !isBackingOff(control, now); });
   return controls;
 }
 
--- a/updates/update_sources.hpp
+++ b/updates/update_sources.hpp
@@ -27,7 +27,7 @@
     int count = 0;  ///< in a row
     TimePoint backoffUntil;
   };
-  bool rests(Address const& source, TimePoint now) const;
+  bool isBackingOff(Address const& source, TimePoint now) const;
 
   Ms initialBackoff_;
   std::uint64_t randomState_;
--- a/updates/update_subscriber.cpp
+++ b/updates/update_subscriber.cpp
@@ -77,7 +77,7 @@
   bool const servesOthers = isRelay_ || publisher_.heldRequests();
   plan.hold = timeouts_.inTouch / (servesOthers ? 32 : plan.fromParent ? 16 : 8);
   if (needsShortPolls && needsShortPolls()) plan.hold = std::min(plan.hold, timeouts_.inTouch / 80);
-  plan.limit = plan.hold + timeouts_.inTouch / (plan.fromParent ? 16 : 10);
+  plan.timeout = plan.hold + timeouts_.inTouch / (plan.fromParent ? 16 : 10);
   plan.request = makeRequest(now, plan.hold, false);
   return plan;
 }
@@ -86,7 +86,7 @@
   Plan plan;
   plan.source = std::move(source);
   plan.hold = timeouts_.inTouch / 8;
-  plan.limit = plan.hold + timeouts_.inTouch / 10;
+  plan.timeout = plan.hold + timeouts_.inTouch / 10;
   plan.request = makeRequest(now, plan.hold, true);
   plan.request.isIntroduction = !isIntroduced_;
   plan.fromParent = sources_.isParent(plan.source);
@@ -134,7 +134,7 @@
   if (nodesChanged) recomputeSources();
   if (result == UpdateCopy::Result::gap) logDebug("updates", plan.source.text() + " gave a delta for another content");
   // A relay that answers but doesn't hear from control itself is left in time.
-  bool const fresh = !plan.fromParent || now - copy_.provenAt() <= timeouts_.tooOld;
+  bool const fresh = !plan.fromParent || now - copy_.provenAt() <= timeouts_.maxUpdateAge;
   bool const good = result == UpdateCopy::Result::gap || (result == UpdateCopy::Result::applied && fresh);
   if (good)
     sources_.noteAnswered(plan.source);
@@ -144,7 +144,7 @@
 }
 
 UpdatePublisher::Proof UpdateSubscriber::proof(TimePoint now) const {
-  bool const healthy = publisher_.configurationVersion() && now - copy_.provenAt() < timeouts_.tooOld;
+  bool const healthy = publisher_.configurationVersion() && now - copy_.provenAt() < timeouts_.maxUpdateAge;
   return {healthy, copy_.depth(), copy_.provenAt()};
 }
 
--- a/updates/update_subscriber.hpp
+++ b/updates/update_subscriber.hpp
@@ -14,7 +14,7 @@
     Ms inTouch;
     /// A source whose updates are older is left, and what is older is not relayed: a third of the tighter of
     /// applyWithin and drain.
-    Ms tooOld;
+    Ms maxUpdateAge;
     static Timeouts of(Bounds const& bounds) {
       return {bounds.inTouch, std::min(bounds.applyWithin, bounds.drain) / 3};
     }
@@ -23,7 +23,7 @@
   struct Plan {
     Address source;
     bool fromParent = false;
-    Ms hold{0}, limit{0};
+    Ms hold{0}, timeout{0};
     UpdateRequest request;
   };
 
