--- a/tenants/caller.cpp
+++ b/tenants/caller.cpp
@@ -15,14 +15,14 @@
 
 std::optional<string_view> bearerKey(http::fields const& headers) {
   auto const [first, end] = headers.equal_range(http::field::authorization);
-  // Of two keys, none can be said to be the sender's.
+  // With two Authorization headers, it is not known which one identifies the sender.
   if (first == end || std::next(first) != end) return std::nullopt;
   string_view const value = trimmed(string_view(first->value().data(), first->value().size()));
   std::size_t const space = value.find(' ');
   if (space == string_view::npos) return std::nullopt;
-  string_view const named = value.substr(0, space);
-  bool const isBearer =
-      beast::iequals(beast::string_view(named.data(), named.size()), beast::string_view(scheme.data(), scheme.size()));
+  string_view const requestScheme = value.substr(0, space);
+  bool const isBearer = beast::iequals(beast::string_view(requestScheme.data(), requestScheme.size()),
+                                       beast::string_view(scheme.data(), scheme.size()));
   if (!isBearer) return std::nullopt;
   return trimmed(value.substr(space));
 }
--- a/tenants/credit_client.cpp
+++ b/tenants/credit_client.cpp
@@ -3,9 +3,9 @@
 namespace tealshelf {
 
 namespace {
-/// A shard that hasn't answered for this part of inTouch is taken for failed.
+/// A shard that doesn't answer within inTouch divided by this counts as failed.
 constexpr int shardTimeoutDivisor = 64;
-/// A shard that doesn't count for a worker yet is asked again after this part of the window.
+/// A shard that doesn't count for a worker yet is asked again after the window divided by this.
 constexpr int notCountingRetryDivisor = 10;
 
 string nameOf(CreditKind kind) {
@@ -56,7 +56,7 @@
 Task<CreditClient::Outcome> CreditClient::take(string subject, RateAllowance limit, TimePoint until) {
   if (std::optional<Credit> const credit = takeReturned(subject, Clock::now()))
     co_return Outcome{*credit, Refusal::unreachable};
-  // Copied: the members may change while this waits.
+  // Copied, as the members may change during the calls below.
   vector<Member> const shards = shardsFor(subject, limit);
   std::size_t const most = choice_.maxAsked(subject, Clock::now());
   std::set<NodeId> asked;
@@ -80,10 +80,10 @@
   asked_.increment();
   TakeCreditReply reply;
   try {
-    TakeCredit const question{subject, kind_};
-    reply = co_await rpc_.call(settings_.controlAddress(shard.ip), question, limit);
+    TakeCredit const request{subject, kind_};
+    reply = co_await rpc_.call(settings_.controlAddress(shard.ip), request, limit);
   } catch (Error const& error) {
-    logDebug("quota", shard.name + " doesn't count: " + error.what());
+    logDebug("quota", "credit request to shard " + shard.name + " failed: " + error.what());
     choice_.noteFailed(shard.id, Clock::now());
     co_return std::nullopt;
   }
@@ -91,7 +91,7 @@
     case CreditVerdict::granted:
       choice_.noteGranted(shard.id, subject);
       granted_.increment();
-      // By the time of the question, which can't be later than the grant.
+      // The life begins with the request, which is no later than the grant.
       co_return Credit{askedAt + creditLife_};
     case CreditVerdict::exhausted:
       choice_.noteExhausted(shard.id, subject, Ms(reply.retryAfterMs), Clock::now());
@@ -103,7 +103,7 @@
   co_return std::nullopt;
 }
 
-/// Who doesn't count for one tenant counts for none. Of one worker a shard may just not have heard yet.
+/// A shard that doesn't count for one tenant counts for none. A single worker may just not be known to it yet.
 void CreditClient::noteNotCounting(NodeId shard, string const& subject) {
   if (kind_ == CreditKind::tenant)
     choice_.noteFailed(shard, Clock::now());
--- a/tenants/credit_shard.cpp
+++ b/tenants/credit_shard.cpp
@@ -3,7 +3,7 @@
 namespace tealshelf {
 
 namespace {
-/// The longest time for which a node is put off, in parts of the window.
+/// The longest retry delay that a refused node is told is the window divided by this.
 constexpr int maxRetryDelayDivisor = 10;
 
 bool contains(vector<Member> const& members, Member const& wanted) {
@@ -30,8 +30,8 @@
   bucket.refilledAt = now;
 }
 
-/// A subject that came while this process has long been counting had no tokens anywhere before, so that its bucket may
-/// begin full. All others begin empty.
+/// The bucket of a subject that is added after this process has counted for longer than the retention begins full, as
+/// no shard can have granted tokens for it. All others begin empty.
 CreditShard::Bucket CreditShard::makeBucket(string const& subject, RateAllowance const& total, TimePoint now) const {
   Bucket bucket;
   bucket.total = total;
@@ -61,11 +61,11 @@
     bucket.total = total;
     bucket.present = true;
     bucket.tokens = std::min(bucket.tokens, total.burst / divisor(bucket));
-    // The set of shards depends on the burst.
+    // The set of shards depends on the burst: this node may have become a shard of the subject.
     if (!counted && countsFor(subject, bucket, membership_.members))
       bucket.noGrantsBefore = now + timing_.shards.takeoverDelay;
   }
-  // What a subject spent must not be forgotten while a window may still hold it, also if it is put back.
+  // A removed subject keeps its bucket while a window may still hold its grants, in case it is added again.
   std::erase_if(buckets_,
                 [&](auto const& item) { return !item.second.present && now - item.second.absentSince > retention(); });
   if (!firstLimitsAt_) firstLimitsAt_ = now;
@@ -111,7 +111,7 @@
   }
   ++bucket.refused;
   reply.verdict = CreditVerdict::exhausted;
-  // Each of those who are refused is put off until its turn, so that many nodes don't ask for one token.
+  // Each refused node gets a later retry time than the one before, so that they don't all ask for the same token.
   double const rate = bucket.total.perSecond / divisor(bucket);
   std::chrono::duration<double> const untilToken((1 - bucket.tokens) / rate), perToken(1 / rate);
   TimePoint const nextToken = now + std::chrono::duration_cast<Clock::duration>(untilToken);
--- a/tenants/messages.hpp
+++ b/tenants/messages.hpp
@@ -1,20 +1,20 @@
 #pragma once
 #include "wire/rpc.hpp"
 
-/// Calls by which data-plane nodes have requests counted against limits that all nodes share.
+/// RPCs by which data-plane nodes obtain credits from the control nodes that count requests against fleet-wide limits.
 namespace tealshelf {
 
-/// What came of a question for a credit.
+/// Result of a request for a credit.
 enum class CreditVerdict : int {
   granted = 0,
-  exhausted = 1,   ///< the shard's part of the limit is used up
-  notCounting = 2  ///< the node doesn't count for this subject now: not a member, without a majority, or too new
+  exhausted = 1,   ///< the shard's share of the limit is used up
+  notCounting = 2  ///< the node doesn't count for this subject now: not a member, no majority, or takeover delay
 };
 
-/// What a limit that all nodes share belongs to.
+/// The kind of subject that a fleet-wide limit belongs to.
 enum class CreditKind : int {
   tenant = 0,  ///< the requests of one tenant
-  warmUp = 1   ///< the requests that one worker gets while it warms up
+  warmUp = 1   ///< the requests sent to one worker while it warms up
 };
 
 }  // namespace tealshelf
@@ -24,11 +24,11 @@
 
 struct TakeCreditReply {
   CreditVerdict verdict = CreditVerdict::notCounting;
-  std::int64_t retryAfterMs = 0;  ///< when exhausted: it is no use to ask again sooner
+  std::int64_t retryAfterMs = 0;  ///< if exhausted: the delay before the next request can succeed
   MSGPACK_DEFINE(verdict, retryAfterMs)
 };
 
-/// Asks a shard to let one request through.
+/// Asks a shard for a credit for one request.
 struct TakeCredit {
   using Reply = TakeCreditReply;
   static constexpr RpcMethod method = RpcMethod::takeCredit;
--- a/tenants/quota_client.hpp
+++ b/tenants/quota_client.hpp
@@ -3,7 +3,7 @@
 
 namespace tealshelf {
 
-/// Has requests of tenants counted by the shards, for an edge node.
+/// Obtains credits for the requests of tenants from the shards, for an edge node.
 ///
 /// Runs on the io thread. Everything passed in must outlive it.
 class QuotaClient {
@@ -12,11 +12,11 @@
       : bounds_(settings.bounds),
         credits_(settings, rpc, view, CreditKind::tenant, creditLife(bounds_), bounds_.quotaWindow) {}
   /// Takes a credit for one request of a tenant. Throws overRate if the tenant's limit is used up, quotaUnknown if no
-  /// shard could tell until a time.
+  /// shard answered by the time `until`.
   Task<Credit> take(Tenant tenant, TimePoint until);
-  /// Gives back a credit whose request reached no worker.
+  /// Returns a credit whose request reached no worker.
   void giveBack(string const& tenant, Credit const& credit) { credits_.giveBack(tenant, credit); }
-  /// Forgets what lies in the past.
+  /// Discards expired state.
   void sweep() { credits_.sweep(); }
 
  private:
--- a/tenants/quota_shard.hpp
+++ b/tenants/quota_shard.hpp
@@ -4,23 +4,24 @@
 
 namespace tealshelf {
 
-/// This control node's part in counting the requests of tenants; no input or output of its own. What keeps the parts
-/// within a limit: CreditShard.
+/// The shard by which one control node counts the requests of tenants; does no input or output. CreditShard describes
+/// how the shards together stay within a limit.
 class QuotaShard {
  public:
   explicit QuotaShard(Bounds const& bounds) : QuotaShard(bounds, ShardTiming::of(bounds)) {}
   QuotaShard(Bounds const& bounds, ShardTiming timing)
       : bounds_(bounds), shard_({bounds.quotaWindow, creditLife(bounds), timing}) {}
 
-  /// Takes the limits of a configuration over.
+  /// Installs the limits of a configuration.
   void setConfiguration(std::shared_ptr<Configuration const> configuration, TimePoint now);
-  /// Takes the present membership over.
+  /// Installs the current membership.
   void setMembership(Membership const& membership, Member const& self, TimePoint now) {
     shard_.setMembership(membership, self, now);
   }
-  /// Answers a question; `majorityContact` as of ContactTracker.
+  /// Answers a request for a credit; `majorityContact` is that of ContactTracker. Tenants without a limit always get
+  /// one while this node may count.
   TakeCreditReply take(string const& tenant, TimePoint majorityContact, TimePoint now);
-  /// Of tenants that were asked for, by name.
+  /// The use of each tenant that credits were requested for, by name.
   std::map<string, CreditShard::Use> uses(TimePoint now) const { return shard_.uses(now); }
 
  private:
--- a/tenants/quota_shards.hpp
+++ b/tenants/quota_shards.hpp
@@ -2,12 +2,12 @@
 #include "consensus/membership.hpp"
 #include "tenants/rate_allowance.hpp"
 
-/// Which control nodes count for a tenant.
+/// Selection of the control nodes that count the requests of a tenant.
 namespace tealshelf {
 
-/// The members of the control plane that count for a tenant: all of them, or, where a whole token is too much for an
-/// equal part of its burst, as many as can grant one, by rendezvous hash. Whoever knows the same members gives the same
-/// answer.
+/// The members of the control plane that count for a tenant: all of them, or, if an equal share of its burst would be
+/// less than one token, only as many as can hold one, by rendezvous hash. Depends on the arguments alone, so nodes that
+/// know the same members agree.
 vector<Member> shardsOf(vector<Member> const& members, string const& tenant, RateAllowance const& total);
 
 }  // namespace tealshelf
--- a/tenants/rate_allowance.cpp
+++ b/tenants/rate_allowance.cpp
@@ -3,11 +3,11 @@
 namespace tealshelf {
 
 namespace {
-/// A credit lives for this part of the window.
+/// The life of a credit is the window divided by this.
 constexpr int creditLifeDivisor = 20;
-/// Parts of what the rule allows beyond the limit that are used; the rest is the reserve.
+/// Shares of the overrun and the margin of the rule that are granted; the rest is the reserve.
 constexpr double usedOverrunShare = 0.8, usedMarginShare = 0.7;
-/// Lease of a shard, in halves of inTouch: longer than the cuts after which the control nodes soon meet again.
+/// The lease of a shard in halves of inTouch: longer than short partitions between the control nodes.
 constexpr int leaseHalves = 5;
 }  // namespace
 
--- a/tenants/shard_choice.cpp
+++ b/tenants/shard_choice.cpp
@@ -3,10 +3,10 @@
 namespace tealshelf {
 
 namespace {
-/// Parts of inTouch: the rest of a shard after its first failure, and after many.
+/// The backoff after the first failure of a shard, and the longest one, are inTouch divided by these.
 constexpr int initialBackoffDivisor = 16, maxBackoffDivisor = 4;
 constexpr int maxBackoffFailures = 4;
-/// A subject counts as at its limit for this part of the window after all its shards had nothing left.
+/// A subject counts as at its limit for the window divided by this after all its shards were exhausted.
 constexpr int atLimitDurationDivisor = 5;
 constexpr std::size_t maxAskedAtLimit = 2;
 }  // namespace
@@ -73,7 +73,7 @@
 
 void ShardChoice::noteFailed(NodeId shard, TimePoint now) {
   Failure& failure = failures_[shard];
-  // Requests that were under way together fail together; they count once.
+  // Concurrent requests to a failed shard fail together; they count as one failure.
   if (now < failure.backoffUntil) return;
   failure.count = std::min(failure.count + 1, maxBackoffFailures);
   failure.backoffUntil = now + std::min(maxBackoff_, initialBackoff_ * (1 << (failure.count - 1)));
--- a/tenants/shard_choice.hpp
+++ b/tenants/shard_choice.hpp
@@ -3,34 +3,34 @@
 
 namespace tealshelf {
 
-/// Which control node a data-plane node asks next to count a request of a subject; no input or output of its own.
+/// Chooses the control node that a data-plane node asks next for a credit for a subject; does no input or output.
 ///
-/// Those of its own zone come first, in an order of its own, so that edges spread over them. A node that failed rests
-/// for a growing time; one whose part of a subject's limit is used up is left out, for this subject, as long as it
-/// said.
+/// Shards of the node's own zone come first, in an order that differs between nodes, so that load spreads over them. A
+/// shard that failed is skipped for an exponential backoff; one whose share of a subject's limit is used up is skipped,
+/// for this subject, for the delay that it replied.
 class ShardChoice {
  public:
-  /// What stands in the way of a credit where no shard is left to be asked.
+  /// Why no shard is left to be asked.
   enum class NoShardReason {
-    exhausted,   ///< the subject's limit is used up, as far as it can be told
-    unreachable  ///< no shard answers
+    exhausted,   ///< the subject's limit is used up, as far as is known
+    unreachable  ///< no shard has answered
   };
 
-  /// `window` is that of the limits.
+  /// `window` is the window of the limits.
   ShardChoice(string self, string zone, Ms inTouch, Ms window);
-  /// The next shard to ask for a request that was tried at others before; nothing if none is left.
+  /// The next shard to ask, other than those already asked for this request; nothing if none is left.
   std::optional<Member> next(vector<Member> const& shards, string const& subject, std::set<NodeId> const& asked,
                              TimePoint now) const;
   NoShardReason noShardReason(vector<Member> const& shards, string const& subject, TimePoint now) const;
-  /// How many shards a request may ask: few while the subject is at its limit, as most have nothing left.
+  /// How many shards may be asked for one request: few while the subject is at its limit, as most are exhausted.
   std::size_t maxAsked(string const& subject, TimePoint now) const;
 
   void noteGranted(NodeId shard, string const& subject);
   void noteExhausted(NodeId shard, string const& subject, Ms retryAfter, TimePoint now);
-  /// All shards that could be asked had nothing left.
+  /// All available shards were exhausted.
   void noteAllExhausted(string const& subject, TimePoint now);
   void noteFailed(NodeId shard, TimePoint now);
-  /// Forgets what lies in the past.
+  /// Discards expired state.
   void sweep(TimePoint now);
   std::size_t size() const { return exhausted_.size() + atLimit_.size() + failures_.size(); }
 
@@ -41,7 +41,7 @@
     auto operator<=>(SubjectAtShard const&) const = default;
   };
   struct Failure {
-    int count = 0;  ///< in a row
+    int count = 0;  ///< consecutive failures
     TimePoint backoffUntil;
   };
   bool isExhausted(NodeId shard, string const& subject, TimePoint now) const;
@@ -49,7 +49,7 @@
 
   string self_, zone_;
   Ms initialBackoff_, maxBackoff_, atLimitDuration_;
-  std::map<SubjectAtShard, TimePoint> exhausted_;  ///< until when
+  std::map<SubjectAtShard, TimePoint> exhausted_;  ///< until when a shard is skipped
   std::map<string, TimePoint> atLimit_;            ///< until when a subject counts as at its limit
   std::map<NodeId, Failure> failures_;
 };
--- a/tenants/warm_up_allowance.cpp
+++ b/tenants/warm_up_allowance.cpp
@@ -3,12 +3,12 @@
 namespace tealshelf {
 
 namespace {
-/// The part of the bound that the shards grant in a window. The rest is a reserve for what their sum doesn't count:
-/// requests that are on their way for longer than a credit lives, and those that cut-off nodes send after a question.
+/// The share of the bound that the shards grant in a window. The rest is a reserve for requests that aren't counted:
+/// those in transit for longer than the life of a credit, and those that isolated nodes send after probing the worker.
 constexpr double usedBoundShare = 0.8;
-/// The part of what is granted that is depth at least, so that several shards have a whole token each.
+/// The least share of the grants that is burst, so that several shards can hold a whole token each.
 constexpr double minBurstShare = 0.2;
-/// A worker's word that it is warm is trusted for this part of inTouch.
+/// A worker's own report that it is warm is trusted for inTouch divided by this.
 constexpr int probeTrustDivisor = 256;
 }  // namespace
 
