--- a/updates/fleet_view.cpp
+++ b/updates/fleet_view.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// First requests that are under way at once: whoever is asked may answer with everything.
+/// First requests in flight at once; bounded, as each reply may hold all tables.
 constexpr std::size_t maxFirstRequests = 4;
 
 vector<Address> controlSeeds(Settings const& settings) {
@@ -61,10 +61,11 @@
 void FleetView::installConfiguration() {
   try {
     configuration_ = compileConfiguration(publisher_.configuration());
-    // It says of which services workers warm up.
+    // The configuration determines which services have a warm-up.
     ++revision_;
   } catch (Error const& error) {
-    logWarning("updates", error.what());
+    logWarning("updates", "configuration version " + std::to_string(publisher_.configurationVersion()) +
+                              " was received but can't be used: " + error.what());
   }
 }
 
@@ -85,17 +86,17 @@
     throw;
   }
   std::uint64_t const versionBefore = publisher_.configurationVersion();
-  bool const good = subscriber_.receive(plan, reply, sentAt, Clock::now());
+  bool const accepted = subscriber_.receive(plan, reply, sentAt, Clock::now());
   bool const newConfiguration = publisher_.configurationVersion() > versionBefore;
   if (newConfiguration) installConfiguration();
   bool const hasUpdates = newConfiguration || !reply.common.empty() || !reply.zone.empty();
-  if (good && hasUpdates && publisher_.heldRequests()) publisher_.notifyAfter(Ms(0));
+  if (accepted && hasUpdates && publisher_.heldRequests()) publisher_.notifyAfter(Ms(0));
   if (onUpdate && hasUpdates) onUpdate();
-  // A source that answers early with nothing must not be asked in a tight loop.
+  // Don't poll in a tight loop a source that answers early without updates.
   bool const isEmpty = !hasUpdates && !reply.wantsNodes && !plan.request.isIntroduction;
   bool const emptyAndEarly = isEmpty && Ms(reply.heldMs) < plan.hold / 2;
-  if (good && emptyAndEarly) co_await sleepFor(settings_.bounds.inTouch / 200);
-  co_return good;
+  if (accepted && emptyAndEarly) co_await sleepFor(settings_.bounds.inTouch / 200);
+  co_return accepted;
 }
 
 Task<void> FleetView::sendFirstRequest(Address source) {
@@ -103,7 +104,7 @@
   try {
     co_await executePlan(subscriber_.firstPlan(source, Clock::now()));
   } catch (Error const& error) {
-    logDebug("updates", error.what());
+    logDebug("updates", "first request for updates to " + source.text() + " failed: " + error.what());
     subscriber_.noteFailed(source, Clock::now());
   }
   firstRequestSources_.erase(source);
@@ -124,12 +125,12 @@
       if (configuration_ || subscriber_.isIntroduced() != introduced) break;
       if (firstRequestSources_.contains(source) || firstRequestSources_.size() >= maxFirstRequests) continue;
       spawnTask(io_, "first updates", sendFirstRequest(source));
-      // Introductions are small; everything is asked for a second time only if it takes long.
+      // An introduction is small, so another source is asked soon; full tables are requested twice only after a delay.
       co_await waitForFirstReply(settings_.bounds.inTouch / (introduced ? 50 : 200));
     }
-    // Sources that fail at once must not be asked in a tight loop.
-    bool const nothingCame = !configuration_ && subscriber_.isIntroduced() == introduced;
-    if (nothingCame) co_await sleepFor(settings_.bounds.inTouch / 100);
+    // Don't retry in a tight loop sources that fail immediately.
+    bool const noProgress = !configuration_ && subscriber_.isIntroduced() == introduced;
+    if (noProgress) co_await sleepFor(settings_.bounds.inTouch / 100);
   }
 }
 
@@ -141,7 +142,7 @@
     try {
       co_await executePlan(plan);
     } catch (Error const& error) {
-      logDebug("updates", error.what());
+      logDebug("updates", "request for updates to " + plan.source.text() + " failed: " + error.what());
       subscriber_.noteFailed(plan.source, Clock::now());
     }
   }
@@ -204,7 +205,7 @@
 }
 
 void FleetView::applyRollout(TableRow const& row) {
-  // A record is never taken back, and an older one doesn't come after a newer.
+  // Records of rollouts are never removed, and an older revision never replaces a newer one.
   if (row.removed) return;
   RolloutRecord const record = deserialize<RolloutRecord>(row.value);
   RolloutRecord& known = rollouts_[record.service];
--- a/updates/relay_topology.cpp
+++ b/updates/relay_topology.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// Machines whose processor shares are within a power of two of each other count as equals.
+/// The binary order of magnitude of a machine's CPU share; machines of one class count as equal.
 int cpuClassOf(DataNode const& node) {
   return node.cpuThousandths ? std::ilogb(static_cast<double>(node.cpuThousandths)) : -1;
 }
--- a/updates/relay_topology.hpp
+++ b/updates/relay_topology.hpp
@@ -3,18 +3,19 @@
 
 namespace tealshelf {
 
-/// Who relays updates in a zone and whom each node asks: pure functions of the zone's live nodes, so that every node
-/// works out the same.
+/// Selects the relays of a zone and the sources of each node: pure functions of the zone's live nodes, so that all
+/// nodes arrive at the same result.
 struct RelayTopology {
-  /// So many nodes are served by one node at the most, in the mean; twice as many are let in.
+  /// Average number of nodes that one relay serves; it accepts at most twice as many.
   static constexpr std::size_t fanOut = 8;
-  /// The relays of a zone, strongest machines first, rendezvous order among equals; none while the zone is small enough
-  /// for control to serve it directly.
+  /// The relays of a zone, machines with the largest CPU share first, by rendezvous hash among equals; none while the
+  /// zone is small enough for control nodes to serve it directly.
   static vector<DataNode> relaysOf(vector<DataNode> const& zone);
-  /// Whom a node asks before control, in order. With a control node in its zone a relay asks control; without one only
-  /// the first relay's requests cross zones, the second is in reserve.
+  /// The relays that a node polls before control nodes, in order of preference. With a control node in its zone, a
+  /// relay polls control nodes only; without one, a relay polls relays ranked before it, so that only the first one's
+  /// requests cross zones.
   static vector<DataNode> parentsOf(string const& self, vector<DataNode> const& relays, bool controlInZone);
-  /// Digest of a list of nodes, whatever its order; 0 for none.
+  /// Digest of a list of nodes, independent of its order; 0 for an empty list.
   static std::uint64_t digest(vector<DataNode> const& nodes);
 };
 
--- a/updates/update_copy.cpp
+++ b/updates/update_copy.cpp
@@ -13,7 +13,7 @@
                                      std::function<void(TableRow const&)> const& onZoneChange) {
   if (!reply.healthy) return Result::unhealthy;
   if (reply.depth >= maxDepth) return Result::tooDeep;
-  // The proof was true when the request was answered: so long after it was sent, at the latest, as it was held.
+  // The age counts from the reply, which was sent no earlier than the hold time after the request.
   TimePoint const provenAt = sentAt + Ms(reply.heldMs) - Ms(reply.proofAgeMs);
   bool const newConfiguration = reply.configurationVersion > publisher_.configurationVersion();
   if (newConfiguration && !reply.configuration.empty())
--- a/updates/update_publisher.cpp
+++ b/updates/update_publisher.cpp
@@ -7,9 +7,9 @@
 namespace {
 constexpr std::size_t maxTallies = 4096;
 constexpr std::size_t maxSerializedDeltas = 16;
-/// Counted for each reply beside its content.
+/// Estimated size of a reply without its content.
 constexpr std::uint64_t replyOverheadBytes = 64;
-/// Age of a proof that stands for none.
+/// Upper bound of the reported age; a node without any proof reports it.
 constexpr std::int64_t maxProofAgeMs = 1000 * 1000 * 1000;
 }  // namespace
 
@@ -102,7 +102,7 @@
   bool const hasUpdates = newConfiguration || common.digest() != request.commonDigest ||
                           zone.digest() != request.zoneDigest || reply.wantsNodes;
   bool const timeIsUp = now >= receivedAt + holdOf(request);
-  // An unhealthy node answers at once, but for subscribers that have nothing better to ask yet.
+  // An unhealthy node answers at once, so that the subscriber tries another source, unless it has no state yet.
   bool const due = timeIsUp || (reply.healthy ? hasUpdates || request.isIntroduction : !request.isFirst);
   if (!due) return std::nullopt;
   std::int64_t const proofAgeMs = std::chrono::duration_cast<Ms>(now - present.provenAt).count();
@@ -136,7 +136,8 @@
 
 Task<UpdateReply> UpdatePublisher::serve(UpdateRequest request) {
   if (request.format != updateFormat)
-    throw Error(ErrorCode::badMessage, "format of updates " + std::to_string(request.format));
+    throw Error(ErrorCode::badMessage, "the format of updates is " + std::to_string(request.format) + ", expected " +
+                                           std::to_string(updateFormat));
   TimePoint const receivedAt = Clock::now();
   noteSubscriber(request, receivedAt);
   bool const crowded = maxHeld_ && held_.size() >= maxHeld_;
--- a/updates/update_publisher.hpp
+++ b/updates/update_publisher.hpp
@@ -4,20 +4,20 @@
 
 namespace tealshelf {
 
-/// Serves updates to those who ask: the same part at control nodes and at relays.
+/// Serves updates to subscribers by long polling, at control nodes and at relays.
 ///
-/// What is published is set directly: the configuration, `common` for all zones, and one table a zone. Runs on the io
-/// thread; settings must outlive it.
+/// The owner sets what is published: the configuration, the table `common` for all zones, and one table per zone. Runs
+/// on the io thread; the settings must outlive it.
 class UpdatePublisher {
  public:
-  /// What the serving node can say of itself.
+  /// The state of the serving node, sent with each reply.
   struct Proof {
     bool healthy = false;
     int depth = 0;
-    TimePoint provenAt;  ///< when control last had a majority, as far as known here
+    TimePoint provenAt;  ///< when the control plane last had a majority, as far as is known here
   };
 
-  /// Holds at most so many requests at once; 0: no bound.
+  /// Holds at most `maxHeld` requests at once; 0 for no bound.
   UpdatePublisher(asio::io_context& io, Settings const& settings, std::size_t maxHeld)
       : io_(io), settings_(settings), maxHeld_(maxHeld) {}
 
@@ -30,25 +30,26 @@
   }
   std::uint64_t configurationVersion() const { return configurationVersion_; }
   string const& configuration() const { return configuration_; }
-  /// Answers held requests after a delay, in which more updates may come.
+  /// Answers held requests after a delay, so that updates in this time are sent together.
   void notifyAfter(Ms delay);
 
   /// Answers a request as soon as there are updates for it.
   Task<UpdateReply> serve(UpdateRequest request);
-  /// Notes who asks.
+  /// Records the subscriber, its nodes and its tallies.
   void noteSubscriber(UpdateRequest const& request, TimePoint now);
-  /// The answer to a request if it is due now: there are updates, or the time is up, or this node is unhealthy.
+  /// The reply to a request if it is due: there are updates, the hold time is over, or this node is unhealthy. A
+  /// crowded node, which holds as many requests as it may, replies as unhealthy.
   std::optional<UpdateReply> answerIfDue(UpdateRequest const& request, TimePoint receivedAt, TimePoint now,
                                          bool crowded);
 
-  /// Nodes that asked here lately, and those that asked at them.
+  /// Nodes that polled this one recently, and the nodes that polled them.
   vector<DataNode> recentNodes(TimePoint now) const;
-  /// How requests at workers went, as told by the subscribers since the last call.
+  /// Outcomes of requests at workers that subscribers reported since the last call.
   vector<WorkerTally> takeTallies();
-  /// Adds tallies, or puts back what couldn't be passed on.
+  /// Adds tallies, also those that couldn't be sent on.
   void addTallies(vector<WorkerTally> const& tallies);
 
-  /// What the subscribers told of versions since the last call.
+  /// Outcomes by version that subscribers reported since the last call.
   vector<VersionTally> takeVersionTallies() { return versionTallies_.take(); }
   void addVersionTallies(vector<VersionTally> const& tallies) { versionTallies_.add(tallies); }
 
@@ -61,7 +62,7 @@
     DataNode self;
     TimePoint heardAt;
     std::uint64_t nodesDigest = 0;
-    vector<DataNode> nodes;  ///< that asked at it
+    vector<DataNode> nodes;  ///< that poll the subscriber
   };
   struct DeltaKey {
     std::uint64_t fromDigest = 0, toDigest = 0;
@@ -69,7 +70,7 @@
   };
   bool isRecent(Subscriber const& subscriber, TimePoint now) const;
   Ms holdOf(UpdateRequest const& request) const;
-  /// Tells a node that knows nothing whom to ask.
+  /// Fills in the nodes of the subscriber's zone and the members, from which it finds its sources.
   void fillIntroduction(UpdateRequest const& request, UpdateReply& reply);
   string const& serializedDelta(VersionedTable const& table, std::uint64_t fromDigest);
 
@@ -79,7 +80,7 @@
   std::uint64_t configurationVersion_ = 0;
   string configuration_;
   bool notifying_ = false;
-  std::set<std::shared_ptr<asio::steady_timer>> held_;  ///< one a held request; cancelled when there is news
+  std::set<std::shared_ptr<asio::steady_timer>> held_;  ///< one per held request; cancelled when there are updates
   std::map<string, Subscriber> subscribers_;            ///< by name
   std::map<string, WorkerTally> tallies_;               ///< by worker
   VersionEvidence versionTallies_;
--- a/updates/update_sources.cpp
+++ b/updates/update_sources.cpp
@@ -45,10 +45,10 @@
   Failure& failure = failures_[source];
   failure.count = std::min(failure.count + 1, maxSourceBackoffFailures);
   randomState_ = randomState_ * 6364136223846793005ull + 1442695040888963407ull;
-  Ms const rest = initialBackoff_ * (1 << (failure.count - 1));
-  std::int64_t const maxJitter = std::max<std::int64_t>(1, rest.count() / 2);
+  Ms const backoff = initialBackoff_ * (1 << (failure.count - 1));
+  std::int64_t const maxJitter = std::max<std::int64_t>(1, backoff.count() / 2);
   std::uint64_t const jitter = (randomState_ >> 33) % static_cast<std::uint64_t>(maxJitter);
-  failure.backoffUntil = now + rest + Ms(static_cast<std::int64_t>(jitter));
+  failure.backoffUntil = now + backoff + Ms(static_cast<std::int64_t>(jitter));
 }
 
 vector<Address> UpdateSources::inOrder(TimePoint now) const {
--- a/updates/update_sources.hpp
+++ b/updates/update_sources.hpp
@@ -3,28 +3,28 @@
 
 namespace tealshelf {
 
-/// Which node is asked for updates next; no input or output of its own. One that failed rests for a growing, jittered
-/// time, so that many who lose one relay don't all press on the next at once.
+/// Selects the node to poll for updates next; does no input or output. A source that failed is skipped for an
+/// exponential backoff with jitter, so that the subscribers of a lost relay don't all return to a source at once.
 class UpdateSources {
  public:
   UpdateSources(Ms initialBackoff, std::uint64_t randomSeed)
       : initialBackoff_(initialBackoff), randomState_(randomSeed) {}
   void set(vector<Address> parents, vector<Address> controls);
-  /// The first that doesn't rest, relays before control nodes; else the one whose rest ends first.
+  /// The first source that isn't in backoff, relays before control nodes; else the one whose backoff ends first.
   Address next(TimePoint now) const;
-  /// True if all rest, so that the subscriber should pause.
+  /// True if all sources are in backoff, so that the subscriber should pause.
   bool allBackingOff(TimePoint now) const;
   bool isParent(Address const& source) const;
   void noteAnswered(Address const& source) { failures_.erase(source); }
   void noteFailed(Address const& source, TimePoint now);
-  /// All in the order of preference, those that rest last.
+  /// All sources in order of preference, those in backoff last.
   vector<Address> inOrder(TimePoint now) const;
-  /// Control nodes, those that rest last.
+  /// Control nodes, those in backoff last.
   vector<Address> controlAddresses(TimePoint now) const;
 
  private:
   struct Failure {
-    int count = 0;  ///< in a row
+    int count = 0;  ///< consecutive failures
     TimePoint backoffUntil;
   };
   bool isBackingOff(Address const& source, TimePoint now) const;
--- a/updates/update_subscriber.cpp
+++ b/updates/update_subscriber.cpp
@@ -5,7 +5,8 @@
 namespace tealshelf {
 
 namespace {
-/// After one relay and one in reserve comes control, so that a zone that lost its relays is not late.
+/// A node tries one relay and one spare before control nodes, so that updates of a zone that lost its relays stay
+/// timely.
 constexpr std::size_t maxParents = 2;
 }  // namespace
 
@@ -21,7 +22,7 @@
   recomputeSources();
 }
 
-/// Control nodes of this zone first, then the others, then seeds that aren't known as such.
+/// Control nodes of this zone first, then those of other zones, then seeds that aren't known as members.
 vector<Address> UpdateSubscriber::controlsByDistance() const {
   vector<Address> inZone, elsewhere;
   for (auto const& [key, member] : members_)
@@ -49,7 +50,8 @@
   for (DataNode const& relay : RelayTopology::parentsOf(self_.name, relays, controlInZone))
     if (parents.size() < maxParents) parents.push_back(relay.address);
   if (isRelay != isRelay_)
-    logInfo("updates", isRelay ? "this node relays updates to its zone" : "this node no longer relays updates");
+    logInfo("updates",
+            isRelay ? "this node now relays updates to its zone" : "this node no longer relays updates to its zone");
   isRelay_ = isRelay;
   sources_.set(std::move(parents), controlsByDistance());
 }
@@ -72,8 +74,8 @@
   Plan plan;
   plan.source = sources_.next(now);
   plan.fromParent = sources_.isParent(plan.source);
-  // A relay asks in short turns, so that what it gives on is fresh; whoever asks control directly in a fleet without
-  // relays asks in long ones.
+  // A relay polls with a short hold time, so that what it serves is recent; nodes that poll control nodes directly use
+  // a long one.
   bool const servesOthers = isRelay_ || publisher_.heldRequests();
   plan.hold = timeouts_.inTouch / (servesOthers ? 32 : plan.fromParent ? 16 : 8);
   if (needsShortPolls && needsShortPolls()) plan.hold = std::min(plan.hold, timeouts_.inTouch / 80);
@@ -117,7 +119,7 @@
 }
 
 bool UpdateSubscriber::receive(Plan const& plan, UpdateReply const& reply, TimePoint sentAt, TimePoint now) {
-  // A release that knows no introductions answers with everything.
+  // A source of a release without introductions replies with all tables.
   if (plan.request.isIntroduction && reply.common.empty()) return receiveIntroduction(plan, reply, now);
   isIntroduced_ = true;
   bool nodesChanged = false;
@@ -132,15 +134,17 @@
   UpdateCopy::Result const result =
       copy_.apply(reply, sentAt, onCommonChange, [&nodesChanged](TableRow const&) { nodesChanged = true; });
   if (nodesChanged) recomputeSources();
-  if (result == UpdateCopy::Result::gap) logDebug("updates", plan.source.text() + " gave a delta for another content");
-  // A relay that answers but doesn't hear from control itself is left in time.
+  if (result == UpdateCopy::Result::gap)
+    logDebug("updates", "the delta from " + plan.source.text() +
+                            " doesn't apply to the tables of this node; requesting full tables");
+  // A relay that replies but gets no recent updates from the control plane itself counts as failed.
   bool const fresh = !plan.fromParent || now - copy_.provenAt() <= timeouts_.maxUpdateAge;
-  bool const good = result == UpdateCopy::Result::gap || (result == UpdateCopy::Result::applied && fresh);
-  if (good)
+  bool const accepted = result == UpdateCopy::Result::gap || (result == UpdateCopy::Result::applied && fresh);
+  if (accepted)
     sources_.noteAnswered(plan.source);
   else
     sources_.noteFailed(plan.source, now);
-  return good;
+  return accepted;
 }
 
 UpdatePublisher::Proof UpdateSubscriber::proof(TimePoint now) const {
--- a/updates/update_subscriber.hpp
+++ b/updates/update_subscriber.hpp
@@ -5,21 +5,21 @@
 
 namespace tealshelf {
 
-/// A data-plane node's part in the spreading of updates, with no input or output of its own: whom to ask, what to ask
-/// with, what to make of a reply, and what to relay.
+/// The protocol state of a node that subscribes to updates and may relay them; does no input or output. Plans each
+/// request, applies the replies, and selects the sources.
 class UpdateSubscriber {
  public:
-  /// Durations as ratios to the bounds of the settings.
+  /// Durations derived from the bounds of the settings.
   struct Timeouts {
     Ms inTouch;
-    /// A source whose updates are older is left, and what is older is not relayed: a third of the tighter of
+    /// A relay whose updates are older counts as failed, and older updates aren't relayed: a third of the smaller of
     /// applyWithin and drain.
     Ms maxUpdateAge;
     static Timeouts of(Bounds const& bounds) {
       return {bounds.inTouch, std::min(bounds.applyWithin, bounds.drain) / 3};
     }
   };
-  /// What shall be asked of whom.
+  /// The next request and the source to send it to.
   struct Plan {
     Address source;
     bool fromParent = false;
@@ -29,40 +29,40 @@
 
   UpdateSubscriber(DataNode self, Timeouts timeouts, vector<Address> seeds,
                    std::function<Address(string const&)> controlAddress, UpdatePublisher& publisher);
-  /// Called when a worker or a control node changed.
+  /// Called for each changed row of the common table.
   std::function<void(TableRow const&)> onRow;
-  /// Brings what this node says of itself up to date before a request.
+  /// Updates the description of this node before a request.
   std::function<void(DataNode&)> updateSelf;
-  /// True while answers are awaited that must not be late: the node asks in the shortest turns.
+  /// True while updates are urgent, so that the node polls with the shortest hold time.
   std::function<bool()> needsShortPolls;
 
   Plan plan(TimePoint now);
-  /// The request with which a node that has no configuration yet begins: an introduction at any control node, then all
-  /// that it lacks at a node near it.
+  /// The request of a node that has no configuration yet: first an introduction by any control node, then all tables
+  /// from a source near it.
   Plan firstPlan(Address source, TimePoint now);
-  /// True once the node knows whom to ask.
+  /// True once the node knows its sources.
   bool isIntroduced() const { return isIntroduced_; }
-  /// Whom to ask while there is no configuration yet, in order.
+  /// Sources to ask while there is no configuration yet, in order.
   vector<Address> firstSources(TimePoint now) const { return sources_.inOrder(now); }
-  /// Takes a reply; true if its sender may be asked on.
+  /// Applies a reply; true if the source remains usable.
   bool receive(Plan const& plan, UpdateReply const& reply, TimePoint sentAt, TimePoint now);
-  /// No reply came in time.
+  /// Records that a source didn't reply in time.
   void noteFailed(Address const& source, TimePoint now) { sources_.noteFailed(source, now); }
   void noteAnswered(Address const& source) { sources_.noteAnswered(source); }
 
   bool allSourcesBackingOff(TimePoint now) const { return sources_.allBackingOff(now); }
   vector<Address> controlAddresses(TimePoint now) const { return sources_.controlAddresses(now); }
-  /// The members of the control plane, by the key of their row.
+  /// The members of the control plane by row key.
   std::map<string, Member> const& members() const { return members_; }
-  /// Rises whenever the members change.
+  /// Increases whenever the members change.
   std::uint64_t membersRevision() const { return membersRevision_; }
   TimePoint provenAt() const { return copy_.provenAt(); }
   bool isRelay() const { return isRelay_; }
-  /// What this node can say for the updates that it relays.
+  /// The proof that this node sends with the updates that it relays.
   UpdatePublisher::Proof proof(TimePoint now) const;
 
  private:
-  /// Works out anew whom this node asks, and whether it relays.
+  /// Recomputes the sources of this node and whether it is a relay.
   void recomputeSources();
   vector<Address> controlsByDistance() const;
   UpdateRequest makeRequest(TimePoint now, Ms hold, bool isFirst);
@@ -76,11 +76,11 @@
   UpdatePublisher& publisher_;
   UpdateCopy copy_;
   UpdateSources sources_;
-  std::map<string, Member> members_;  ///< by the key of their row
+  std::map<string, Member> members_;  ///< by row key
   std::uint64_t membersRevision_ = 0;
   bool isRelay_ = false;
   bool isIntroduced_ = false;
-  bool sendsNodes_ = false;  ///< the list of nodes that ask here was wanted
+  bool sendsNodes_ = false;  ///< the source asked for the list of nodes that poll this one
 };
 
 }  // namespace tealshelf
--- a/updates/versioned_table.cpp
+++ b/updates/versioned_table.cpp
@@ -11,7 +11,7 @@
   history_.push_back({digest_, key});
   while (history_.size() > maxHistory_) {
     auto const oldest = changeAfter_.find(history_.front().digestBefore);
-    // The content may have come again since; then the digest leads to a later change.
+    // The table may have had the same content again later; then the digest maps to a later change.
     if (oldest != changeAfter_.end() && oldest->second == firstChange_) changeAfter_.erase(oldest);
     history_.pop_front();
     ++firstChange_;
@@ -62,9 +62,9 @@
 
 bool VersionedTable::reachesTargetDigest(TableDelta const& delta) const {
   std::uint64_t digest = delta.full ? emptyDigest : digest_;
-  std::set<string> named;
+  std::set<string> keys;
   for (TableRow const& row : delta.rows) {
-    if (!named.insert(row.key).second) return false;
+    if (!keys.insert(row.key).second) return false;
     auto const present = rows_.find(row.key);
     if (!delta.full && present != rows_.end()) digest -= rowHash(row.key, present->second);
     if (!row.removed) digest += rowHash(row.key, row.value);
@@ -75,14 +75,14 @@
 bool VersionedTable::apply(TableDelta const& delta, std::function<void(TableRow const&)> const& onChange) {
   bool const matchesBase = delta.full || delta.fromDigest == digest_;
   if (!matchesBase || !reachesTargetDigest(delta)) return false;
-  vector<string> vanished;
+  vector<string> removedKeys;
   if (delta.full) {
-    std::set<string> named;
-    for (TableRow const& row : delta.rows) named.insert(row.key);
+    std::set<string> keys;
+    for (TableRow const& row : delta.rows) keys.insert(row.key);
     for (auto const& [key, value] : rows_)
-      if (!named.contains(key)) vanished.push_back(key);
+      if (!keys.contains(key)) removedKeys.push_back(key);
   }
-  for (string const& key : vanished) {
+  for (string const& key : removedKeys) {
     erase(key);
     onChange({key, "", true});
   }
--- a/updates/versioned_table.hpp
+++ b/updates/versioned_table.hpp
@@ -3,14 +3,14 @@
 
 namespace tealshelf {
 
-/// One change of a table.
+/// The new value of a row, or its removal.
 struct TableRow {
   string key, value;
   bool removed = false;
   MSGPACK_DEFINE(key, value, removed)
 };
 
-/// What leads from one content of a table to another; a full one leads there from anywhere.
+/// The changes between two versions of a table; a full delta holds all rows and applies to any version.
 struct TableDelta {
   std::uint64_t fromDigest = 0, toDigest = 0;
   bool full = false;
@@ -18,22 +18,22 @@
   MSGPACK_DEFINE(fromDigest, toDigest, full, rows)
 };
 
-/// A table whose version is a digest of its content, so that any node that has the same content can serve the next
-/// delta, whoever served the last one.
+/// A table whose version is a digest of its content, so that any node with the same content can serve the next delta,
+/// whichever node served the last one.
 class VersionedTable {
  public:
-  /// Remembers so many changes; whoever is further behind gets a full delta.
+  /// Keeps the last `maxHistory` changes; a subscriber that is further behind gets a full delta.
   explicit VersionedTable(std::size_t maxHistory = 512) : maxHistory_(maxHistory) {}
   /// True if the content changed.
   bool put(string const& key, string const& value);
   bool erase(string const& key);
-  /// Digest of the content; never 0, which stands for knowing nothing.
+  /// Digest of the content; never 0, which stands for a subscriber without any state.
   std::uint64_t digest() const { return digest_; }
   std::map<string, string> const& rows() const { return rows_; }
-  /// The delta from a content that this table had, else a full one.
+  /// The delta from a version in the history; a full one for any other digest.
   TableDelta deltaSince(std::uint64_t digest) const;
-  /// Applies a delta and reports each changed row. False, and nothing is changed, if its base is not this content or it
-  /// doesn't lead to the content that it promises.
+  /// Applies a delta and reports each changed row. Returns false and changes nothing if the delta is based on another
+  /// version, or if its rows don't result in its target digest.
   bool apply(TableDelta const& delta, std::function<void(TableRow const&)> const& onChange);
 
  private:
