--- a/configuration/canonical_json.cpp
+++ b/configuration/canonical_json.cpp
@@ -9,34 +9,35 @@
 namespace tealshelf {
 
 namespace {
-/// Deeper than any configuration, and shallow enough for readers that recurse.
+/// Deeper than any configuration, and shallow enough for recursive readers.
 constexpr std::size_t maxDepth = 32;
 constexpr std::int64_t maxExponent = 1000000;
 
-/// Writes a JSON number as DIGITSeEXPONENT without zeros at either end of the digits, so that 1, 1.0 and 10e-1 agree.
+/// Writes a JSON number as DIGITSeEXPONENT without zeros at either end of the digits, so that 1, 1.0 and 10e-1 are
+/// equal.
 string canonicalNumber(string_view text) {
   bool const negative = text.front() == '-';
   if (negative) text.remove_prefix(1);
-  std::size_t const mark = text.find_first_of("eE");
+  std::size_t const exponentMark = text.find_first_of("eE");
   std::int64_t exponent = 0;
-  if (mark != string_view::npos) {
-    string_view shown = text.substr(mark + 1);
-    bool const below = shown.front() == '-';
-    if (below || shown.front() == '+') shown.remove_prefix(1);
-    for (char const c : shown) exponent = std::min(maxExponent, exponent * 10 + (c - '0'));
-    if (below) exponent = -exponent;
+  if (exponentMark != string_view::npos) {
+    string_view exponentText = text.substr(exponentMark + 1);
+    bool const isNegative = exponentText.front() == '-';
+    if (isNegative || exponentText.front() == '+') exponentText.remove_prefix(1);
+    for (char const c : exponentText) exponent = std::min(maxExponent, exponent * 10 + (c - '0'));
+    if (isNegative) exponent = -exponent;
   }
   string digits;
-  bool fraction = false;
-  for (char const c : text.substr(0, mark)) {
+  bool inFraction = false;
+  for (char const c : text.substr(0, exponentMark)) {
     if (c == '.') {
-      fraction = true;
+      inFraction = true;
       continue;
     }
     digits += c;
-    if (fraction) --exponent;
+    if (inFraction) --exponent;
   }
-  if (std::abs(exponent) >= maxExponent) throw Error(ErrorCode::unreadable, "a number's exponent");
+  if (std::abs(exponent) >= maxExponent) throw Error(ErrorCode::unreadable, "the exponent of a number is too large");
   digits.erase(0, std::min(digits.find_first_not_of('0'), digits.size()));
   if (digits.empty()) return "0";
   while (digits.back() == '0') {
@@ -53,7 +54,7 @@
   return string(buffer.GetString(), buffer.GetSize());
 }
 
-/// Takes the events of the parser and builds the canonical text of each open array or object.
+/// Handles the events of the parser and builds the canonical text of each open array or object.
 class CanonicalHandler : public rapidjson::BaseReaderHandler<rapidjson::UTF8<>, CanonicalHandler> {
  public:
   string result;
@@ -111,14 +112,15 @@
 }  // namespace
 
 string canonicalJson(string_view text) {
-  // The iterative parser holds its state on the heap, so that no nesting can exhaust the stack.
+  // The iterative parser keeps its state on the heap, so that deep nesting can't exhaust the stack.
   constexpr unsigned flags =
       rapidjson::kParseIterativeFlag | rapidjson::kParseNumbersAsStringsFlag | rapidjson::kParseValidateEncodingFlag;
   rapidjson::MemoryStream bytes(text.data(), text.size());
   rapidjson::EncodedInputStream<rapidjson::UTF8<>, rapidjson::MemoryStream> input(bytes);
   CanonicalHandler handler;
   rapidjson::Reader reader;
-  if (reader.Parse<flags>(input, handler).IsError()) throw Error(ErrorCode::unreadable, "not JSON");
+  if (reader.Parse<flags>(input, handler).IsError())
+    throw Error(ErrorCode::unreadable, "the text isn't valid JSON, nests too deeply, or repeats a member of an object");
   return handler.result;
 }
 
--- a/configuration/change_decision.cpp
+++ b/configuration/change_decision.cpp
@@ -44,9 +44,11 @@
   if (history.mayHaveEvicted(*base)) return refuse(ChangeVerdict::tooOld, ErrorCode::changeTooOld, request.ifMatch);
   if (*base != current)
     return refuse(ChangeVerdict::conflict, ErrorCode::versionConflict,
-                  "version " + std::to_string(current) + " is current");
+                  "version " + std::to_string(current) + " is current, the change builds on " + request.ifMatch);
   if (decision.version <= current)
-    return refuse(ChangeVerdict::invalid, ErrorCode::oldVersion, std::to_string(decision.version));
+    return refuse(
+        ChangeVerdict::invalid, ErrorCode::oldVersion,
+        "version " + std::to_string(decision.version) + " isn't above the current " + std::to_string(current));
   decision.verdict = ChangeVerdict::apply;
   decision.rows.push_back(ChangeHistory::Row{currentConfigurationKey, request.body});
   decision.rows.push_back(history.append(decision.id, decision.version));
--- a/configuration/change_decision.hpp
+++ b/configuration/change_decision.hpp
@@ -4,27 +4,27 @@
 /// The decision on a configuration change, as a pure function of the committed state and the request.
 namespace tealshelf {
 
-/// A request to change the configuration, as it came.
+/// A request to change the configuration, as received.
 struct ChangeRequest {
-  string ifMatch;  ///< the header: the version that the change builds on
+  string ifMatch;  ///< the If-Match header: the version that the change builds on
   string body;
 };
 
 enum class ChangeVerdict {
-  acknowledgeAgain,  ///< it was accepted before; it is confirmed and changes nothing
-  apply,             ///< it shall be written, and be confirmed once a majority has it
-  invalid,           ///< it is refused for good with the code
-  conflict,          ///< it is refused for good: another version is current
-  tooOld             ///< its base is older than the history; whether it was accepted isn't known
+  acknowledgeAgain,  ///< the change was accepted before; it is acknowledged and changes nothing
+  apply,             ///< the change is written, and acknowledged once a majority has it
+  invalid,           ///< the change is permanently refused with the error code
+  conflict,          ///< the change is permanently refused: another version is current
+  tooOld             ///< its base is older than the history, so it may have been accepted before
 };
 
 struct ChangeDecision {
   ChangeVerdict verdict = ChangeVerdict::invalid;
-  ErrorCode code = ErrorCode::unreadable;  ///< why a change is refused or left open
+  ErrorCode code = ErrorCode::unreadable;  ///< why a change isn't accepted
   string detail;                           ///< for the log
-  ChangeId id;                             ///< of a readable change
-  std::uint64_t version = 0;               ///< that a valid change brings
-  vector<ChangeHistory::Row> rows;         ///< to write, at once, for a change that shall be applied
+  ChangeId id;                             ///< valid if the request could be parsed
+  std::uint64_t version = 0;               ///< the version that a valid change installs
+  vector<ChangeHistory::Row> rows;         ///< for a change to apply: the rows to write in one transaction
 };
 
 /// Key of the current configuration in its keyspace.
@@ -33,15 +33,15 @@
 /// The version of the current configuration among the committed values; 0 if there is none yet.
 std::uint64_t currentVersion(std::map<string, string> const& values);
 
-/// Decides on a change by the committed values of the configuration's keyspace.
+/// Decides on a change from the committed values of the configuration's keyspace.
 ChangeDecision decideChange(std::map<string, string> const& values, ChangeRequest const& request,
                             HistoryShape shape = HistoryShape());
 
-/// Bars decisions while the end of a written change is unknown.
+/// Blocks decisions while the outcome of a written change is unknown.
 ///
-/// A write whose end this owner doesn't know may still be committed in its epoch. Until the epoch has passed, or the
-/// change stands in the committed history, the committed values say less than what may be in force, and no other
-/// change may be decided by them.
+/// A write without a known outcome may still be committed in the owner's epoch. Until the epoch has ended, or the
+/// change is in the committed history, the committed values may lack a change that takes effect, so no other change may
+/// be decided from them.
 class UndecidedChange {
  public:
   void begin(ChangeId const& change, std::uint64_t epoch) {
@@ -49,7 +49,7 @@
     epoch_ = epoch;
   }
   void settle() { change_.reset(); }
-  /// True while the change's end is open in this epoch, by the committed values.
+  /// True while the outcome is unknown, given the current epoch and the committed values.
   bool isOpen(std::uint64_t epoch, std::map<string, string> const& values);
 
  private:
--- a/configuration/change_history.cpp
+++ b/configuration/change_history.cpp
@@ -14,7 +14,8 @@
   for (auto page = values.lower_bound(pagePrefix); page != values.end() && page->first.starts_with(pagePrefix); ++page)
     for (AcceptedChange& change : deserialize<vector<AcceptedChange>>(page->second))
       stored.emplace(change.number, std::move(change));
-  // From the newest back, as long as each change leads to the one after it; stray ones at the end are passed over.
+  // From the newest back, while each change builds on the one before; newer changes that were never committed are
+  // skipped.
   std::uint64_t expectedVersion = currentVersion;
   while (!stored.empty()) {
     auto const newest = std::prev(stored.end());
--- a/configuration/change_history.hpp
+++ b/configuration/change_history.hpp
@@ -1,25 +1,25 @@
 #pragma once
 #include "configuration/canonical_json.hpp"
 
-/// The history of accepted configuration changes, kept by a majority beside the current configuration.
+/// The history of accepted configuration changes, stored in the same keyspace as the current configuration.
 ///
-/// A change is known by the version it builds on and the digest of its content. Each accepted change is appended to a
-/// ring of pages in the same write that makes its configuration current, so that both are on a majority or neither. A
-/// page is overwritten once the ring is full; no key is ever deleted, and no tombstone arises.
+/// A change is identified by the version it builds on and the digest of its content. Each accepted change is appended
+/// to a ring of pages in the same write that makes its configuration current, so that a majority has both or neither.
+/// The oldest page is overwritten once the ring is full; no key is ever deleted, so no tombstones are needed.
 ///
-/// A page that a deposed owner was the first to write, and that no majority ever had, may come up in a later epoch
+/// A page that a deposed owner was the first to write, and that never reached a majority, may reappear in a later epoch
 /// without the configuration of the same write. Therefore only changes that lead to the current version count: the
-/// newest must bring it, and each must build on the version of the one before.
+/// newest must install it, and each must build on the version of the one before.
 namespace tealshelf {
 
-/// What makes two changes the same: the version that they build on and the digest of the canonical content.
+/// Identity of a change: the version that it builds on and the digest of its canonical content.
 struct ChangeId {
   std::uint64_t baseVersion = 0;
   Digest digest;
   bool operator==(ChangeId const&) const = default;
 };
 
-/// An accepted change; `number` counts all that ever were, from 0.
+/// An accepted change; `number` is its sequence number, from 0.
 struct AcceptedChange {
   std::uint64_t number = 0, baseVersion = 0, version = 0;
   Digest digest;
@@ -27,22 +27,22 @@
   MSGPACK_DEFINE(number, baseVersion, version, digest)
 };
 
-/// How many changes are kept: `pages` keys of `changesPerPage` each.
+/// Capacity of the history: `pages` keys of `changesPerPage` changes each.
 struct HistoryShape {
   std::uint64_t pages = 65, changesPerPage = 16;
 };
 
-/// The changes that are kept, as read from the committed values of the configuration's keyspace.
+/// The recent changes, as read from the committed values of the configuration's keyspace.
 class ChangeHistory {
  public:
-  /// Reads the pages among the values of a keyspace, as far as they lead to the current version.
+  /// Reads the pages among the values of a keyspace, and drops changes that don't lead to the current version.
   ChangeHistory(std::map<string, string> const& values, std::uint64_t currentVersion,
                 HistoryShape shape = HistoryShape());
   /// The change if it was accepted and is still kept, or null.
   AcceptedChange const* find(ChangeId const& id) const;
-  /// True if changes on this base may have been accepted and forgotten since.
+  /// True if changes that build on this version may have been accepted and overwritten since.
   bool mayHaveEvicted(std::uint64_t baseVersion) const;
-  /// A value to write together with the configuration that a change brings.
+  /// A value to write together with the configuration that a change installs.
   struct Row {
     string key, value;
   };
--- a/configuration/configuration.cpp
+++ b/configuration/configuration.cpp
@@ -3,10 +3,10 @@
 namespace tealshelf {
 
 string const& Route::serviceFor(std::uint64_t hash) const {
-  std::uint64_t place = hash % std::max<std::uint64_t>(1, totalWeight);
+  std::uint64_t position = hash % std::max<std::uint64_t>(1, totalWeight);
   for (TrafficShare const& share : shares) {
-    if (place < share.weight) return share.service;
-    place -= share.weight;
+    if (position < share.weight) return share.service;
+    position -= share.weight;
   }
   return shares.front().service;
 }
--- a/configuration/configuration_reader.cpp
+++ b/configuration/configuration_reader.cpp
@@ -1,4 +1,4 @@
-// Reads and checks the operator's configurations.
+// Parses and validates the operator's configuration.
 #include "configuration/configuration.hpp"
 
 #include <boost/property_tree/json_parser.hpp>
@@ -11,14 +11,14 @@
 
 /// Three years in milliseconds.
 constexpr std::uint64_t maxDurationMs = 3ull * 366 * 24 * 3600 * 1000;
-/// The largest weight of one part of a route's traffic, so that sums don't overflow.
+/// The largest weight of one service of a route, so that sums don't overflow.
 constexpr std::uint64_t maxWeight = 1000000000;
-/// The largest number that is taken as a real one.
+/// Upper bound of whole numbers that are written as reals, such as 1e3.
 constexpr double maxReal = 1e15;
 
 /// The highest rate or burst of a tenant.
 constexpr double maxRate = 1e9;
-/// Bytes of a name that a fault quotes.
+/// The most bytes of a name that the text of a fault quotes.
 constexpr std::size_t maxQuotedNameBytes = 60;
 
 /// True for a text that can stand in a header as it is: visible ASCII, not empty.
@@ -28,7 +28,7 @@
 
 enum class Presence { required, optional };
 
-/// Reads fields and collects their faults; a faulty field gets its default. `where` names the object in faults.
+/// Reads fields and collects their faults; an invalid field gets its default. `where` names the object in the faults.
 class FieldReader {
  public:
   explicit FieldReader(vector<ConfigurationFault>& faults) : faults_(faults) {}
@@ -57,13 +57,13 @@
     return fallback;
   }
 
-  /// A time small enough to be added to a time point; the text holds it in a unit.
+  /// A duration that is small enough to be added to a time point; the field holds it in multiples of `unit`.
   Ms duration(Tree const& object, char const* name, string const& where, Ms fallback,
               Presence presence = Presence::optional, Ms unit = Ms(1)) {
     std::uint64_t const unitMs = static_cast<std::uint64_t>(unit.count());
     std::uint64_t const count = number(object, name, where, static_cast<std::uint64_t>(fallback.count()), presence);
     if (count <= maxDurationMs / unitMs) return Ms(static_cast<std::int64_t>(count * unitMs));
-    fault(ErrorCode::outOfRange, where + "." + name + " is too long");
+    fault(ErrorCode::outOfRange, where + "." + name + " is longer than three years");
     return fallback;
   }
 
@@ -116,9 +116,11 @@
 void checkShares(FieldReader& reader, Route& route, Configuration const& configuration, string const& where) {
   for (TrafficShare const& share : route.shares) {
     route.totalWeight += share.weight;
-    if (share.weight > maxWeight) reader.fault(ErrorCode::outOfRange, where + " has a weight that is too large");
+    if (share.weight > maxWeight)
+      reader.fault(ErrorCode::outOfRange, where + " has a share of " + std::to_string(share.weight) +
+                                              ", above the maximum of " + std::to_string(maxWeight));
     if (!configuration.services.contains(share.service))
-      reader.fault(ErrorCode::unknownService, where + " names " + share.service);
+      reader.fault(ErrorCode::unknownService, where + " names the unknown service " + share.service);
   }
   if (!route.totalWeight) reader.fault(ErrorCode::zeroWeights, where);
 }
@@ -127,7 +129,7 @@
   Route route;
   route.name = reader.text(object, "name", "route", Presence::required);
   string const where = "route " + route.name;
-  // Hosts are compared without regard to case.
+  // Host names are case-insensitive.
   route.host = lowerCase(reader.text(object, "host", where, Presence::required));
   route.prefix = reader.text(object, "pathStart", where, Presence::required);
   bool const validPrefix = !route.prefix.empty() && route.prefix.front() == '/' && route.prefix.back() == '/';
@@ -189,11 +191,11 @@
 }
 
 void readRoutes(FieldReader& reader, Tree const& list, Configuration& configuration) {
-  std::set<std::pair<string, string>> places;
+  std::set<std::pair<string, string>> hostsAndPrefixes;
   for (Tree::value_type const& element : list) {
     configuration.routes.push_back(readRoute(reader, element.second, configuration));
     Route const& route = configuration.routes.back();
-    if (!places.insert({route.host, route.prefix}).second)
+    if (!hostsAndPrefixes.insert({route.host, route.prefix}).second)
       reader.fault(ErrorCode::duplicateRoute, route.host + route.prefix);
     configuration.routesByHost[route.host].push_back(static_cast<std::uint32_t>(configuration.routes.size() - 1));
   }
@@ -212,7 +214,7 @@
   return limits;
 }
 
-/// Texts of faults never hold a key.
+/// Reads the keys of a tenant; the texts of faults never contain a key.
 void readKeys(FieldReader& reader, Tree const& object, string const& where, std::uint32_t tenant,
               Configuration& configuration) {
   boost::optional<Tree const&> const keys = object.get_child_optional("apiKeys");
@@ -229,7 +231,7 @@
 }
 
 void readTenants(FieldReader& reader, Tree const& list, Configuration& configuration) {
-  if (!list.data().empty()) reader.fault(ErrorCode::wrongType, "customers is no list");
+  if (!list.data().empty()) reader.fault(ErrorCode::wrongType, "customers isn't a list");
   configuration.needsKeys = true;
   for (Tree::value_type const& element : list) {
     Tree const& object = element.second;
@@ -247,7 +249,7 @@
   }
 }
 
-/// The JSON document; nothing if the text is no JSON, or more than one document.
+/// The JSON document; nothing if the text isn't exactly one JSON document.
 std::optional<Tree> parseJson(string const& text) {
   Tree document;
   try {
@@ -267,7 +269,7 @@
   FieldReader reader(faults);
   std::optional<Tree> const parsed = parseJson(text);
   if (!parsed) {
-    reader.fault(ErrorCode::unreadable, "not JSON");
+    reader.fault(ErrorCode::unreadable, "the text isn't one JSON document");
     return configuration;
   }
   Tree const& document = *parsed;
@@ -275,9 +277,9 @@
   boost::optional<Tree const&> const services = document.get_child_optional("services");
   boost::optional<Tree const&> const routes = document.get_child_optional("routes");
   boost::optional<Tree const&> const limits = document.get_child_optional("limits");
-  if (!services || !routes) reader.fault(ErrorCode::unreadable, "routes or services are missing");
+  if (!services || !routes) reader.fault(ErrorCode::unreadable, "the configuration has no routes or no services");
   if ((services && !services->data().empty()) || (routes && !routes->data().empty()))
-    reader.fault(ErrorCode::wrongType, "routes or services are no lists");
+    reader.fault(ErrorCode::wrongType, "routes or services isn't a list");
   if (services)
     for (Tree::value_type const& element : *services) {
       ServiceSettings service = readService(reader, element.second);
--- a/configuration/tenant_keys.cpp
+++ b/configuration/tenant_keys.cpp
@@ -9,7 +9,7 @@
 namespace tealshelf {
 
 namespace {
-/// Drawn when the process starts; never leaves it.
+/// A random secret, generated on first use; it never leaves the process.
 std::array<std::uint8_t, SHA256_DIGEST_SIZE> const& processSecret() {
   static std::array<std::uint8_t, SHA256_DIGEST_SIZE> const secret = [] {
     std::array<std::uint8_t, SHA256_DIGEST_SIZE> bytes{};
--- a/configuration/tenant_keys.hpp
+++ b/configuration/tenant_keys.hpp
@@ -3,13 +3,13 @@
 
 namespace tealshelf {
 
-/// The keys of all tenants, known by a keyed digest.
+/// The keys of all tenants, stored as keyed digests.
 ///
-/// Only HMAC-SHA-256 digests under a secret of the process are kept, so that a dump of this table shows no key, and a
-/// look-up that takes longer or shorter tells nothing of the keys that are near the one that was tried.
+/// Only HMAC-SHA-256 digests under a secret of the process are kept, so that a dump of this table reveals no key, and
+/// the duration of a look-up reveals nothing about keys similar to the one that was tried.
 class TenantKeys {
  public:
-  /// Adds a key of a tenant. False, and nothing is changed, if another tenant has it.
+  /// Adds a key of a tenant. Returns false and changes nothing if another tenant has the key.
   bool add(string_view key, std::uint32_t tenant);
   /// The tenant that holds a key.
   std::optional<std::uint32_t> find(string_view key) const;
@@ -25,10 +25,10 @@
   std::unordered_map<KeyDigest, std::uint32_t, DigestHash> tenants_;
 };
 
-/// The fingerprints of the keys of each tenant that a configuration's text names; empty if it can't be read.
+/// The fingerprints of the keys of each tenant in the text of a configuration; empty if it can't be parsed.
 std::map<string, std::set<string>> keyFingerprints(string const& configurationText);
 
-/// A short text by which a key can be told from others in logs; the key can't be found from it.
+/// A short text that distinguishes a key from others in logs without revealing it.
 string keyFingerprint(string_view key);
 
 }  // namespace tealshelf
