--- a/updates/relay_topology.hpp
+++ b/updates/relay_topology.hpp
@@ -13,7 +13,7 @@
   static vector<DataNode> relaysOf(vector<DataNode> const& zone);
   /// The relays that a node polls before control nodes, in order of preference. With a control node in its zone, a
   /// relay polls control nodes only; without one, a relay polls relays ranked before it, so that only the first one's
-  /// requests cross zones.
+  /// requests cross zones, or the second one's if the first fails.
   static vector<DataNode> parentsOf(string const& self, vector<DataNode> const& relays, bool controlInZone);
   /// Digest of a list of nodes, independent of its order; 0 for an empty list.
   static std::uint64_t digest(vector<DataNode> const& nodes);
