--- a/tests/configuration/change_decision_test.cpp
+++ b/tests/configuration/change_decision_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 using Rows = std::map<string, string>;
 
-/// A valid configuration; `mark` tells apart those of one version.
+/// A valid configuration; `mark` distinguishes configurations of one version.
 string configuration(std::uint64_t version, string const& mark = "a") {
   return "{\"version\":" + std::to_string(version) + ",\"routes\":[{\"name\":\"" + mark +
          "\",\"host\":\"h.example\",\"pathStart\":\"/a/\",\"kind\":\"repeatable\",\"timeLimitMs\":1000,"
@@ -16,7 +16,7 @@
 ChangeRequest changeRequest(std::uint64_t base, std::uint64_t version, string const& mark = "a") {
   return ChangeRequest{std::to_string(base), configuration(version, mark)};
 }
-/// A valid order on version 9, with one part of its text replaced.
+/// A valid change on version 9, with one part of its text replaced.
 ChangeRequest withReplacement(string const& part, string const& replacement) {
   string text = configuration(10);
   return ChangeRequest{"9", text.replace(text.find(part), part.size(), replacement)};
@@ -26,7 +26,7 @@
   LONGS_EQUAL(static_cast<int>(ChangeVerdict::apply), static_cast<int>(decision.verdict));
   for (ChangeHistory::Row const& row : decision.rows) rows[row.key] = row.value;
 }
-/// Rows after the versions 3, 6, 9 and so on.
+/// The rows after changes to the versions 3, 6, 9 and so on.
 Rows after(std::uint64_t changes, HistoryShape shape = HistoryShape()) {
   Rows rows;
   for (std::uint64_t i = 0; i < changes; ++i) apply(rows, changeRequest(3 * i, 3 * i + 3), shape);
@@ -63,8 +63,8 @@
       {rows, changeRequest(0, 3, "b"), ChangeVerdict::conflict, 109},
       {rows, changeRequest(6, 9, "b"), ChangeVerdict::conflict, 109},
       {rows, changeRequest(3, 5), ChangeVerdict::conflict, 109},
-      {rows, changeRequest(5, 12), ChangeVerdict::conflict, 109},   // a base that never was
-      {rows, changeRequest(12, 13), ChangeVerdict::conflict, 109},  // a base that isn't yet
+      {rows, changeRequest(5, 12), ChangeVerdict::conflict, 109},   // a base that never existed
+      {rows, changeRequest(12, 13), ChangeVerdict::conflict, 109},  // a base that doesn't exist yet
       {rows, changeRequest(9, 9), ChangeVerdict::invalid, 105},
       {rows, changeRequest(9, 8), ChangeVerdict::invalid, 105},
       {rows, changeRequest(3, 9), ChangeVerdict::conflict, 109},  // the current content on another base
@@ -104,7 +104,7 @@
     if (kept) expect(rows, changeRequest(3 * i, 3 * i + 3), ChangeVerdict::acknowledgeAgain);
     if (kept) expect(rows, changeRequest(3 * i, 3 * i + 3, "b"), ChangeVerdict::conflict, 109);
   }
-  // What may have been forgotten is neither refused nor taken again.
+  // A change that may have been overwritten in the history is neither refused nor accepted again.
   expect(rows, changeRequest(0, 3), ChangeVerdict::tooOld, 111);
   expect(rows, changeRequest(0, 3, "b"), ChangeVerdict::tooOld, 111);
 }
@@ -120,7 +120,7 @@
       }
     }
 }
-/// A page may come up that a deposed owner wrote, without the configuration of the same change.
+/// A page that a deposed owner wrote may reappear without the configuration of the same change.
 TEST(changeDecision, pagesWithoutTheirConfigurationDoNotCount) {
   HistoryShape const shape{8, 1};
   Rows rows = after(3, shape), other = rows;
@@ -147,7 +147,7 @@
   CHECK_TRUE(undecided.isOpen(5, rows));
   CHECK_TRUE(undecided.isOpen(5, rows));
   UndecidedChange inNextEpoch = undecided;
-  CHECK_FALSE(inNextEpoch.isOpen(6, rows));  // a new epoch has settled it
+  CHECK_FALSE(inNextEpoch.isOpen(6, rows));  // the epoch of the write has ended
   apply(rows, written);
-  CHECK_FALSE(undecided.isOpen(5, rows));  // it came into force
+  CHECK_FALSE(undecided.isOpen(5, rows));  // the change is committed
 }
--- a/tests/configuration/change_simulation_test.cpp
+++ b/tests/configuration/change_simulation_test.cpp
@@ -7,9 +7,9 @@
 
 using namespace tealshelf;
 
-/// Operators send orders and reads to a simulated group in trouble; their history is checked for linearizability.
+/// Operators send changes and reads to a simulated group with faults; their history is checked for linearizability.
 namespace {
-/// The rules of an owner: the real ones, and variants that are known to be wrong.
+/// The rules by which an owner decides: the real ones, and variants with a known fault.
 enum class Rules { real, currentTextOnly, withoutConfirm, ignoresUndecided };
 
 std::uint64_t changeSeeds() {
@@ -37,7 +37,7 @@
     cluster_.survive = 1;
     cluster_.run(400);
   }
-  /// Plays a day; says what is broken.
+  /// Runs random operations and faults; describes the first violation, if any.
   string run(std::size_t steps) {
     for (std::size_t k = 0; k < steps && cluster_.violation.empty(); ++k) {
       cluster_.step();
@@ -65,7 +65,7 @@
   };
   std::uint64_t dice(std::uint64_t n) { return cluster_.dice(n); }
 
-  /// An operator sends a new order, an order once more, or a read, to any node.
+  /// An operator sends a new change, repeats an earlier one, or reads, at any node.
   void operate() {
     std::size_t const node = dice(cluster_.nodes().size());
     std::uint64_t const kind = dice(8);
@@ -81,7 +81,7 @@
     send(node, sent_.back());
     if (dice(3) == 0) operate();
   }
-  /// The node that serves a call: the one asked, or one it takes for the owner.
+  /// The owner that a call reaches, within a few random forwards.
   std::optional<std::size_t> serving(std::size_t node) {
     for (int hop = 0; hop < 3; ++hop) {
       sim::Cluster::Node& x = cluster_.nodes()[node];
@@ -97,7 +97,7 @@
       owner = Owner{cluster_.nodes()[node].processNumber, 0, false, {}};
     return owner;
   }
-  /// Trouble may strike the owner at each stage of an order.
+  /// Schedules at random a crash of the owner, at each stage of a change.
   void maybeFailLater(std::size_t node) {
     if (dice(25) == 0) nodesToFail_.insert(node);
   }
@@ -168,10 +168,10 @@
           maybeFailLater(node);
           answer(index, sim::Answer::acknowledged);
         });
-    // The wait for the end is bounded: at times the owner gives up on it and serves others.
+    // The wait for the outcome is bounded: at times the owner stops waiting and serves other changes.
     if (dice(4) == 0) owner.busy = false, ++owner.turn;
   }
-  /// The answer reaches the operator unless it is lost on its way.
+  /// Delivers the answer to the operator, unless it is lost at random.
   void answer(std::size_t index, sim::Answer given) {
     if (dice(4) == 0) return;
     sim::Attempt& attempt = checker_.attempts[index];
@@ -182,9 +182,9 @@
   void injectFault() {
     std::size_t const count = cluster_.nodes().size(), i = dice(count);
     sim::Cluster::Node& x = cluster_.nodes()[i];
-    std::size_t withoutDisk = 0, unavailable = 0;
+    std::size_t incompleteDisks = 0, unavailable = 0;
     for (sim::Cluster::Node const& y : cluster_.nodes()) {
-      withoutDisk += !y.diskHoldsAllKeys;
+      incompleteDisks += !y.diskHoldsAllKeys;
       unavailable += !y.up || y.frozen;
     }
     switch (dice(5)) {
@@ -204,7 +204,7 @@
         cluster_.loss = dice(3) * 0.1;
         break;
       default:
-        if (withoutDisk || unavailable) break;
+        if (incompleteDisks || unavailable) break;
         cluster_.wipe(i);
         ++wipes;
     }
@@ -215,14 +215,14 @@
     if (!x.up)
       cluster_.start(i);
     else if (x.frozen) {
-      // A call that waited at the frozen node is served before the node has looked at its clock.
+      // A call that waited at the frozen node is served before the node reads its clock.
       x.frozen = false;
       read(i);
       cluster_.unfreeze(i);
     } else if (dice(2))
       cluster_.cuts.clear();
   }
-  /// All is healed; the chain that is in force then must explain the whole history.
+  /// Repairs all faults; the chain of the owner must then explain the whole history.
   string checkHistory() {
     cluster_.heal();
     cluster_.run(2500);
@@ -233,7 +233,7 @@
       accepted = history.changes().size();
       return checker_.check(history.changes());
     }
-    return "nobody owns the configuration after all was healed";
+    return "no node owns the configuration after all faults were repaired";
   }
 
   sim::Cluster cluster_;
--- a/tests/tenants/quota_fleet_sim.hpp
+++ b/tests/tenants/quota_fleet_sim.hpp
@@ -5,18 +5,18 @@
 
 namespace tealshelf::sim {
 
-/// Shards of a tenant's limit on a virtual clock, with the worst edges there can be: they ask wherever a credit may be
-/// had, at members that are cut off or removed too, and spend each credit at any time of its life.
+/// Shards of a tenant's limit on a virtual clock, with worst-case edges: they ask every running node for credits,
+/// including isolated and removed members, and spend each credit at any time of its life.
 ///
-/// Members are killed, started again, cut off, and replaced while they may still be running; their clocks run at
-/// different rates, and they learn of memberships and configurations late.
+/// Members are killed, restarted, isolated, and replaced while they may still be running; their clocks run at different
+/// rates, and they receive memberships and configurations late.
 class QuotaFleet {
  public:
   struct Faults {
-    bool skipsTakeoverDelay = false;       ///< mutation: a part that may be in use elsewhere is used at once
-    bool restartsWithFullBuckets = false;  ///< mutation: a process that starts has its buckets full
-    bool ignoresLease = false;             ///< mutation: a shard goes on without a majority
-    bool limitIsLowered = false;           ///< the rate is halved midway, and later raised
+    bool skipsTakeoverDelay = false;       ///< injected fault: a share that another node may still use is used at once
+    bool restartsWithFullBuckets = false;  ///< injected fault: a process starts with full buckets
+    bool ignoresLease = false;             ///< injected fault: a shard goes on granting without a majority
+    bool limitIsLowered = false;           ///< the rate is halved midway, and restored later
   };
   static constexpr Ms tick{20}, length{60000};
 
@@ -37,7 +37,7 @@
     for (Node& node : nodes_) install(node);
   }
 
-  /// Runs to the end; the largest part of the bound that a window used, and 1 is the bound.
+  /// Runs the simulation; returns the largest share of the bound that a window used, 1 being the bound.
   double run() {
     for (Ms now(0); now < length; now += tick) {
       now_ = TimePoint(Ms(1000000) + now);
@@ -46,7 +46,7 @@
       for (Node& node : nodes_) advance(node);
       if (pick(hasCrashLoops_ ? 8 : 40) == 0) injectFault();
       replaceUnreachable();
-      // Edges rest now and then, so that buckets fill.
+      // Edges pause at times, so that buckets fill.
       bool const idle = (now / Ms(4000)) % 4 == 3;
       if (!idle) requestCredits();
     }
@@ -66,7 +66,7 @@
   };
 
   std::uint64_t pick(std::uint64_t below) { return random_() % below; }
-  /// What a node's own clock shows.
+  /// A time by the node's own clock.
   TimePoint localTime(Node const& node, TimePoint at) const {
     return TimePoint(std::chrono::duration_cast<Clock::duration>(node.clockRate * at.time_since_epoch()));
   }
@@ -94,9 +94,9 @@
     node.shard = std::make_unique<QuotaShard>(bounds_, timing);
     node.configurationSeen = 0;
     node.up = true;
-    // From its disk.
+    // A restarted node reads the membership from its disk.
     if (node.known.exists()) node.shard->setMembership(node.known, node.self, localTime(node, now_));
-    // A full bucket is what a process has that has counted for long.
+    // A process that has counted for long gives a new subject a full bucket.
     if (faults_.restartsWithFullBuckets) {
       node.shard->setConfiguration(std::make_shared<Configuration>(), localTime(node, now_) - 3 * bounds_.quotaWindow);
     }
@@ -125,7 +125,7 @@
     return member && member->incarnation == node.self.incarnation;
   }
 
-  /// Kills a node or cuts one off, for longer than it takes to replace it, too.
+  /// Kills or isolates a node, at times for longer than it takes to replace it.
   void injectFault() {
     Node& node = nodes_[pick(nodes_.size())];
     Ms const duration(hasCrashLoops_ ? 40 + pick(100) : 200 + pick(20000));
@@ -191,7 +191,7 @@
   Faults faults_;
   Bounds bounds_;
   double rate_ = 0, burst_ = 0;
-  bool hasCrashLoops_ = false;  ///< members end again and again, each time for a moment
+  bool hasCrashLoops_ = false;  ///< members crash repeatedly and restart within moments
   std::uint64_t version_ = 0;
   std::shared_ptr<Configuration const> configuration_;
   Membership membership_;
--- a/tests/tenants/quota_shard_test.cpp
+++ b/tests/tenants/quota_shard_test.cpp
@@ -7,7 +7,7 @@
 using sim::QuotaFleet;
 
 namespace {
-/// The largest part of the bound that any window of any seed used.
+/// The largest share of the bound that any window of any seed used.
 double largestUsedShare(QuotaFleet::Faults faults) {
   double worst = 0;
   for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) worst = std::max(worst, QuotaFleet(seed, faults).run());
@@ -34,7 +34,7 @@
   return member;
 }
 
-/// One of three shards that have always been members.
+/// One of three shards that have been members from the start.
 struct ShardRig {
   ShardRig() {
     membership.number = MembershipNumber(1);
@@ -42,7 +42,7 @@
     membership.formerMembers = membership.members;
     shard.setMembership(membership, membership.members[0], now);
   }
-  /// Credits that are granted one after the other without a pause.
+  /// Takes credits until none is granted; returns their number.
   int takeAll() {
     int taken = 0;
     while (shard.take("t", now, now).verdict == CreditVerdict::granted) ++taken;
@@ -54,19 +54,19 @@
 };
 }  // namespace
 
-/// However members die, are cut off and are replaced, no window of any tenant holds more than the rule allows.
+/// No window of a tenant exceeds the bound while members crash, are isolated and are replaced.
 TEST_GROUP(quotaFleet){};
 
 TEST(quotaFleet, noWindowExceedsItsBound) {
   double const worst = largestUsedShare({});
   CHECK(worst <= 1);
-  // The search does press against the bound.
+  // The simulation comes close to the bound.
   CHECK(worst > 0.8);
 }
 TEST(quotaFleet, aLoweredLimitStaysWithinThePreviousBound) {
   CHECK(largestUsedShare({false, false, false, true}) <= 1);
 }
-/// The search finds what it is there to find.
+/// The simulation detects injected faults.
 TEST(quotaFleet, aTakeoverWithoutDelayIsDetected) {
   CHECK(largestUsedShare({true, false, false, false}) > 1);
 }
@@ -89,7 +89,7 @@
     rig.now += Ms(20);
     taken += rig.takeAll();
   }
-  // A third of 300 a second, a little stretched, for 200 ms.
+  // A third of 300 a second, with the overrun, for 200 ms.
   CHECK(taken >= 19 && taken <= 21);
 }
 TEST(quotaShard, reportsWhenToRetry) {
@@ -98,7 +98,7 @@
   TakeCreditReply const first = rig.shard.take("t", rig.now, rig.now);
   CHECK(first.verdict == CreditVerdict::exhausted);
   CHECK(first.retryAfterMs >= 90 && first.retryAfterMs <= 110);
-  // The next one is put off until the token after that.
+  // The next refused request is told the time of the token after that.
   CHECK(rig.shard.take("t", rig.now, rig.now).retryAfterMs > first.retryAfterMs);
   CHECK(rig.shard.take("t", rig.now + Ms(110), rig.now + Ms(110)).verdict == CreditVerdict::granted);
 }
--- a/tests/updates/updates_sim.hpp
+++ b/tests/updates/updates_sim.hpp
@@ -6,8 +6,8 @@
 
 namespace tealshelf::sim {
 
-/// Control nodes, relays and plain nodes on a virtual clock and a lossy network. Control is
-/// played as a list of commits that its healthy nodes learn of within a moment.
+/// Control nodes, relays and other subscribers on a virtual clock and a lossy network. The control plane is simulated
+/// as a list of commits that its healthy nodes apply within a moment.
 class Fleet {
  public:
   struct Config {
@@ -69,7 +69,7 @@
     }
   }
   double loss = 0;
-  std::set<std::pair<string, string>> cuts;  ///< one-way, by name
+  std::set<std::pair<string, string>> cuts;  ///< lost directions, from one name to another
   string broken;
   std::uint64_t fullDeltas = 0, deltas = 0;
   std::uint64_t dice(std::uint64_t n) { return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(random_); }
@@ -118,7 +118,7 @@
     x.nextRequestAt = now_ + Ms(dice(20));
     x.lastFaultAt = now_;
   }
-  /// A trouble at a node: it is not in touch until so long after it.
+  /// Records a fault at a node, which may lag until inTouch after it.
   void noteFault(Node& x) { x.lastFaultAt = now_; }
   void noteFaultEverywhere() {
     for (Node& x : nodes_) noteFault(x);
@@ -139,20 +139,21 @@
   void run(std::size_t steps) {
     for (std::size_t i = 0; i < steps && broken.empty(); ++i) step();
   }
-  /// After quiet every node's view equals control's.
+  /// Checks that every node's view equals that of the control plane, some time after the last fault.
   void checkEqual() {
     for (Node& x : nodes_) {
       if (!x.up) continue;
       if (x.publisher->common.digest() != controls_[0].publisher->common.digest())
-        fail(x.name + " differs from control after quiet");
+        fail(x.name + " differs from the control plane after the last fault");
       std::map<string, string> want;
       for (std::pair<string const, string> const& p : controls_[0].publisher->common.rows())
         if (p.first[0] == 'w') want.insert(p);
-      if (want != x.workers) fail(x.name + " knows other workers than control after quiet");
-      if (x.publisher->configurationVersion() != version_) fail(x.name + " has an old configuration after quiet");
+      if (want != x.workers) fail(x.name + " knows other workers than the control plane after the last fault");
+      if (x.publisher->configurationVersion() != version_)
+        fail(x.name + " has an old configuration after the last fault");
     }
   }
-  /// Asks held or in flight at a server.
+  /// Requests that a server holds.
   std::size_t heldRequestsAt(Server const& s) const { return s.held.size(); }
   bool relays(Node const& x) const { return x.subscriber->isRelay(); }
 
@@ -296,21 +297,21 @@
         v = v - 1;
       }
       if (v < x.version)
-        fail(x.name + " went back from configuration " + std::to_string(x.version) + " to " + std::to_string(v));
+        fail(x.name + " rolled back from configuration " + std::to_string(x.version) + " to " + std::to_string(v));
       x.version = v;
       if (x.frozen || now_ - x.lastFaultAt < Ms(settings_.bounds.inTouch)) continue;
-      // In touch: what was committed so long ago must be in force.
+      // A node without recent faults must have applied what was committed longer than applyWithin ago.
       for (std::size_t i = commits_.size(); i-- > 0;) {
         Commit const& k = commits_[i];
         if (now_ - k.at <= Ms(settings_.bounds.applyWithin)) continue;
         if (now_ - k.at > Ms(2 * settings_.bounds.applyWithin)) break;
         if (k.configuration && v < k.configuration)
-          fail(x.name + " in touch has configuration " + std::to_string(v) + ", " + std::to_string(k.configuration) +
-               " was acknowledged long ago");
+          fail(x.name + ", without recent faults, has configuration " + std::to_string(v) + ", " +
+               std::to_string(k.configuration) + " was acknowledged more than applyWithin ago");
         if (!k.configuration && k.removed && x.workers.count(k.key)) {
           bool again = false;
           for (std::size_t j = i + 1; j < commits_.size(); ++j) again = again || commits_[j].key == k.key;
-          if (!again) fail(x.name + " in touch still knows a removed worker");
+          if (!again) fail(x.name + ", without recent faults, still knows a removed worker");
         }
       }
     }
--- a/tests/updates/updates_test.cpp
+++ b/tests/updates/updates_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr std::uint64_t updateSeeds = 6;
 
-/// A day of random troubles; says which invariant broke, if any.
+/// Runs a scenario of random faults; describes the first violated invariant, if any.
 string runScenario(std::uint64_t seed, sim::Fleet::Config c) {
   sim::Fleet f(seed, c);
   f.commitConfiguration();
@@ -43,7 +43,7 @@
           f.noteFault(x);
         }
         break;
-      case 6:  // a node is cut off from all control nodes, one way; it still answers its children
+      case 6:  // a node's messages to all control nodes are lost; it still answers its subscribers
         for (sim::Fleet::Control const& m : f.controls()) f.cuts.insert({x.name, m.name});
         f.noteFault(x);
         break;
@@ -64,7 +64,7 @@
       default:
         break;
     }
-    // A majority of control stays healthy, and a node cut off is never in touch.
+    // All control nodes but one stay healthy, and lost messages count as faults of the nodes concerned.
     std::size_t ill = 0;
     for (sim::Fleet::Control& m : f.controls())
       if (!m.healthy && ++ill > 1) m.healthy = true;
@@ -86,7 +86,7 @@
   return f.broken;
 }
 
-/// One that knows nothing but a seed in another zone.
+/// A subscriber that knows only a seed in another zone.
 UpdateSubscriber startingSubscriber(Settings const& settings, UpdatePublisher& publisher) {
   DataNode const self{"self", "z", "edge", {"10.0.0.99", 2}, 300};
   auto const controlAddress = [](string const& ip) { return Address{ip, 1}; };
@@ -208,7 +208,7 @@
   old.proofAgeMs = 500;
   CHECK(copy.apply(old, t, none, none) == UpdateCopy::Result::outdated);
   LONGS_EQUAL(1, publisher.common.rows().size());
-  // A configuration never goes back, whoever says so.
+  // A configuration never goes back, whichever node sends an older one.
   UpdateReply back = old;
   back.proofAgeMs = 0;
   back.configurationVersion = 1;
@@ -239,7 +239,7 @@
   LONGS_EQUAL(1, reply.members.size());
   CHECK(subscriber.receive(first, reply, t, t));
   CHECK(subscriber.isIntroduced());
-  // A relay of the zone is asked for the rest, then control in the zone, and the seed last.
+  // The sources are relays of the zone, then the control node in the zone, then the seed.
   vector<Address> const sources = subscriber.firstSources(t);
   LONGS_EQUAL(4, sources.size());
   CHECK(sources[0].port == 2 && sources[1].port == 2);
@@ -298,7 +298,7 @@
   }
   for (sim::Fleet::Control const& c : f.controls()) atControl += f.heldRequestsAt(c);
   LONGS_EQUAL(4 * 5, relays);
-  CHECK_TEXT(atControl <= relays, "only relays ask at control");
+  CHECK_TEXT(atControl <= relays, "only relays poll control nodes");
   std::uint64_t const full = f.fullDeltas;
   for (int k = 0; k < 100; ++k) {
     f.commitWorker();
@@ -326,10 +326,10 @@
 }
 
 TEST(updates, aRelayThatReportsAFalseProofAgeIsDetected) {
-  bool caught = false;
-  for (std::uint64_t s = 1; s <= 30 && !caught; ++s)
-    caught = !runScenario(s, {8, 4, 20, true, false, false, false}).empty();
-  CHECK_TEXT(caught, "the broken variant was never caught");
+  bool detected = false;
+  for (std::uint64_t s = 1; s <= 30 && !detected; ++s)
+    detected = !runScenario(s, {8, 4, 20, true, false, false, false}).empty();
+  CHECK_TEXT(detected, "the injected fault was never detected");
 }
 TEST(updates, aDeltaWithLostRowsIsRepaired) {
   for (std::uint64_t s = 1; s <= 3; ++s) {
@@ -338,14 +338,14 @@
   }
 }
 TEST(updates, aDroppedRowIsDetected) {
-  bool caught = false;
-  for (std::uint64_t s = 1; s <= 30 && !caught; ++s)
-    caught = !runScenario(s, {8, 4, 20, false, false, false, true}).empty();
-  CHECK_TEXT(caught, "the broken variant was never caught");
+  bool detected = false;
+  for (std::uint64_t s = 1; s <= 30 && !detected; ++s)
+    detected = !runScenario(s, {8, 4, 20, false, false, false, true}).empty();
+  CHECK_TEXT(detected, "the injected fault was never detected");
 }
 TEST(updates, aConfigurationRollbackIsDetected) {
-  bool caught = false;
-  for (std::uint64_t s = 1; s <= 30 && !caught; ++s)
-    caught = !runScenario(s, {8, 4, 20, false, false, true, false}).empty();
-  CHECK_TEXT(caught, "the broken variant was never caught");
+  bool detected = false;
+  for (std::uint64_t s = 1; s <= 30 && !detected; ++s)
+    detected = !runScenario(s, {8, 4, 20, false, false, true, false}).empty();
+  CHECK_TEXT(detected, "the injected fault was never detected");
 }
