--- a/tests/base/durable_log_test.cpp
+++ b/tests/base/durable_log_test.cpp
@@ -27,20 +27,20 @@
 /// Writes as LogWriter does, or in one of the ways that lose records.
 class TestedWriter {
  public:
-  TestedWriter(MemoryDisk& disk, Faulty how, std::uint64_t last) : disk_(disk), how_(how), good_(disk, folder, last) {
+  TestedWriter(MemoryDisk& disk, Faulty how, std::uint64_t last) : disk_(disk), fault_(how), good_(disk, folder, last) {
     number_ = last;
   }
-  bool whole() const { return how_ == Faulty::no ? good_.isOpen() : file_ >= 0; }
+  bool whole() const { return fault_ == Faulty::no ? good_.isOpen() : file_ >= 0; }
   int append(string const& records) {
-    if (how_ == Faulty::no) return good_.append(records);
+    if (fault_ == Faulty::no) return good_.append(records);
     int failed = writeAll(disk_, file_, encodeBatch(records));
     if (!failed && disk_.sync(file_)) failed = EIO;
-    if (failed && how_ == Faulty::syncsAgain && !disk_.sync(file_)) return 0;
+    if (failed && fault_ == Faulty::syncsAgain && !disk_.sync(file_)) return 0;
     if (failed) file_ = -1;
     return failed;
   }
   int renew(vector<string> const& records) {
-    if (how_ != Faulty::oldOrder) return renewWell(records);
+    if (fault_ != Faulty::oldOrder) return renewWell(records);
     // As before: the syncs of the snapshot, the log and the folder go unlooked at.
     ++number_;
     int const next = disk_.open(folder + "/next", FileSystem::OpenMode::truncate);
@@ -65,13 +65,13 @@
   int renewWell(vector<string> const& records) {
     ++number_;
     int const failed = good_.renew(records);
-    if (!failed && how_ != Faulty::no)
+    if (!failed && fault_ != Faulty::no)
       file_ = disk_.open(logFilePath(folder, LogFileKind::log, number_), FileSystem::OpenMode::append);
     return failed;
   }
 
   MemoryDisk& disk_;
-  Faulty how_;
+  Faulty fault_;
   LogWriter good_;
   std::uint64_t number_ = 0;
   int file_ = -1;
