--- a/apps/daemon.cpp
+++ b/apps/daemon.cpp
@@ -81,7 +81,7 @@
   initLogging(level);
   try {
     Settings const settings = loadSettings(options.settingsPath);
-    for (string const& bound : settings.weakBounds()) logInfo("settings", bound);
+    for (string const& bound : settings.infeasibleBounds()) logInfo("settings", bound);
     for (string const& field : settings.unknownFields)
       logInfo("settings", "ignoring unknown field " + field + " of the settings file");
     asio::io_context io(1);
--- a/base/disk_retry.hpp
+++ b/base/disk_retry.hpp
@@ -7,13 +7,13 @@
 namespace tealshelf {
 
 /// The pause after one of a given length; pauses double up to about a bound.
-inline Ms nextRetryPause(Ms pause, Ms maxPause) {
+inline Ms nextRetryDelay(Ms pause, Ms maxPause) {
   return std::clamp(pause * 2, maxPause / 16 + Ms(1), maxPause + Ms(1));
 }
 
 /// Tries what a process needs at its start until the disk no longer refuses it. Blocks the thread.
 template <class Attempt>
-auto retryUntilDiskWorks(string const& directory, Ms maxPause, Attempt attempt) {
+auto retryUntilDiskAvailable(string const& directory, Ms maxPause, Attempt attempt) {
   for (Ms pause(0);;) {
     try {
       return attempt();
@@ -21,7 +21,7 @@
       if (error.code() != ErrorCode::diskFailed) throw;
       if (pause == Ms(0)) logWarning("disk", directory + ": the start waits for the disk: " + error.what());
     }
-    pause = nextRetryPause(pause, maxPause);
+    pause = nextRetryDelay(pause, maxPause);
     std::this_thread::sleep_for(pause);
   }
 }
--- a/base/durable_log.cpp
+++ b/base/durable_log.cpp
@@ -24,7 +24,8 @@
       stallTimer_(io),
       metrics_(directory_),
       sampler_(metrics().sample([this] { sampleMetrics(); })) {
-  recovered_ = retryUntilDiskWorks(directory_, limits_.maxRetryPause, [this] { return readLog(files_, directory_); });
+  recovered_ =
+      retryUntilDiskAvailable(directory_, limits_.maxRetryDelay, [this] { return readLog(files_, directory_); });
   writer_ = std::make_unique<LogWriter>(files_, directory_, recovered_.lastNumber);
   stateSize_ = recovered_.totalBytes;
   thread_ = std::thread([this] { run(); });
@@ -42,15 +43,15 @@
 
 void DurableLog::append(string const& record) {
   // A snapshot that is to come holds the record's change.
-  if (mustRenew_) return;
-  gathered_.encodedRecords += encodeRecord(record);
-  if (gathered_.encodedRecords.size() <= limits_.maxLogSize(stateSize_)) return;
-  mustRenew_ = true;
-  string().swap(gathered_.encodedRecords);
+  if (snapshotRequired_) return;
+  pendingJob_.encodedRecords += encodeRecord(record);
+  if (pendingJob_.encodedRecords.size() <= limits_.maxLogSize(stateSize_)) return;
+  snapshotRequired_ = true;
+  string().swap(pendingJob_.encodedRecords);
 }
 
 void DurableLog::whenSynced(std::function<void()> callback) {
-  gathered_.callbacks.push_back(std::move(callback));
+  pendingJob_.callbacks.push_back(std::move(callback));
   startJob();
 }
 
@@ -74,9 +75,9 @@
 }
 
 void DurableLog::startJob() {
-  bool const pausing = state_ == DiskState::failing && retryPause_ > Ms(0);
+  bool const pausing = state_ == DiskState::failing && retryDelay_ > Ms(0);
   if (jobRunning_ || pausing) return;
-  bool const nothingToDo = gathered_.encodedRecords.empty() && gathered_.callbacks.empty();
+  bool const nothingToDo = pendingJob_.encodedRecords.empty() && pendingJob_.callbacks.empty();
   if (nothingToDo && healthy()) return;
   Job job = takeJob();
   jobRunning_ = true;
@@ -90,9 +91,9 @@
 }
 
 DurableLog::Job DurableLog::takeJob() {
-  Job job = std::exchange(gathered_, Job());
-  job.renews = mustRenew_ || logSize_ + job.encodedRecords.size() > limits_.maxLogSize(stateSize_);
-  mustRenew_ = false;
+  Job job = std::exchange(pendingJob_, Job());
+  job.renews = snapshotRequired_ || logSize_ + job.encodedRecords.size() > limits_.maxLogSize(stateSize_);
+  snapshotRequired_ = false;
   if (!job.renews) {
     logSize_ += encodeBatch("").size() + job.encodedRecords.size();
     return job;
@@ -127,7 +128,7 @@
   TimePoint const startedAt = Clock::now();
   JobResult result;
   if (job.renews) {
-    result.error = makeDirectoryLast();
+    result.error = makeDirectoryDurable();
     if (!result.error) result.error = writer_->renew(std::move(job.snapshotRecords));
     result.removalError = writer_->removalError();
   } else if (!job.encodedRecords.empty()) {
@@ -137,21 +138,21 @@
   return result;
 }
 
-int DurableLog::makeDirectoryLast() {
+int DurableLog::makeDirectoryDurable() {
   if (files_.makeDirectory(directory_) && errno != EEXIST) return errno;
   // Also where it was there: an earlier process may have ended before the name was synced.
-  if (directoryLasts_) return 0;
+  if (directoryDurable_) return 0;
   std::filesystem::path const parent = std::filesystem::path(directory_).parent_path();
   int const error = syncDirectory(files_, parent.empty() ? "." : parent.string());
-  directoryLasts_ = !error;
+  directoryDurable_ = !error;
   return error;
 }
 
 void DurableLog::finishJob(Job& job, JobResult const& result) {
   jobRunning_ = false;
-  lastSyncTook_ = result.took;
+  lastSyncDuration_ = result.took;
   if (result.error) return failJob(job, result.error);
-  retryPause_ = Ms(0);
+  retryDelay_ = Ms(0);
   setState(DiskState::healthy);
   if (result.removalError)
     logWarning("disk", directory_ + ": an old file can't be removed: " + std::strerror(result.removalError));
@@ -163,34 +164,34 @@
 void DurableLog::failJob(Job& job, int error) {
   lastError_ = error;
   metrics_.failures.increment();
-  mustRenew_ = true;
-  gathered_.encodedRecords.clear();
-  gathered_.callbacks.insert(gathered_.callbacks.begin(), std::make_move_iterator(job.callbacks.begin()),
-                             std::make_move_iterator(job.callbacks.end()));
+  snapshotRequired_ = true;
+  pendingJob_.encodedRecords.clear();
+  pendingJob_.callbacks.insert(pendingJob_.callbacks.begin(), std::make_move_iterator(job.callbacks.begin()),
+                               std::make_move_iterator(job.callbacks.end()));
   setState(DiskState::failing);
-  retryLater();
+  scheduleRetry();
 }
 
-void DurableLog::retryLater() {
-  retryPause_ = nextRetryPause(retryPause_, limits_.maxRetryPause);
-  retryTimer_.expires_after(retryPause_);
+void DurableLog::scheduleRetry() {
+  retryDelay_ = nextRetryDelay(retryDelay_, limits_.maxRetryDelay);
+  retryTimer_.expires_after(retryDelay_);
   retryTimer_.async_wait([this, alive = alive_](error_code) {
     if (!*alive) return;
     // Without a pause the job starts; its length is kept for the next failure.
-    Ms const pause = std::exchange(retryPause_, Ms(0));
+    Ms const pause = std::exchange(retryDelay_, Ms(0));
     startJob();
-    retryPause_ = pause;
+    retryDelay_ = pause;
   });
 }
 
 /// Finds a disk that doesn't answer.
 void DurableLog::watchForStall() {
-  if (watching_) return;
-  watching_ = true;
+  if (stallTimerRunning_) return;
+  stallTimerRunning_ = true;
   stallTimer_.expires_at(jobStartedAt_ + limits_.stallTimeout);
   stallTimer_.async_wait([this, alive = alive_](error_code) {
     if (!*alive) return;
-    watching_ = false;
+    stallTimerRunning_ = false;
     if (!jobRunning_) return;
     if (Clock::now() - jobStartedAt_ < limits_.stallTimeout) return watchForStall();
     setState(DiskState::stalled);
@@ -203,7 +204,7 @@
   metrics_.budgetBytes.setCount(limits_.budget);
   metrics_.overBudget.setCount(overBudget());
   metrics_.diskState.setCount(static_cast<int>(state_));
-  metrics_.syncSeconds.set(std::chrono::duration<double>(lastSyncTook_).count());
+  metrics_.syncSeconds.set(std::chrono::duration<double>(lastSyncDuration_).count());
 }
 
 void DurableLog::setState(DiskState state) {
--- a/base/durable_log.hpp
+++ b/base/durable_log.hpp
@@ -16,7 +16,7 @@
   /// A disk that hasn't answered for so long counts as failing.
   Ms stallTimeout;
   /// The pause before a failing disk is tried again grows up to this.
-  Ms maxRetryPause;
+  Ms maxRetryDelay;
 
   /// Size of a log file that is always allowed before a snapshot replaces it.
   std::size_t minLogSize() const { return budget / 10; }
@@ -82,7 +82,7 @@
   /// the log: who takes new state in must count it himself.
   bool overBudget() const { return stateSize_ > limits_.maxStateSize(); }
   /// How long the last write and sync took.
-  Ms lastSyncTook() const { return lastSyncTook_; }
+  Ms lastSyncDuration() const { return lastSyncDuration_; }
 
  private:
   struct Job {
@@ -99,7 +99,7 @@
   void run();
   JobResult carryOut(Job& job);
   /// Makes the directory, and sees to it that its name outlasts a loss of power; gives 0 or errno.
-  int makeDirectoryLast();
+  int makeDirectoryDurable();
   // On the io thread.
   /// Hands what has gathered to the thread, unless it is at work or a failing disk is left in peace.
   void startJob();
@@ -108,7 +108,7 @@
   void failJob(Job& job, int error);
   void setState(DiskState state);
   void watchForStall();
-  void retryLater();
+  void scheduleRetry();
   void sampleMetrics();
 
   asio::io_context& io_;
@@ -118,17 +118,17 @@
   FileSystem& files_;
   RecoveredLog recovered_;
   std::unique_ptr<LogWriter> writer_;  ///< used by the thread only
-  bool directoryLasts_ = false;        ///< likewise
-  Job gathered_;
+  bool directoryDurable_ = false;      ///< likewise
+  Job pendingJob_;
   std::size_t stateSize_ = 0, logSize_ = 0;
-  bool mustRenew_ = true;
+  bool snapshotRequired_ = true;
   bool jobRunning_ = false;
-  bool watching_ = false;
+  bool stallTimerRunning_ = false;
   TimePoint jobStartedAt_;
   DiskState state_ = DiskState::healthy;
   int lastError_ = 0;
-  Ms retryPause_{0};
-  Ms lastSyncTook_{0};
+  Ms retryDelay_{0};
+  Ms lastSyncDuration_{0};
   asio::steady_timer retryTimer_, stallTimer_;
   LogMetrics metrics_;
   SamplerRegistration sampler_;
--- a/base/invariant.cpp
+++ b/base/invariant.cpp
@@ -44,7 +44,7 @@
   return violations.at(static_cast<std::size_t>(invariant));
 }
 
-std::uint64_t allViolations() {
+std::uint64_t totalViolations() {
   std::uint64_t sum = 0;
   for (std::atomic<std::uint64_t> const& count : violations) sum += count;
   return sum;
--- a/base/invariant.hpp
+++ b/base/invariant.hpp
@@ -50,7 +50,7 @@
 /// How often an invariant was violated in this process, for metrics and tests.
 std::uint64_t violationsOf(Invariant invariant);
 /// Violations of all invariants in this process.
-std::uint64_t allViolations();
+std::uint64_t totalViolations();
 /// Detail of the last violation, with the invariant's name; empty if there was none.
 std::string lastViolation();
 
--- a/base/log_format.cpp
+++ b/base/log_format.cpp
@@ -49,13 +49,13 @@
 }
 
 bool isBatchHeader(string_view bytes, std::size_t place) {
-  if (place + batchHeaderSize > bytes.size() || bytes.substr(place, batchMark.size()) != batchMark) return false;
+  if (place + batchHeaderSize > bytes.size() || bytes.substr(place, batchMagic.size()) != batchMagic) return false;
   return checksum(bytes.substr(place, 8)) == numberAt(bytes, place + 8);
 }
 
 std::size_t findBatch(string_view bytes, std::size_t from) {
-  std::size_t place = bytes.find(batchMark, from);
-  while (place != string_view::npos && !isBatchHeader(bytes, place)) place = bytes.find(batchMark, place + 1);
+  std::size_t place = bytes.find(batchMagic, from);
+  while (place != string_view::npos && !isBatchHeader(bytes, place)) place = bytes.find(batchMagic, place + 1);
   return place;
 }
 
@@ -71,7 +71,7 @@
 }
 
 string encodeFileHeader(LogFileKind kind) {
-  string out(log_format::fileMark);
+  string out(log_format::fileMagic);
   appendNumber(out, logFormat);
   appendNumber(out, static_cast<std::uint32_t>(kind));
   appendNumber(out, log_format::checksum(out));
@@ -79,7 +79,7 @@
 }
 
 string encodeBatch(string_view encodedRecords) {
-  string out(log_format::batchMark);
+  string out(log_format::batchMagic);
   appendNumber(out, static_cast<std::uint32_t>(encodedRecords.size()));
   appendNumber(out, log_format::checksum(out));
   out.append(encodedRecords);
--- a/base/log_format.hpp
+++ b/base/log_format.hpp
@@ -31,7 +31,7 @@
 /// The parts of a log file, for its reader.
 namespace log_format {
 
-inline constexpr string_view fileMark = "TSLG", batchMark = "TSBT";
+inline constexpr string_view fileMagic = "TSLG", batchMagic = "TSBT";
 inline constexpr std::size_t fileHeaderSize = 16, batchHeaderSize = 12, recordHeaderSize = 8;
 
 std::uint32_t checksum(string_view bytes);
--- a/base/log_reader.cpp
+++ b/base/log_reader.cpp
@@ -26,7 +26,7 @@
 
   /// True if the file has the present format and holds anything.
   bool holdsBatches() const {
-    return bytes_.substr(0, fileMark.size()) == fileMark && findBatch(bytes_, 0) != string_view::npos;
+    return bytes_.substr(0, fileMagic.size()) == fileMagic && findBatch(bytes_, 0) != string_view::npos;
   }
 
  private:
@@ -34,7 +34,7 @@
 
   Header header() const {
     std::size_t next = 0;
-    if (bytes_.substr(0, fileMark.size()) != fileMark) {
+    if (bytes_.substr(0, fileMagic.size()) != fileMagic) {
       bool const earlyFormat = bytes_.empty() || recordAt(bytes_, 0, next) == RecordState::good;
       bool const hasBatches = findBatch(bytes_, 0) != string_view::npos;
       return earlyFormat || !hasBatches ? Header::none : Header::damaged;
--- a/base/log_writer.cpp
+++ b/base/log_writer.cpp
@@ -61,7 +61,7 @@
     closeLog();
     return error;
   }
-  removeOlder();
+  removeOlderFiles();
   return 0;
 }
 
@@ -73,7 +73,7 @@
   return files_.sync(file_) ? lastError() : 0;
 }
 
-void LogWriter::removeOlder() {
+void LogWriter::removeOlderFiles() {
   removalError_ = 0;
   try {
     for (LogFile const& file : listLogFiles(files_, directory_)) {
--- a/base/log_writer.hpp
+++ b/base/log_writer.hpp
@@ -30,7 +30,7 @@
  private:
   int writeSnapshot(string const& path, vector<string>& records);
   int beginLog();
-  void removeOlder();
+  void removeOlderFiles();
   /// Closes the log for good. All that counts was synced before, so the result of the close tells nothing more.
   void closeLog();
 
--- a/base/node_id.cpp
+++ b/base/node_id.cpp
@@ -34,8 +34,8 @@
   return {NodeId(std::strtoull(text.c_str(), nullptr, 16)), created};
 }
 
-NodeId waitForNodeId(string const& directory, Ms maxRetryPause) {
-  return retryUntilDiskWorks(directory, maxRetryPause, [&directory] { return loadNodeId(directory).id; });
+NodeId waitForNodeId(string const& directory, Ms maxRetryDelay) {
+  return retryUntilDiskAvailable(directory, maxRetryDelay, [&directory] { return loadNodeId(directory).id; });
 }
 
 }  // namespace tealshelf
--- a/base/node_id.hpp
+++ b/base/node_id.hpp
@@ -10,6 +10,6 @@
 /// The id of the disk in a directory, made and synced when the directory has none; throws diskFailed.
 LoadedNodeId loadNodeId(string const& directory, FileSystem& files = systemFileSystem());
 /// The same, but waits for a disk that refuses: a process can't begin without an id. Blocks the thread.
-NodeId waitForNodeId(string const& directory, Ms maxRetryPause);
+NodeId waitForNodeId(string const& directory, Ms maxRetryDelay);
 
 }  // namespace tealshelf
--- a/base/settings.cpp
+++ b/base/settings.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr char const* pathVariable = "TEALSHELF_BOOT";
-constexpr char const* usualPath = "/etc/tealshelf/boot.conf";
+constexpr char const* defaultPath = "/etc/tealshelf/boot.conf";
 constexpr std::uint64_t maxPort = 65535;
 /// The control, store and relay servers each use one of the internal ports.
 constexpr std::uint64_t internalServers = 3;
@@ -245,7 +245,7 @@
   return Address{ip, static_cast<int>(*port)};
 }
 
-vector<string> Settings::weakBounds() const {
+vector<string> Settings::infeasibleBounds() const {
   vector<string> weak;
   if (bounds.evacuateWithin < bounds.applyWithin)
     weak.emplace_back("bounds.evacuateWithinMs is under bounds.applyWithinMs, in which an order reaches all nodes");
@@ -266,7 +266,7 @@
   return std::find(rulesInForce.begin(), rulesInForce.end(), rule) != rulesInForce.end();
 }
 
-Settings readSettings(string const& text, vector<SettingsFault>& faults) {
+Settings readSettings(string const& text, vector<SettingsError>& faults) {
   Settings settings;
   std::istringstream input(text);
   string line;
@@ -285,13 +285,13 @@
 Settings loadSettings(string path) {
   if (path.empty()) {
     char const* const named = std::getenv(pathVariable);
-    path = named ? named : usualPath;
+    path = named ? named : defaultPath;
   }
   std::ifstream file(path);
   if (!file) throw Error(ErrorCode::settingsMissing, path);
   std::stringstream text;
   text << file.rdbuf();
-  vector<SettingsFault> faults;
+  vector<SettingsError> faults;
   Settings settings = readSettings(text.str(), faults);
   if (!faults.empty())
     throw Error(ErrorCode::settingsInvalid, "line " + std::to_string(faults[0].line) + ": " + faults[0].text);
--- a/base/settings.hpp
+++ b/base/settings.hpp
@@ -72,7 +72,7 @@
 
   /// Bounds that are shorter than the times they rest on, a text each. The system runs with them all the same, but may
   /// break them.
-  std::vector<std::string> weakBounds() const;
+  std::vector<std::string> infeasibleBounds() const;
   bool isServing(std::string_view kind) const;
   bool isRuleInForce(std::string_view rule) const;
   /// Internal address of a role on a machine; ports are alike on all machines.
@@ -82,12 +82,12 @@
 };
 
 /// One fault found in a settings file.
-struct SettingsFault {
+struct SettingsError {
   int line;  ///< 0 for a field that is missing
   std::string text;
 };
 /// Reads the text of a settings file; all faults are listed in one pass.
-Settings readSettings(std::string const& text, std::vector<SettingsFault>& faults);
+Settings readSettings(std::string const& text, std::vector<SettingsError>& faults);
 /// Reads a settings file: the path, else what TEALSHELF_BOOT names, else the usual path. Throws settingsMissing or
 /// settingsInvalid.
 Settings loadSettings(std::string path = "");
--- a/edge/request_forwarder.cpp
+++ b/edge/request_forwarder.cpp
@@ -358,7 +358,7 @@
       code = ErrorCode::deadlineExceeded;
     else if (errorInfo(code).kind == ErrorKind::rejected || errorInfo(code).kind == ErrorKind::overQuota)
       code = ErrorCode::workerFailed;
-  } else if (late && code != ErrorCode::overRate) {
+  } else if (late && code != ErrorCode::rateExceeded) {
     code = ErrorCode::deadlinePassed;
   }
   HttpReply answer = errorReply(Error(code));
--- a/lots/execution/lot_runner.hpp
+++ b/lots/execution/lot_runner.hpp
@@ -37,7 +37,7 @@
   LotAges& ages() { return ages_; }
   /// Number of this store's items running at a worker.
   std::int64_t runningAt(string const& worker) const { return balancer_.runningAt(worker); }
-  /// Running and queued items by service.
+  /// RunningLog and queued items by service.
   vector<ServiceLoad> loads() const;
   /// Starts items that can run now; called after a change of workers or configuration.
   void wake() { startItemsTimer_.cancel(); }
--- a/tallies/tally_store.cpp
+++ b/tallies/tally_store.cpp
@@ -62,7 +62,7 @@
   TallyTable::AddOutcome const outcome = replica_.add(TallyAdd{std::move(tally), key, change, wallClockMs()});
   if (outcome.result == TallyTable::AddResult::conflicting) {
     metrics_.refused.increment();
-    throw Error(ErrorCode::conflictingAdd, callerId);
+    throw Error(ErrorCode::conflictingAddition, callerId);
   }
   (outcome.result == TallyTable::AddResult::added ? metrics_.added : metrics_.repeated).increment();
   if (!outcome.position) co_return;
--- a/tallies/tally_store.hpp
+++ b/tallies/tally_store.hpp
@@ -15,8 +15,8 @@
 
   /// Adds to a tally, once for each caller id, and returns when the addition survives the configured number of losses,
   /// or is on all reachable members: at least one other, unless none has answered for `inTouchMs`. Throws notReady,
-  /// talliesFull or diskUnavailable if nothing was or will be counted, conflictingAdd if the id was used with another
-  /// change, and additionUndecided if the addition isn't durable by `end`: it may be counted or not.
+  /// talliesFull or diskUnavailable if nothing was or will be counted, conflictingAddition if the id was used with
+  /// another change, and additionUndecided if the addition isn't durable by `end`: it may be counted or not.
   Task<void> add(string tally, string callerId, std::int64_t change, TimePoint end);
   /// The sum of a tally. Throws notReady while this node isn't caught up with the others.
   TallyTotal total(string const& tally) const;
--- a/tenants/quota_client.cpp
+++ b/tenants/quota_client.cpp
@@ -8,7 +8,7 @@
   if (outcome.credit) co_return *outcome.credit;
   bool const isOverRate = outcome.refusal == CreditClient::Refusal::exhausted;
   (isOverRate ? overRate_ : unknown_).increment();
-  throw Error(isOverRate ? ErrorCode::overRate : ErrorCode::quotaUnknown);
+  throw Error(isOverRate ? ErrorCode::rateExceeded : ErrorCode::quotaUnknown);
 }
 
 }  // namespace tealshelf
--- a/tenants/quota_client.hpp
+++ b/tenants/quota_client.hpp
@@ -11,8 +11,8 @@
   QuotaClient(Settings const& settings, RpcClient& rpc, FleetView& view)
       : bounds_(settings.bounds),
         credits_(settings, rpc, view, CreditKind::tenant, creditLife(bounds_), bounds_.quotaWindow) {}
-  /// Takes a credit for one request of a tenant. Throws overRate if the tenant's limit is used up, quotaUnknown if no
-  /// shard answered by the time `until`.
+  /// Takes a credit for one request of a tenant. Throws rateExceeded if the tenant's limit is used up, quotaUnknown if
+  /// no shard answered by the time `until`.
   Task<Credit> take(Tenant tenant, TimePoint until);
   /// Returns a credit whose request reached no worker.
   void giveBack(string const& tenant, Credit const& credit) { credits_.giveBack(tenant, credit); }
--- a/tests/base/async_mutex_test.cpp
+++ b/tests/base/async_mutex_test.cpp
@@ -38,7 +38,7 @@
 
 TEST_GROUP(asyncMutex){};
 
-TEST(asyncMutex, letsOneInAtATimeInOrder) {
+TEST(asyncMutex, admitsOneAtATimeInOrder) {
   Section section(8);
   asio::steady_timer stay(section.io, ever);
   for (char const name : {'a', 'x', 'b', 'c'}) section.start(name, ever, stay);
@@ -58,7 +58,7 @@
   for (char const name : {'a', 'b', 'c'}) section.start(name, ever, stay);
   STRCMP_EQUAL("a!c", section.log.c_str());
 }
-TEST(asyncMutex, aWaitThatIsTooLongEndsAndLeavesTheOthersTheirTurn) {
+TEST(asyncMutex, aTimedOutWaiterLeavesTheQueue) {
   Section section(8);
   asio::steady_timer stay(section.io, ever);
   section.start('a', ever, stay);
--- a/tests/base/durable_log_test.cpp
+++ b/tests/base/durable_log_test.cpp
@@ -13,7 +13,7 @@
 string const firstLog = logFilePath(folder, LogFileKind::log, 1);
 DiskLimits const limits{4000, Ms(5), Ms(2)};
 
-string allFramed(vector<string> const& records) {
+string encodeAll(vector<string> const& records) {
   string out;
   for (string const& record : records) out += encodeRecord(record);
   return out;
@@ -22,30 +22,31 @@
   return "record " + std::to_string(n) + string(n % 23, '.');
 }
 
-enum class Faulty { no, oldOrder, syncsAgain, trustsTheStart };
+enum class WriterFault { no, ignoresSyncErrors, retriesFailedSync, trustsUnsyncedRecords };
 
 /// Writes as LogWriter does, or in one of the ways that lose records.
 class TestedWriter {
  public:
-  TestedWriter(MemoryDisk& disk, Faulty how, std::uint64_t last) : disk_(disk), fault_(how), good_(disk, folder, last) {
+  TestedWriter(MemoryDisk& disk, WriterFault how, std::uint64_t last)
+      : disk_(disk), fault_(how), correctWriter_(disk, folder, last) {
     number_ = last;
   }
-  bool whole() const { return fault_ == Faulty::no ? good_.isOpen() : file_ >= 0; }
+  bool whole() const { return fault_ == WriterFault::no ? correctWriter_.isOpen() : file_ >= 0; }
   int append(string const& records) {
-    if (fault_ == Faulty::no) return good_.append(records);
+    if (fault_ == WriterFault::no) return correctWriter_.append(records);
     int failed = writeAll(disk_, file_, encodeBatch(records));
     if (!failed && disk_.sync(file_)) failed = EIO;
-    if (failed && fault_ == Faulty::syncsAgain && !disk_.sync(file_)) return 0;
+    if (failed && fault_ == WriterFault::retriesFailedSync && !disk_.sync(file_)) return 0;
     if (failed) file_ = -1;
     return failed;
   }
   int renew(vector<string> const& records) {
-    if (fault_ != Faulty::oldOrder) return renewWell(records);
+    if (fault_ != WriterFault::ignoresSyncErrors) return compactCorrectly(records);
     // As before: the syncs of the snapshot, the log and the folder go unlooked at.
     ++number_;
     int const next = disk_.open(folder + "/next", FileSystem::OpenMode::truncate);
     if (next < 0) return EIO;
-    int failed = writeAll(disk_, next, encodeFileHeader(LogFileKind::snapshot) + encodeBatch(allFramed(records)));
+    int failed = writeAll(disk_, next, encodeFileHeader(LogFileKind::snapshot) + encodeBatch(encodeAll(records)));
     disk_.sync(next);
     if (!failed && disk_.rename(folder + "/next", logFilePath(folder, LogFileKind::snapshot, number_))) failed = EIO;
     if (failed) return failed;
@@ -62,17 +63,17 @@
     file_ = disk_.open(logFilePath(folder, LogFileKind::log, number_), FileSystem::OpenMode::append);
     return file_ < 0 || writeAll(disk_, file_, encodeFileHeader(LogFileKind::log)) ? -1 : file_;
   }
-  int renewWell(vector<string> const& records) {
+  int compactCorrectly(vector<string> const& records) {
     ++number_;
-    int const failed = good_.renew(records);
-    if (!failed && fault_ != Faulty::no)
+    int const failed = correctWriter_.renew(records);
+    if (!failed && fault_ != WriterFault::no)
       file_ = disk_.open(logFilePath(folder, LogFileKind::log, number_), FileSystem::OpenMode::append);
     return failed;
   }
 
   MemoryDisk& disk_;
-  Faulty fault_;
-  LogWriter good_;
+  WriterFault fault_;
+  LogWriter correctWriter_;
   std::uint64_t number_ = 0;
   int file_ = -1;
 };
@@ -80,7 +81,7 @@
 struct Trial {
   std::uint64_t seed;
   std::size_t failFrom, failCount;
-  Faulty how;
+  WriterFault how;
 };
 /// A life of changes, kills and losses of power; true if something acknowledged was lost, or
 /// something is called corrupt that no one had damaged.
@@ -99,7 +100,7 @@
     state.assign(there.begin(), there.end());
     TestedWriter writer(disk, trial.how, found.lastNumber);
     // What is read at the start is relied on at once: an owner answers from it.
-    if (trial.how == Faulty::trustsTheStart) acknowledged = there;
+    if (trial.how == WriterFault::trustsUnsyncedRecords) acknowledged = there;
     for (std::size_t step = disk.dice(9); step > 0; --step) {
       state.push_back(nameOf(made++));
       bool const renews = !writer.whole() || disk.dice(4) == 0;
@@ -111,7 +112,7 @@
   return false;
 }
 /// Fails each call in turn, once and for a while; gives the number of trials that lost something.
-std::size_t losses(Faulty how) {
+std::size_t losses(WriterFault how) {
   std::size_t lost = 0;
   for (std::size_t call = 0; call < 60; ++call)
     for (std::size_t count : {1u, 2u, 5u, 12u})
@@ -120,8 +121,8 @@
 }
 
 /// A log on a disk in memory, with a state that holds every record.
-struct Running {
-  explicit Running(MemoryDisk& disk, string const& directory = folder)
+struct RunningLog {
+  explicit RunningLog(MemoryDisk& disk, string const& directory = folder)
       : log(
             io, directory, limits, [this] { return state; }, disk) {
     state = log.recovered().records;
@@ -146,17 +147,18 @@
 TEST_GROUP(durableLog){};
 
 TEST(durableLog, noFailedCallLosesWhatWasAcknowledged) {
-  LONGS_EQUAL(0, losses(Faulty::no));
-  CHECK_TEXT(losses(Faulty::oldOrder) > 0, "unlooked-at syncs were never caught");
-  CHECK_TEXT(losses(Faulty::syncsAgain) > 0, "a second sync after a failed one was never caught");
-  CHECK_TEXT(losses(Faulty::trustsTheStart) > 0, "unsynced records relied on at the start were never caught");
+  LONGS_EQUAL(0, losses(WriterFault::no));
+  CHECK_TEXT(losses(WriterFault::ignoresSyncErrors) > 0, "unlooked-at syncs were never caught");
+  CHECK_TEXT(losses(WriterFault::retriesFailedSync) > 0, "a second sync after a failed one was never caught");
+  CHECK_TEXT(losses(WriterFault::trustsUnsyncedRecords) > 0,
+             "unsynced records relied on at the start were never caught");
 }
 
 TEST(durableLog, recordsComeBackInOrderAndSnapshotsBoundTheSpace) {
   MemoryDisk disk(1);
   std::size_t most = 0;
   for (int life = 0; life < 2; ++life) {
-    Running run(disk);
+    RunningLog run(disk);
     for (std::size_t i = 0; i < 100; ++i) {
       // The newest ten records are the state.
       if (run.state.size() > 9) run.state.erase(run.state.begin(), run.state.end() - 9);
@@ -173,12 +175,12 @@
   CHECK(most <= limits.budget);
 }
 
-TEST(durableLog, aNewFolderLastsOnceItsFirstRecordIsSynced) {
+TEST(durableLog, aNewDirectoryIsDurableOnceItsFirstRecordIsSynced) {
   MemoryDisk disk(1);
-  disk.losesFolders = true;
+  disk.losesUnsyncedDirectories = true;
   string const nested = folder + "/registry";
   {
-    Running run(disk, nested);
+    RunningLog run(disk, nested);
     run.add();
     run.until([&] { return run.synced == 1; });
   }
@@ -186,9 +188,9 @@
   LONGS_EQUAL(1, readLog(disk, nested).records.size());
 }
 
-TEST(durableLog, aRefusingDiskEndsNothingAndComesBackWhole) {
+TEST(durableLog, aFailingDiskIsRetriedUntilTheWholeStateIsWritten) {
   MemoryDisk disk(1);
-  Running run(disk);
+  RunningLog run(disk);
   run.add();
   run.until([&] { return run.synced == 1; });
   std::map<string, string> const before = disk.all();
@@ -207,9 +209,9 @@
   CHECK(readLog(disk, folder).records == run.state);
 }
 
-TEST(durableLog, aStalledDiskIsFoundAndItsWaitersAreTold) {
+TEST(durableLog, aStalledDiskIsDetectedAndItsWaitersFail) {
   MemoryDisk disk(1);
-  Running run(disk);
+  RunningLog run(disk);
   run.add();
   run.until([&] { return run.synced == 1; });
   disk.hang(true);
@@ -266,7 +268,7 @@
   }
 }
 
-TEST(durableLog, filesOutOfStepAreSeen) {
+TEST(durableLog, missingAndUnfinishedFilesAreDetected) {
   MemoryDisk disk(1);
   fill(disk);
   // A restart in the middle of a snapshot: its file has no name yet, and is torn.
@@ -280,7 +282,7 @@
   // A log of which nothing was written yet is no loss.
   disk.place(logFilePath(folder, LogFileKind::log, 3), encodeFileHeader(LogFileKind::log));
   CHECK(readLog(disk, folder).corruptions.empty());
-  Running run(disk);
+  RunningLog run(disk);
   run.add();
   run.until([&] { return run.synced == 1; });
   LONGS_EQUAL(2, disk.all().size());
@@ -289,14 +291,14 @@
 
 TEST(durableLog, theFormatOfTheLastReleaseIsReadAndReplaced) {
   MemoryDisk disk(1);
-  disk.place(logFilePath(folder, LogFileKind::snapshot, 4), allFramed({"one", "two"}));
-  disk.place(logFilePath(folder, LogFileKind::log, 4), allFramed({"three"}) + "torn");
-  disk.place(logFilePath(folder, LogFileKind::log, 5), allFramed({"four"}));
+  disk.place(logFilePath(folder, LogFileKind::snapshot, 4), encodeAll({"one", "two"}));
+  disk.place(logFilePath(folder, LogFileKind::log, 4), encodeAll({"three"}) + "torn");
+  disk.place(logFilePath(folder, LogFileKind::log, 5), encodeAll({"four"}));
   RecoveredLog const found = readLog(disk, folder);
   LONGS_EQUAL(4, found.records.size());
   LONGS_EQUAL(4, found.tornBytes);
   CHECK(found.corruptions.empty());
-  Running run(disk);
+  RunningLog run(disk);
   run.add();
   run.until([&] { return run.synced == 1; });
   LONGS_EQUAL(5, readLog(disk, folder).records.size());
@@ -317,7 +319,7 @@
     std::map<string, string> const before = disk.all();
     ErrorCode code = ErrorCode::unreadable;
     try {
-      Running run(disk);
+      RunningLog run(disk);
     } catch (Error const& x) {
       code = x.code();
     }
@@ -327,7 +329,7 @@
   }
 }
 
-TEST(durableLog, identityStaysUntilTheFolderIsEmpty) {
+TEST(durableLog, nodeIdStaysUntilTheDirectoryIsEmpty) {
   for (std::size_t call = 0; call < 12; ++call) {
     MemoryDisk disk(call);
     disk.failFrom = call;
--- a/tests/base/invariant_test.cpp
+++ b/tests/base/invariant_test.cpp
@@ -8,13 +8,13 @@
 TEST_GROUP(invariant){};
 
 TEST(invariant, oneThatHoldsCountsNothing) {
-  std::uint64_t const before = allViolations();
+  std::uint64_t const before = totalViolations();
   checkInvariant(Invariant::epochNeverFalls, true, "not looked at");
-  LONGS_EQUAL(before, allViolations());
+  LONGS_EQUAL(before, totalViolations());
 }
 
 TEST(invariant, aViolationIsCountedUnderItsName) {
-  ProvokedViolations const provoked;
+  ExpectedViolations const provoked;
   std::uint64_t const others = violationsOf(Invariant::recordStampRises);
   std::uint64_t const before = violationsOf(Invariant::epochNeverFalls);
   checkInvariant(Invariant::epochNeverFalls, false, "from 5 to 4");
@@ -25,7 +25,7 @@
 }
 
 TEST(invariant, aDetailIsMadeOnlyForAViolation) {
-  ProvokedViolations const provoked;
+  ExpectedViolations const provoked;
   int made = 0;
   auto const detail = [&made] {
     ++made;
--- a/tests/base/memory_disk.hpp
+++ b/tests/base/memory_disk.hpp
@@ -15,25 +15,26 @@
 
   std::size_t failFrom = ~std::size_t(0), failCount = 0;  ///< which calls fail, by number
   std::atomic<std::size_t> calls{0};
-  bool losesFolders = false;  ///< a new folder is lost with the power unless the folder above it was synced
+  bool losesUnsyncedDirectories = false;  ///< a new folder is lost with the power unless the folder above it was synced
 
   /// Loses power: unsynced writes and names are there, missing or torn, each by itself.
   void losePower() {
     for (auto const& [name, file] : files_)
-      if (dice(2)) lasting_[name] = file;
-    for (auto i = lasting_.begin(); i != lasting_.end();)
-      i = !files_.count(i->first) && dice(2) ? lasting_.erase(i) : std::next(i);
-    for (auto& [name, file] : lasting_) {
+      if (dice(2)) durableFiles_[name] = file;
+    for (auto i = durableFiles_.begin(); i != durableFiles_.end();)
+      i = !files_.count(i->first) && dice(2) ? durableFiles_.erase(i) : std::next(i);
+    for (auto& [name, file] : durableFiles_) {
       for (Write const& write : file->unsynced)
         for (std::size_t at = 0; at < write.bytes.size(); at += page)
           if (dice(3)) put(file->synced, write.at + at, string_view(write.bytes).substr(at, page));
       file->cached = file->synced;
       file->unsynced.clear();
     }
-    for (string const& folder : newFolders_)
-      if (losesFolders) std::erase_if(lasting_, [&](auto const& item) { return item.first.starts_with(folder + "/"); });
-    newFolders_.clear();
-    files_ = lasting_;
+    for (string const& folder : unsyncedDirectories_)
+      if (losesUnsyncedDirectories)
+        std::erase_if(durableFiles_, [&](auto const& item) { return item.first.starts_with(folder + "/"); });
+    unsyncedDirectories_.clear();
+    files_ = durableFiles_;
   }
   /// Calls hang until this is undone.
   void hang(bool on) {
@@ -48,7 +49,7 @@
   string& bytes(string const& path) { return files_[path]->cached; }
   void place(string const& path, string bytes) {
     files_[path] = std::make_shared<File>(File{bytes, bytes, {}});
-    lasting_[path] = files_[path];
+    durableFiles_[path] = files_[path];
   }
   std::map<string, string> all() const {
     std::map<string, string> out;
@@ -58,7 +59,7 @@
 
   int makeDirectory(string const& path) override {
     if (fails()) return -1;
-    newFolders_.insert(path);
+    unsyncedDirectories_.insert(path);
     return 0;
   }
   int open(string const& path, OpenMode mode) override {
@@ -68,7 +69,7 @@
       if (mode == OpenMode::truncate) files_[path] = std::make_shared<File>();
     }
     open_.push_back(mode == OpenMode::directory ? nullptr : files_[path]);
-    openFolder_ = path;
+    lastOpenedPath_ = path;
     return static_cast<int>(open_.size() - 1);
   }
   std::ptrdiff_t write(int file, string_view bytes) override {
@@ -87,8 +88,9 @@
     bool const failed = fails();
     std::shared_ptr<File> const target = open_[static_cast<std::size_t>(file)];
     if (!target) {
-      if (!failed) lasting_ = files_;
-      if (!failed) std::erase_if(newFolders_, [this](string const& folder) { return isIn(folder, openFolder_); });
+      if (!failed) durableFiles_ = files_;
+      if (!failed)
+        std::erase_if(unsyncedDirectories_, [this](string const& folder) { return isIn(folder, lastOpenedPath_); });
     } else {
       if (!failed)
         for (Write const& write : target->unsynced) put(target->synced, write.at, write.bytes);
@@ -150,10 +152,10 @@
   }
 
   std::mt19937_64 random_;
-  std::map<string, std::shared_ptr<File>> files_, lasting_;  ///< names now, and after a loss of power
-  vector<std::shared_ptr<File>> open_;                       ///< nothing stands for a folder
-  string openFolder_;                                        ///< opened last
-  std::set<string> newFolders_;                              ///< whose names aren't synced
+  std::map<string, std::shared_ptr<File>> files_, durableFiles_;  ///< names now, and after a loss of power
+  vector<std::shared_ptr<File>> open_;                            ///< nothing stands for a folder
+  string lastOpenedPath_;                                         ///< opened last
+  std::set<string> unsyncedDirectories_;                          ///< whose names aren't synced
   std::mutex lock_;
   std::condition_variable wake_;
   bool hangs_ = false, refuses_ = false;
--- a/tests/base/settings_test.cpp
+++ b/tests/base/settings_test.cpp
@@ -14,7 +14,7 @@
 TEST_GROUP(settings){};
 
 TEST(settings, readsTheExample) {
-  vector<SettingsFault> f;
+  vector<SettingsError> f;
   Settings const b = readSettings(settingsText + "some.new.field=7\n", f);
   CHECK(f.empty());
   LONGS_EQUAL(5100, b.bounds.catchUp.count());
@@ -25,7 +25,7 @@
 }
 /// Fields of matters that aren't open may be empty, known ones and unknown ones.
 TEST(settings, emptyFieldsCountAsMissing) {
-  vector<SettingsFault> f;
+  vector<SettingsError> f;
   Settings const b = readSettings(
       settingsText + "some.new.field=\nlimits.networkMbps=\nbounds.cancelWithinMs=\nsurvive.zones=\nentry=\n", f);
   CHECK(f.empty());
@@ -33,7 +33,7 @@
   LONGS_EQUAL(0, b.surviveZones);
 }
 TEST(settings, readsTheDutiesAtThePlatform) {
-  vector<SettingsFault> f;
+  vector<SettingsError> f;
   Settings const none = readSettings(settingsText, f);
   CHECK(!none.provider.exists());
   Settings const b = readSettings(settingsText +
@@ -53,27 +53,27 @@
   LONGS_EQUAL(2, f.size());
 }
 TEST(settings, aFieldThatIsNeededMustNotBeEmpty) {
-  vector<SettingsFault> f;
+  vector<SettingsError> f;
   readSettings("nodeName=a\nipAddress=\ninternalPorts=\nseedNodes=\n", f);
   LONGS_EQUAL(3, f.size());
 }
 TEST(settings, listsAllFaultsInOnePass) {
-  vector<SettingsFault> f;
+  vector<SettingsError> f;
   readSettings("nodeName=a\nipAddress=1\ninternalPorts=9,8\nlimits.memoryMb=-4\nfirstBoot=maybe\nbounds.graceS=x\n", f);
   LONGS_EQUAL(6, f.size());  // four bad values, no ports and no seeds
   LONGS_EQUAL(3, f[0].line);
 }
 
-TEST(settings, boundsThatAreShorterThanWhatTheyRestOnAreTold) {
+TEST(settings, infeasibleBoundsAreReported) {
   Settings settings;
   settings.bounds.applyWithin = Ms(2500);
   settings.bounds.inTouch = Ms(4000);
   settings.bounds.evacuateWithin = settings.bounds.revertWithin = Ms(5000);
-  CHECK(settings.weakBounds().empty());
+  CHECK(settings.infeasibleBounds().empty());
   settings.bounds.evacuateWithin = Ms(2400);
-  LONGS_EQUAL(1, settings.weakBounds().size());
+  LONGS_EQUAL(1, settings.infeasibleBounds().size());
   settings.bounds.revertWithin = Ms(4400);
-  LONGS_EQUAL(2, settings.weakBounds().size());
+  LONGS_EQUAL(2, settings.infeasibleBounds().size());
   settings.bounds.merge = Ms(1900);
-  LONGS_EQUAL(3, settings.weakBounds().size());
+  LONGS_EQUAL(3, settings.infeasibleBounds().size());
 }
--- a/tests/consensus/membership_search_test.cpp
+++ b/tests/consensus/membership_search_test.cpp
@@ -89,7 +89,7 @@
 }
 
 TEST(membershipSearch, injectedFaultsAreFound) {
-  ProvokedViolations const provoked;
+  ExpectedViolations const provoked;
   Case const cases[] = {
       {"a promoted learner votes at once",
        4,
--- a/tests/invariant_plugin.hpp
+++ b/tests/invariant_plugin.hpp
@@ -14,12 +14,12 @@
   InvariantPlugin() : TestPlugin("InvariantPlugin") {}
 
   void preTestAction(UtestShell&, TestResult&) override {
-    before_ = allViolations();
+    before_ = totalViolations();
     provoked() = 0;
   }
 
   void postTestAction(UtestShell& test, TestResult& result) override {
-    std::uint64_t const violations = allViolations() - before_;
+    std::uint64_t const violations = totalViolations() - before_;
     if (violations <= provoked()) return;
     std::string const text = std::to_string(violations - provoked()) + " violated invariants; " + lastViolation();
     result.addFailure(TestFailure(&test, SimpleString(text.c_str())));
@@ -36,13 +36,13 @@
 };
 
 /// Takes the violations within its life as provoked by the test, which breaks something on purpose.
-class ProvokedViolations {
+class ExpectedViolations {
  public:
-  ProvokedViolations() : before_(allViolations()) {}
-  ProvokedViolations(ProvokedViolations const&) = delete;
-  ProvokedViolations& operator=(ProvokedViolations const&) = delete;
-  ~ProvokedViolations() { InvariantPlugin::provoked() += count(); }
-  std::uint64_t count() const { return allViolations() - before_; }
+  ExpectedViolations() : before_(totalViolations()) {}
+  ExpectedViolations(ExpectedViolations const&) = delete;
+  ExpectedViolations& operator=(ExpectedViolations const&) = delete;
+  ~ExpectedViolations() { InvariantPlugin::provoked() += count(); }
+  std::uint64_t count() const { return totalViolations() - before_; }
 
  private:
   std::uint64_t before_;
--- a/tests/wire/call_each_test.cpp
+++ b/tests/wire/call_each_test.cpp
@@ -13,8 +13,8 @@
 using Outcomes = vector<CallOutcome<Acknowledgement>>;
 
 /// Two processes that answer, one that never does, and an address where nobody listens.
-struct CalledPeers {
-  CalledPeers() {
+struct PeerServers {
+  PeerServers() {
     for (RpcServer* const server : {&prompt, &second, &silent}) server->start();
     prompt.on<FenceStore>([](FenceStore) -> Task<Acknowledgement> { co_return Acknowledgement{}; });
     second.on<FenceStore>([](FenceStore) -> Task<Acknowledgement> {
@@ -46,7 +46,7 @@
 TEST_GROUP(callEach){};
 
 TEST(callEach, outcomesComeInTheOrderOfTheAddresses) {
-  CalledPeers peers;
+  PeerServers peers;
   Outcomes const outcomes = peers.callAll(Ms(200), nullptr);
   LONGS_EQUAL(4, outcomes.size());
   CHECK(outcomes[0].reply.has_value());
@@ -55,7 +55,7 @@
   CHECK(!outcomes[3].reply && !outcomes[3].error.empty());
 }
 TEST(callEach, aSilentProcessIsNotWaitedForOnceTheOthersSuffice) {
-  CalledPeers peers;
+  PeerServers peers;
   auto const hasOne = [](Outcomes const& outcomes) { return outcomes[0].reply.has_value(); };
   Outcomes const outcomes = peers.callAll(Ms(60000), hasOne);
   CHECK(outcomes[0].reply.has_value());
--- a/tests/wire/rpc_client_test.cpp
+++ b/tests/wire/rpc_client_test.cpp
@@ -102,7 +102,7 @@
   }
 };
 
-TEST(rpcClient, whateverAPeerAnswersTheCallEndsByNumber) {
+TEST(rpcClient, anyAnswerOfAPeerEndsTheCallWithItsErrorCode) {
   struct Row {
     char const* name;
     string answer;
@@ -111,9 +111,9 @@
   string const old =
       encodeFrame(0, RpcMethod(), FrameKind::error, serialize(WireError{static_cast<int>(ErrorCode::badMessage), "x"}));
   for (Row const& row : vector<Row>{
-           {"another version", welcome(at, protocolVersion + 1) + reply(1, "a"), ErrorCode::otherProtocol},
-           {"an old version", old, ErrorCode::otherProtocol},
-           {"no welcome", reply(1, "a"), ErrorCode::otherProtocol},
+           {"another version", welcome(at, protocolVersion + 1) + reply(1, "a"), ErrorCode::protocolMismatch},
+           {"an old version", old, ErrorCode::protocolMismatch},
+           {"no welcome", reply(1, "a"), ErrorCode::protocolMismatch},
            {"another process", welcome(elsewhere) + reply(1, "a"), ErrorCode::wrongProcess},
            {"a malformed welcome", encodeFrame(0, RpcMethod(), FrameKind::welcome, "\xc1"), ErrorCode::badMessage},
            {"a malformed error", welcome(at) + encodeFrame(1, RpcMethod(), FrameKind::error, "\xc1"),
@@ -137,7 +137,7 @@
     io.poll();
   }
 }
-TEST(rpcClient, aReplyOfAnEarlierLifeIsNeverTaken) {
+TEST(rpcClient, aReplyToACallOfAnEarlierConnectionIsIgnored) {
   // The first call ends unclear with its connection; its reply comes on the next one.
   FakePeer peer(io, at, {welcome(at), welcome(at) + reply(1, "old") + reply(2, "new")}, true);
   RpcClient rpc(io, silence);
@@ -195,15 +195,15 @@
   {
     FakePeer peer(io, at, {welcome(at)}, true);
     LONGS_EQUAL(static_cast<int>(ErrorCode::connectionLost), call(rpc, at, "q").code);
-    LONGS_EQUAL(7, rpc.processAt(at));
+    LONGS_EQUAL(7, rpc.processIdAt(at));
   }
   std::size_t handled = 0;
   RpcServer server(io, at, silence);
   echo(server, handled);
   LONGS_EQUAL(0, call(rpc, at, "q").code);
-  CHECK(rpc.processAt(at) != 7 && rpc.processAt(at) != 0);
+  CHECK(rpc.processIdAt(at) != 7 && rpc.processIdAt(at) != 0);
 }
-TEST(rpcClient, aForeignExceptionEndsOnlyItsCall) {
+TEST(rpcClient, anUnknownExceptionEndsOnlyItsCall) {
   std::size_t handled = 0;
   RpcServer server(io, at, silence);
   echo(server, handled);
--- a/tests/wire/rpc_server_test.cpp
+++ b/tests/wire/rpc_server_test.cpp
@@ -74,7 +74,7 @@
   CHECK(l.closed(s));
   CHECK(l.serves());
 }
-TEST(rpcServer, aTruncatedMessageHarmsNobody) {
+TEST(rpcServer, aTruncatedMessageLeavesOtherConnectionsServed) {
   Loop l;
   string const f = Loop::head(100, 1, 6, 0) + "only a part";
   for (std::size_t n = 1; n < f.size(); n += 5) {
@@ -84,7 +84,7 @@
   }
   CHECK(l.serves());
 }
-TEST(rpcServer, aMalformedBodyIsAnsweredByNumber) {
+TEST(rpcServer, aMalformedBodyIsAnsweredWithAnError) {
   Loop l;
   for (string const& body : {string("\xc1"), string("\x93\x01"), string(40, '\xff'), string(),
                              serialize(string("a text")), serialize(vector<int>{7, 8})}) {
@@ -108,7 +108,7 @@
   l.run(Ms(20));
   CHECK(l.serves());
 }
-TEST(rpcServer, anotherFormOfUpdatesIsRefused) {
+TEST(rpcServer, anUnsupportedUpdateFormatIsRefused) {
   Loop l;
   UpdateRequest q;
   q.format = updateFormat + 1;
@@ -123,7 +123,7 @@
   CHECK(l.until([&] { return code != 0; }));
   LONGS_EQUAL(static_cast<int>(ErrorCode::badMessage), code);
 }
-TEST(rpcServer, aPeerThatAsksWithoutReadingIsCutOff) {
+TEST(rpcServer, aPeerThatCallsWithoutReadingIsDisconnected) {
   Loop l;
   tcp::socket s = l.raw();
   s.non_blocking(true);
--- a/tests/wire/rpc_traffic_test.cpp
+++ b/tests/wire/rpc_traffic_test.cpp
@@ -31,7 +31,7 @@
   STRCMP_EQUAL("in 5 s: sent heartbeat a 1 of 3 B;", traffic.summary(5).c_str());
 }
 
-TEST(rpcTraffic, kindsAndZonesThatPeersMakeUpDoNotGrowItWithoutBound) {
+TEST(rpcTraffic, unknownKindsAndZonesOfPeersAreBounded) {
   for (int number = 0; number < 5000; ++number) {
     traffic.count(TrafficDirection::received, static_cast<RpcMethod>(1000 + number), "z", 1);
     traffic.count(TrafficDirection::received, RpcMethod::updates, "z" + std::to_string(number), 1);
--- a/wire/fault_injection.cpp
+++ b/wire/fault_injection.cpp
@@ -12,7 +12,7 @@
 namespace tealshelf {
 
 namespace {
-constexpr Ms lookAgainAfter{5};
+constexpr Ms faultPollInterval{5};
 
 string environmentValue(char const* name) {
   char const* const value = std::getenv(name);
@@ -40,8 +40,8 @@
 void FaultInjection::refresh() {
   if (path_.empty()) return;
   TimePoint const now = Clock::now();
-  if (now - lookedAt_ < lookAgainAfter) return;
-  lookedAt_ = now;
+  if (now - lastCheckedAt_ < faultPollInterval) return;
+  lastCheckedAt_ = now;
   std::int64_t const version = versionOf(path_);
   if (version == version_) return;
   version_ = version;
@@ -49,42 +49,42 @@
 }
 
 void FaultInjection::readFile() {
-  cutTo_.clear();
-  cutFrom_.clear();
-  lostShare_ = 0;
+  blockedDestinations_.clear();
+  blockedSources_.clear();
+  replyLossRate_ = 0;
   std::ifstream file(path_);
   string line;
   while (std::getline(file, line)) {
     std::istringstream words(line);
     string kind, first, second;
     words >> kind >> first >> second;
-    if (kind == "cut" && first == self_) cutTo_.insert(second);
-    if (kind == "cut" && second == self_) cutFrom_.insert(first);
-    if (kind == "lose" && first == self_) lostShare_ = std::strtod(second.c_str(), nullptr);
+    if (kind == "cut" && first == self_) blockedDestinations_.insert(second);
+    if (kind == "cut" && second == self_) blockedSources_.insert(first);
+    if (kind == "lose" && first == self_) replyLossRate_ = std::strtod(second.c_str(), nullptr);
   }
 }
 
 bool FaultInjection::blocksSending(string const& to) {
   refresh();
-  return cutTo_.contains(to);
+  return blockedDestinations_.contains(to);
 }
 
 bool FaultInjection::blocksReceiving(string const& from) {
   refresh();
-  return cutFrom_.contains(from);
+  return blockedSources_.contains(from);
 }
 
-bool FaultInjection::losesAnswer() {
+bool FaultInjection::losesReply() {
   refresh();
-  if (lostShare_ <= 0) return false;
+  if (replyLossRate_ <= 0) return false;
   constexpr std::uint64_t steps = 1u << 20;
-  return static_cast<double>(randomId() % steps) < lostShare_ * static_cast<double>(steps);
+  return static_cast<double>(randomId() % steps) < replyLossRate_ * static_cast<double>(steps);
 }
 
 Task<bool> waitUntilReachable(std::function<bool()> isBlocked, TimePoint until) {
   while (isBlocked()) {
     if (Clock::now() >= until) co_return false;
-    co_await sleepFor(lookAgainAfter);
+    co_await sleepFor(faultPollInterval);
   }
   co_return true;
 }
--- a/wire/fault_injection.hpp
+++ b/wire/fault_injection.hpp
@@ -23,7 +23,7 @@
   /// True while nothing that an IP sends arrives here.
   bool blocksReceiving(string const& from);
   /// Draws whether the next answer to a call of this process is lost.
-  bool losesAnswer();
+  bool losesReply();
 
  private:
   FaultInjection();
@@ -31,10 +31,10 @@
   void readFile();
 
   string path_, self_;
-  TimePoint lookedAt_;
+  TimePoint lastCheckedAt_;
   std::int64_t version_ = -1;  ///< of the file that was read last
-  std::set<string> cutTo_, cutFrom_;
-  double lostShare_ = 0;
+  std::set<string> blockedDestinations_, blockedSources_;
+  double replyLossRate_ = 0;
 };
 
 /// Waits while a cut is open, at most until a time; false if it is open still.
--- a/wire/rpc.hpp
+++ b/wire/rpc.hpp
@@ -91,7 +91,7 @@
   Task<string> callRaw(Address to, RpcMethod method, string body, Ms limit);
   void sendRaw(Address const& to, RpcMethod method, string body);
   /// The process that answered last at an address; 0 if none did.
-  std::uint64_t processAt(Address const& to) const;
+  std::uint64_t processIdAt(Address const& to) const;
 
  private:
   std::shared_ptr<RpcLink> const& linkTo(Address const& to);
@@ -129,7 +129,7 @@
   struct Connection;
   using ConnectionPtr = std::shared_ptr<Connection>;
   Task<void> serve(ConnectionPtr connection);
-  Task<bool> greet(ConnectionPtr connection);
+  Task<bool> performHandshake(ConnectionPtr connection);
   Task<void> readCalls(ConnectionPtr connection);
   Task<void> refuse(ConnectionPtr connection, std::uint64_t id, Error error);
   Task<void> handle(ConnectionPtr connection, std::uint64_t id, RpcMethod method, bool wantsReply, string body);
--- a/wire/rpc_client.cpp
+++ b/wire/rpc_client.cpp
@@ -44,7 +44,7 @@
     if (fits(frame)) enqueue(std::move(frame), 0, method);
   }
 
-  std::uint64_t peerProcess() const { return peerProcess_; }
+  std::uint64_t peerProcessId() const { return peerProcessId_; }
 
  private:
   struct PendingCall {
@@ -129,7 +129,7 @@
   }
 
   Task<void> sendBatch(ConnectionPtr connection) {
-    string batch = std::exchange(greeting_, "");
+    string batch = std::exchange(helloFrame_, "");
     while (!unsent_.empty() && batch.size() < maxBatchBytes) {
       UnsentFrame frame = dequeue();
       rpcTraffic().count(TrafficDirection::sent, frame.method, peerZone_, frame.bytes.size());
@@ -171,7 +171,7 @@
     if (error || !connection->socket.is_open()) co_return false;
     setSocketOptions(connection->socket, silenceTimeout_);
     ConnectionHello const hello{protocolVersion, to_, processId_, rpcTraffic().ownZone()};
-    greeting_ = encodeFrame(0, RpcMethod(), FrameKind::hello, serialize(hello));
+    helloFrame_ = encodeFrame(0, RpcMethod(), FrameKind::hello, serialize(hello));
     connection_ = connection;
     spawnTask(io_, "link reader", readLoop(shared_from_this(), connection));
     co_return true;
@@ -194,7 +194,7 @@
         co_await waitUntilReachable(isCut, TimePoint::max());
         if (connection != connection_) co_return;
         bool const isReply = connection->welcomed && header.kind == FrameKind::reply;
-        if (isReply && FaultInjection::instance().losesAnswer()) throw Error(ErrorCode::connectionLost, "answer lost");
+        if (isReply && FaultInjection::instance().losesReply()) throw Error(ErrorCode::connectionLost, "answer lost");
 #endif
         ++receivedFrames_;
         receive(*connection, header, std::move(body));
@@ -231,7 +231,7 @@
     std::optional<Error> refusal;
     if (header.kind == FrameKind::welcome) welcome = deserialize<ConnectionWelcome>(body);
     if (header.kind != FrameKind::welcome || welcome.version != protocolVersion)
-      refusal = Error(ErrorCode::otherProtocol, to_.text());
+      refusal = Error(ErrorCode::protocolMismatch, to_.text());
     else if (welcome.self != to_)
       refusal = Error(ErrorCode::wrongProcess, to_.text() + " is answered by " + welcome.self.text());
     if (header.kind == FrameKind::error) {
@@ -239,13 +239,13 @@
       if (error.code() == ErrorCode::wrongProcess) refusal = error;
     }
     if (refusal) {
-      if (!std::exchange(warned_, true)) logWarning("link", refusal->what());
+      if (!std::exchange(refusalLogged_, true)) logWarning("link", refusal->what());
       throw *refusal;
     }
-    if (peerProcess_ && peerProcess_ != welcome.processId) logDebug("link", to_.text() + " has started again");
-    peerProcess_ = welcome.processId;
+    if (peerProcessId_ && peerProcessId_ != welcome.processId) logDebug("link", to_.text() + " has started again");
+    peerProcessId_ = welcome.processId;
     peerZone_ = welcome.zone;
-    warned_ = false;
+    refusalLogged_ = false;
     connection.welcomed = true;
   }
 
@@ -259,12 +259,12 @@
   asio::io_context& io_;
   Address to_;
   Ms silenceTimeout_;
-  std::uint64_t processId_, peerProcess_ = 0;
+  std::uint64_t processId_, peerProcessId_ = 0;
   ConnectionPtr connection_;
-  string greeting_;  ///< goes out along with the first call
-  string peerZone_;  ///< "" until the first answer
+  string helloFrame_;  ///< goes out along with the first call
+  string peerZone_;    ///< "" until the first answer
   bool sending_ = false;
-  bool warned_ = false;  ///< that the other side can't be talked to
+  bool refusalLogged_ = false;  ///< that the other side can't be talked to
   std::uint64_t lastCall_ = 0, lastConnection_ = 0, receivedFrames_ = 0;
   std::size_t unsentBytes_ = 0;
   std::deque<UnsentFrame> unsent_;
@@ -289,9 +289,9 @@
   linkTo(to)->send(method, body);
 }
 
-std::uint64_t RpcClient::processAt(Address const& to) const {
+std::uint64_t RpcClient::processIdAt(Address const& to) const {
   auto const link = links_.find(to);
-  return link == links_.end() ? 0 : link->second->peerProcess();
+  return link == links_.end() ? 0 : link->second->peerProcessId();
 }
 
 }  // namespace tealshelf
--- a/wire/rpc_server.cpp
+++ b/wire/rpc_server.cpp
@@ -6,8 +6,8 @@
 using namespace wire;
 
 namespace {
-constexpr std::size_t maxUnreadBytes = 8u << 20;  ///< answers that wait for a caller that doesn't read
-constexpr std::size_t maxActiveCalls = 1024;      ///< calls of one connection that are handled at once
+constexpr std::size_t maxUnsentReplyBytes = 8u << 20;  ///< answers that wait for a caller that doesn't read
+constexpr std::size_t maxActiveCalls = 1024;           ///< calls of one connection that are handled at once
 constexpr int rpcBacklog = 256;
 }  // namespace
 
@@ -45,7 +45,7 @@
 /// Serves one connection; however the reading ends, the connection ends with it.
 Task<void> RpcServer::serve(ConnectionPtr connection) {
   try {
-    bool const accepted = co_await greet(connection);
+    bool const accepted = co_await performHandshake(connection);
     if (accepted) co_await readCalls(connection);
   } catch (std::exception const& error) {
     logDebug("rpc", error.what());
@@ -54,7 +54,7 @@
 }
 
 /// Reads the hello; false if the connection isn't served.
-Task<bool> RpcServer::greet(ConnectionPtr connection) {
+Task<bool> RpcServer::performHandshake(ConnectionPtr connection) {
   FrameHeader header;
   string body;
   bool const received = co_await connection->reader.next(connection->socket, header, body);
@@ -64,7 +64,7 @@
   if (header.kind == FrameKind::hello) hello = deserialize<ConnectionHello>(body);
   std::optional<Error> refusal;
   if (hello.version != protocolVersion)
-    refusal = Error(ErrorCode::otherProtocol, address_.text());
+    refusal = Error(ErrorCode::protocolMismatch, address_.text());
   else if (hello.wanted != address_)
     refusal = Error(ErrorCode::wrongProcess, address_.text() + " is not " + hello.wanted.text());
   if (refusal) {
@@ -136,7 +136,7 @@
   --connection->activeCalls;
   if (!wantsReply || !connection->socket.is_open()) co_return;
   // One answer always fits; a caller that asks on without reading is cut off.
-  bool const fits = connection->answers.empty() || connection->answerBytes + frame.size() <= maxUnreadBytes;
+  bool const fits = connection->answers.empty() || connection->answerBytes + frame.size() <= maxUnsentReplyBytes;
   if (!fits) {
     connection->close();
     co_return;
