--- a/base/durable_log.cpp
+++ b/base/durable_log.cpp
@@ -92,9 +92,9 @@
 
 DurableLog::Job DurableLog::takeJob() {
   Job job = std::exchange(pendingJob_, Job());
-  job.renews = snapshotRequired_ || logSize_ + job.encodedRecords.size() > limits_.maxLogSize(stateSize_);
+  job.compacts = snapshotRequired_ || logSize_ + job.encodedRecords.size() > limits_.maxLogSize(stateSize_);
   snapshotRequired_ = false;
-  if (!job.renews) {
+  if (!job.compacts) {
     logSize_ += encodeBatch("").size() + job.encodedRecords.size();
     return job;
   }
@@ -117,24 +117,24 @@
       *job = std::move(*nextJob_);
       nextJob_.reset();
     }
-    JobResult const result = carryOut(*job);
+    JobResult const result = executeJob(*job);
     asio::post(io_, [this, job, result, alive = alive_] {
       if (*alive) finishJob(*job, result);
     });
   }
 }
 
-DurableLog::JobResult DurableLog::carryOut(Job& job) {
+DurableLog::JobResult DurableLog::executeJob(Job& job) {
   TimePoint const startedAt = Clock::now();
   JobResult result;
-  if (job.renews) {
+  if (job.compacts) {
     result.error = makeDirectoryDurable();
-    if (!result.error) result.error = writer_->renew(std::move(job.snapshotRecords));
+    if (!result.error) result.error = writer_->compact(std::move(job.snapshotRecords));
     result.removalError = writer_->removalError();
   } else if (!job.encodedRecords.empty()) {
     result.error = writer_->append(job.encodedRecords);
   }
-  result.took = std::chrono::duration_cast<Ms>(Clock::now() - startedAt);
+  result.duration = std::chrono::duration_cast<Ms>(Clock::now() - startedAt);
   return result;
 }
 
@@ -150,7 +150,7 @@
 
 void DurableLog::finishJob(Job& job, JobResult const& result) {
   jobRunning_ = false;
-  lastSyncDuration_ = result.took;
+  lastSyncDuration_ = result.duration;
   if (result.error) return failJob(job, result.error);
   retryDelay_ = Ms(0);
   setState(DiskState::healthy);
--- a/base/durable_log.hpp
+++ b/base/durable_log.hpp
@@ -87,17 +87,17 @@
  private:
   struct Job {
     string encodedRecords;           ///< to append
-    vector<string> snapshotRecords;  ///< or the whole state, if it renews
+    vector<string> snapshotRecords;  ///< or the whole state, if it compacts
     vector<std::function<void()>> callbacks;
-    bool renews = false;
+    bool compacts = false;
   };
   struct JobResult {
     int error = 0, removalError = 0;
-    Ms took{0};
+    Ms duration{0};
   };
   // On the thread.
   void run();
-  JobResult carryOut(Job& job);
+  JobResult executeJob(Job& job);
   /// Makes the directory, and sees to it that its name outlasts a loss of power; gives 0 or errno.
   int makeDirectoryDurable();
   // On the io thread.
--- a/base/log_writer.cpp
+++ b/base/log_writer.cpp
@@ -44,7 +44,7 @@
   return syncAndClose(files_, file, error);
 }
 
-int LogWriter::renew(vector<string> records) {
+int LogWriter::compact(vector<string> records) {
   closeLog();
   ++number_;
   string const unfinished = directory_ + "/next";
@@ -54,7 +54,7 @@
     files_.remove(unfinished);  // gives the space back; it is overwritten next time if this fails
     return error;
   }
-  error = beginLog();
+  error = startLog();
   // One sync of the directory makes both new names last.
   if (!error) error = syncDirectory(files_, directory_);
   if (error) {
@@ -65,7 +65,7 @@
   return 0;
 }
 
-int LogWriter::beginLog() {
+int LogWriter::startLog() {
   file_ = files_.open(logFilePath(directory_, LogFileKind::log, number_), FileSystem::OpenMode::append);
   if (file_ < 0) return lastError();
   int const error = writeAll(files_, file_, encodeFileHeader(LogFileKind::log));
--- a/tests/base/durable_log_test.cpp
+++ b/tests/base/durable_log_test.cpp
@@ -34,22 +34,22 @@
   bool whole() const { return fault_ == WriterFault::no ? correctWriter_.isOpen() : file_ >= 0; }
   int append(string const& records) {
     if (fault_ == WriterFault::no) return correctWriter_.append(records);
-    int failed = writeAll(disk_, file_, encodeBatch(records));
-    if (!failed && disk_.sync(file_)) failed = EIO;
-    if (failed && fault_ == WriterFault::retriesFailedSync && !disk_.sync(file_)) return 0;
-    if (failed) file_ = -1;
-    return failed;
+    int error = writeAll(disk_, file_, encodeBatch(records));
+    if (!error && disk_.sync(file_)) error = EIO;
+    if (error && fault_ == WriterFault::retriesFailedSync && !disk_.sync(file_)) return 0;
+    if (error) file_ = -1;
+    return error;
   }
-  int renew(vector<string> const& records) {
+  int compact(vector<string> const& records) {
     if (fault_ != WriterFault::ignoresSyncErrors) return compactCorrectly(records);
     // As before: the syncs of the snapshot, the log and the folder go unlooked at.
     ++number_;
     int const next = disk_.open(folder + "/next", FileSystem::OpenMode::truncate);
     if (next < 0) return EIO;
-    int failed = writeAll(disk_, next, encodeFileHeader(LogFileKind::snapshot) + encodeBatch(encodeAll(records)));
+    int error = writeAll(disk_, next, encodeFileHeader(LogFileKind::snapshot) + encodeBatch(encodeAll(records)));
     disk_.sync(next);
-    if (!failed && disk_.rename(folder + "/next", logFilePath(folder, LogFileKind::snapshot, number_))) failed = EIO;
-    if (failed) return failed;
+    if (!error && disk_.rename(folder + "/next", logFilePath(folder, LogFileKind::snapshot, number_))) error = EIO;
+    if (error) return error;
     if (openLog() < 0) return EIO;
     disk_.sync(file_);
     syncDirectory(disk_, folder);
@@ -65,10 +65,10 @@
   }
   int compactCorrectly(vector<string> const& records) {
     ++number_;
-    int const failed = correctWriter_.renew(records);
-    if (!failed && fault_ != WriterFault::no)
+    int const error = correctWriter_.compact(records);
+    if (!error && fault_ != WriterFault::no)
       file_ = disk_.open(logFilePath(folder, LogFileKind::log, number_), FileSystem::OpenMode::append);
-    return failed;
+    return error;
   }
 
   MemoryDisk& disk_;
@@ -92,7 +92,7 @@
   vector<string> state;
   std::set<string> acknowledged;
   std::size_t made = 0;
-  for (int life = 0; life < 4; ++life) {
+  for (int restart = 0; restart < 4; ++restart) {
     RecoveredLog const found = readLog(disk, folder);
     std::set<string> const there(found.records.begin(), found.records.end());
     bool const whole = std::includes(there.begin(), there.end(), acknowledged.begin(), acknowledged.end());
@@ -103,9 +103,9 @@
     if (trial.how == WriterFault::trustsUnsyncedRecords) acknowledged = there;
     for (std::size_t step = disk.dice(9); step > 0; --step) {
       state.push_back(nameOf(made++));
-      bool const renews = !writer.whole() || disk.dice(4) == 0;
-      int const failed = renews ? writer.renew(state) : writer.append(encodeRecord(state.back()));
-      if (!failed) acknowledged.insert(state.begin(), state.end());
+      bool const compacts = !writer.whole() || disk.dice(4) == 0;
+      int const error = compacts ? writer.compact(state) : writer.append(encodeRecord(state.back()));
+      if (!error) acknowledged.insert(state.begin(), state.end());
     }
     if (disk.dice(2)) disk.losePower();
   }
@@ -157,7 +157,7 @@
 TEST(durableLog, recordsComeBackInOrderAndSnapshotsBoundTheSpace) {
   MemoryDisk disk(1);
   std::size_t most = 0;
-  for (int life = 0; life < 2; ++life) {
+  for (int restart = 0; restart < 2; ++restart) {
     RunningLog run(disk);
     for (std::size_t i = 0; i < 100; ++i) {
       // The newest ten records are the state.
@@ -235,7 +235,7 @@
 /// A folder with a snapshot of two records and a log of three batches.
 static void fill(MemoryDisk& disk) {
   LogWriter writer(disk, folder, 0);
-  writer.renew({"one", "two"});
+  writer.compact({"one", "two"});
   for (char const* const record : {"three", "four", "five"}) writer.append(encodeRecord(record));
 }
 
--- a/wire/rpc.hpp
+++ b/wire/rpc.hpp
@@ -51,10 +51,10 @@
 /// unless it fits.
 struct ConnectionHello {
   std::uint32_t version = protocolVersion;
-  Address wanted;               ///< the address that the caller means to reach
+  Address expected;             ///< the address that the caller means to reach
   std::uint64_t processId = 0;  ///< of the calling process
   string zone;                  ///< of the calling process; "" if it isn't told
-  MSGPACK_DEFINE(version, wanted, processId, zone)
+  MSGPACK_DEFINE(version, expected, processId, zone)
 };
 /// First frame of the way back, sent along with the first answer: who answers.
 struct ConnectionWelcome {
--- a/wire/rpc_server.cpp
+++ b/wire/rpc_server.cpp
@@ -65,8 +65,8 @@
   std::optional<Error> refusal;
   if (hello.version != protocolVersion)
     refusal = Error(ErrorCode::protocolMismatch, address_.text());
-  else if (hello.wanted != address_)
-    refusal = Error(ErrorCode::wrongProcess, address_.text() + " is not " + hello.wanted.text());
+  else if (hello.expected != address_)
+    refusal = Error(ErrorCode::wrongProcess, address_.text() + " is not " + hello.expected.text());
   if (refusal) {
     co_await refuse(connection, header.callId, *refusal);
     co_return false;
