--- a/base/async_mutex.hpp
+++ b/base/async_mutex.hpp
@@ -1,13 +1,13 @@
 #pragma once
 #include "base/tealshelf.hpp"
 
-/// A mutex for coroutines of one thread, with a bounded queue and a bounded wait.
+/// A mutex for coroutines of one thread, with a bounded wait queue and a time limit for waiting.
 namespace tealshelf {
 
-/// Lets one coroutine at a time into a section, in the order of their arrival.
+/// Grants the lock to one coroutine at a time, in the order of their calls.
 ///
-/// A coroutine that can't wait any more gets an error instead of the lock, so that one section that never ends doesn't
-/// let an endless queue build up behind it.
+/// A coroutine whose wait exceeds its limit gets an error instead of the lock, so that a lock that is never released
+/// doesn't let the queue grow without bound.
 class AsyncMutex {
   struct Waiter {
     explicit Waiter(asio::io_context& io) : timer(io) {}
@@ -36,14 +36,14 @@
 
   AsyncMutex(asio::io_context& io, std::size_t maxWaiting) : io_(io), maxWaiting_(maxWaiting) {}
 
-  /// Waits for the mutex; throws ErrorCode::busy if the queue is full or the limit has passed.
+  /// Waits for the mutex; throws ErrorCode::busy if the queue is full or the limit expires.
   Task<Lock> lock(Ms limit) {
     std::shared_ptr<State> const state = state_;
     if (!state->locked) {
       state->locked = true;
       co_return Lock(state);
     }
-    if (state->waiters.size() >= maxWaiting_) throw Error(ErrorCode::busy, "the queue is full");
+    if (state->waiters.size() >= maxWaiting_) throw Error(ErrorCode::busy, "the wait queue of the lock is full");
     std::shared_ptr<Waiter> const waiter = std::make_shared<Waiter>(io_);
     waiter->timer.expires_after(limit);
     state->waiters.push_back(waiter);
@@ -51,13 +51,13 @@
     co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     if (waiter->granted) co_return Lock(state);
     std::erase(state->waiters, waiter);
-    throw Error(ErrorCode::busy, "the wait was too long");
+    throw Error(ErrorCode::busy, "timed out while waiting for the lock");
   }
   bool locked() const { return state_->locked; }
   std::size_t waiting() const { return state_->waiters.size(); }
 
  private:
-  /// Hands the mutex to the first that waits, without a moment in which another could take it.
+  /// Passes the mutex directly to the first waiter, so that no other coroutine can take it in between.
   static void release(State& state) {
     if (state.waiters.empty()) {
       state.locked = false;
--- a/base/disk_retry.hpp
+++ b/base/disk_retry.hpp
@@ -3,26 +3,27 @@
 
 #include <thread>
 
-/// Retries of what a disk refuses.
+/// Retries of failed disk operations.
 namespace tealshelf {
 
-/// The pause after one of a given length; pauses double up to about a bound.
-inline Ms nextRetryDelay(Ms pause, Ms maxPause) {
-  return std::clamp(pause * 2, maxPause / 16 + Ms(1), maxPause + Ms(1));
+/// The delay that follows a given one: exponential backoff, up to about `maxDelay`.
+inline Ms nextRetryDelay(Ms delay, Ms maxDelay) {
+  return std::clamp(delay * 2, maxDelay / 16 + Ms(1), maxDelay + Ms(1));
 }
 
-/// Tries what a process needs at its start until the disk no longer refuses it. Blocks the thread.
+/// Retries a disk operation that a process needs at its start until it no longer fails with diskFailed. Blocks the
+/// thread.
 template <class Attempt>
-auto retryUntilDiskAvailable(string const& directory, Ms maxPause, Attempt attempt) {
-  for (Ms pause(0);;) {
+auto retryUntilDiskAvailable(string const& directory, Ms maxDelay, Attempt attempt) {
+  for (Ms delay(0);;) {
     try {
       return attempt();
     } catch (Error const& error) {
       if (error.code() != ErrorCode::diskFailed) throw;
-      if (pause == Ms(0)) logWarning("disk", directory + ": the start waits for the disk: " + error.what());
+      if (delay == Ms(0)) logWarning("disk", directory + ": disk access failed at startup; retrying: " + error.what());
     }
-    pause = nextRetryDelay(pause, maxPause);
-    std::this_thread::sleep_for(pause);
+    delay = nextRetryDelay(delay, maxDelay);
+    std::this_thread::sleep_for(delay);
   }
 }
 
--- a/base/durable_log.cpp
+++ b/base/durable_log.cpp
@@ -42,7 +42,7 @@
 }
 
 void DurableLog::append(string const& record) {
-  // A snapshot that is to come holds the record's change.
+  // The snapshot that is due will include the record's change.
   if (snapshotRequired_) return;
   pendingJob_.encodedRecords += encodeRecord(record);
   if (pendingJob_.encodedRecords.size() <= limits_.maxLogSize(stateSize_)) return;
@@ -75,8 +75,8 @@
 }
 
 void DurableLog::startJob() {
-  bool const pausing = state_ == DiskState::failing && retryDelay_ > Ms(0);
-  if (jobRunning_ || pausing) return;
+  bool const delayed = state_ == DiskState::failing && retryDelay_ > Ms(0);
+  if (jobRunning_ || delayed) return;
   bool const nothingToDo = pendingJob_.encodedRecords.empty() && pendingJob_.callbacks.empty();
   if (nothingToDo && healthy()) return;
   Job job = takeJob();
@@ -140,7 +140,7 @@
 
 int DurableLog::makeDirectoryDurable() {
   if (files_.makeDirectory(directory_) && errno != EEXIST) return errno;
-  // Also where it was there: an earlier process may have ended before the name was synced.
+  // An existing directory is synced too: an earlier process may have ended before the sync.
   if (directoryDurable_) return 0;
   std::filesystem::path const parent = std::filesystem::path(directory_).parent_path();
   int const error = syncDirectory(files_, parent.empty() ? "." : parent.string());
@@ -155,12 +155,13 @@
   retryDelay_ = Ms(0);
   setState(DiskState::healthy);
   if (result.removalError)
-    logWarning("disk", directory_ + ": an old file can't be removed: " + std::strerror(result.removalError));
+    logWarning("disk", directory_ + ": removing an old log file failed; the next snapshot retries it: " +
+                           std::strerror(result.removalError));
   for (std::function<void()> const& callback : job.callbacks) callback();
   startJob();
 }
 
-/// Nothing of the job counts as synced. Its callbacks wait for the snapshot that comes next.
+/// Nothing of the job counts as synced; its callbacks wait for the next snapshot.
 void DurableLog::failJob(Job& job, int error) {
   lastError_ = error;
   metrics_.failures.increment();
@@ -177,14 +178,14 @@
   retryTimer_.expires_after(retryDelay_);
   retryTimer_.async_wait([this, alive = alive_](error_code) {
     if (!*alive) return;
-    // Without a pause the job starts; its length is kept for the next failure.
-    Ms const pause = std::exchange(retryDelay_, Ms(0));
+    // startJob() doesn't start a job while a delay is set; the delay is kept for the next failure.
+    Ms const delay = std::exchange(retryDelay_, Ms(0));
     startJob();
-    retryDelay_ = pause;
+    retryDelay_ = delay;
   });
 }
 
-/// Finds a disk that doesn't answer.
+/// Marks the disk as stalled if the running job exceeds the stall timeout.
 void DurableLog::watchForStall() {
   if (stallTimerRunning_) return;
   stallTimerRunning_ = true;
@@ -212,11 +213,11 @@
   state_ = state;
   if (wasHealthy == healthy()) return;
   if (healthy()) {
-    logInfo("disk", directory_ + ": the disk takes writes again");
+    logInfo("disk", directory_ + ": the disk is healthy again; writes succeed");
     return;
   }
   Error const problem(ErrorCode::diskUnavailable,
-                      state == DiskState::stalled ? "no answer" : std::strerror(lastError_));
+                      state == DiskState::stalled ? "the write or sync timed out" : std::strerror(lastError_));
   logWarning("disk", directory_ + ": " + problem.what());
 }
 
--- a/base/errors.cpp
+++ b/base/errors.cpp
@@ -113,14 +113,14 @@
 };
 
 HttpStatus const& find(ErrorKind kind) {
-  for (HttpStatus const& known : httpStatuses)
-    if (known.kind == kind) return known;
+  for (HttpStatus const& entry : httpStatuses)
+    if (entry.kind == kind) return entry;
   return httpStatuses[0];
 }
 
 string messageOf(ErrorCode code, string const& detail) {
-  string const line = "E" + std::to_string(static_cast<int>(code)) + " " + string(errorInfo(code).text);
-  return detail.empty() ? line : line + ": " + detail;
+  string const message = "E" + std::to_string(static_cast<int>(code)) + " " + string(errorInfo(code).text);
+  return detail.empty() ? message : message + ": " + detail;
 }
 }  // namespace
 
@@ -128,8 +128,8 @@
 std::size_t const errorTableSize = sizeof table / sizeof table[0];
 
 ErrorInfo const& errorInfo(ErrorCode code) {
-  for (ErrorInfo const& known : table)
-    if (known.code == code) return known;
+  for (ErrorInfo const& entry : table)
+    if (entry.code == code) return entry;
   return table[0];
 }
 
--- a/base/errors.hpp
+++ b/base/errors.hpp
@@ -5,8 +5,8 @@
 
 namespace tealshelf {
 
-/// What sort of error it is; status and reason of an answer follow from it. Only `rejected` and `unavailable`,
-/// `overQuota` and `requestTimeout` promise that nothing ran or will run (503, 429, 408).
+/// Category of an error; it determines status and reason phrase of an HTTP answer. Only `rejected` and `unavailable`
+/// (503), `overQuota` (429) and `requestTimeout` (408) guarantee that nothing ran or will run.
 enum class ErrorKind {
   badInput,
   unauthorized,
@@ -26,7 +26,7 @@
   disk
 };
 
-/// Numbered result codes; docs/errors.md holds the table.
+/// Error codes; docs/errors.md documents them.
 enum class ErrorCode : int {
   unreadable = 100,
   unknownService = 101,
@@ -109,30 +109,30 @@
   diskUnavailable = 607
 };
 
-/// One line of the table of codes.
+/// One entry of the table of error codes.
 struct ErrorInfo {
   ErrorCode code;
   ErrorKind kind;
   std::string_view text;
 };
 
-/// The table, in order of number.
+/// The table of error codes, in ascending order.
 extern ErrorInfo const* const errorTable;
 extern std::size_t const errorTableSize;
-/// The line of a code; the first line for a number that isn't in the table.
+/// The entry of a code; the first entry if the code isn't in the table.
 ErrorInfo const& errorInfo(ErrorCode code);
 
-/// Status of an answer for a kind of error.
+/// HTTP status of an error kind.
 int httpStatusOf(ErrorKind kind);
-/// Reason phrase of an answer for a kind of error.
+/// HTTP reason phrase of an error kind.
 std::string_view httpReasonOf(ErrorKind kind);
 
 class Error;
-/// The status a process ends with on an error at its start: 2 for bad settings, 4 for state files
-/// of an unknown format, 3 for a disk.
+/// Exit status of a process that fails at startup: 2 for invalid settings, 4 for state files of an unknown format, 3
+/// for any other error, such as a disk failure.
 int exitStatusOf(Error const& error);
 
-/// Every error of tealshelf. Its text holds the number, the line of the table, and a detail if there is one.
+/// The exception type of tealshelf. Its message holds the code, the text of the code, and a detail if there is one.
 class Error : public std::runtime_error {
  public:
   explicit Error(ErrorCode code, std::string const& detail = "");
--- a/base/file_system.cpp
+++ b/base/file_system.cpp
@@ -13,8 +13,8 @@
   int makeDirectory(string const& path) override { return ::mkdir(path.c_str(), 0755); }
   int open(string const& path, OpenMode mode) override {
     if (mode == OpenMode::directory) return ::open(path.c_str(), O_RDONLY | O_DIRECTORY);
-    int const start = mode == OpenMode::append ? O_APPEND : O_TRUNC;
-    return ::open(path.c_str(), O_CREAT | O_WRONLY | start, 0644);
+    int const modeFlag = mode == OpenMode::append ? O_APPEND : O_TRUNC;
+    return ::open(path.c_str(), O_CREAT | O_WRONLY | modeFlag, 0644);
   }
   std::ptrdiff_t write(int file, string_view bytes) override { return ::write(file, bytes.data(), bytes.size()); }
   int sync(int file) override { return ::fsync(file); }
--- a/base/file_system.hpp
+++ b/base/file_system.hpp
@@ -3,42 +3,42 @@
 
 namespace tealshelf {
 
-/// The calls on files that logs make; tests put a simulated disk in their place. As with the system's calls, a negative
-/// result means failure and errno tells why.
+/// The file operations that logs use; tests replace them by a simulated disk. As with system calls, a negative result
+/// means failure and errno holds the reason.
 class FileSystem {
  public:
   enum class OpenMode { append, truncate, directory };
 
   virtual ~FileSystem() = default;
   virtual int makeDirectory(string const& path) = 0;
-  /// Opens a file for writing, made if it is missing, or a directory for syncing.
+  /// Opens a file for writing and creates it if it is missing, or opens a directory for syncing.
   virtual int open(string const& path, OpenMode mode) = 0;
-  /// Writes some of the bytes; gives how many.
+  /// Writes some of the bytes; returns how many.
   virtual std::ptrdiff_t write(int file, string_view bytes) = 0;
   virtual int sync(int file) = 0;
-  /// Syncs the bytes of a file, not all of what is known about it.
+  /// Syncs the contents of a file without all of its metadata (fdatasync).
   virtual int syncData(int file) = 0;
   virtual int close(int file) = 0;
   virtual int rename(string const& from, string const& to) = 0;
   virtual int remove(string const& path) = 0;
-  /// Reads a whole file; ENOENT if there is none.
+  /// Reads a whole file; fails with ENOENT if there is none.
   virtual int read(string const& path, string& out) = 0;
-  /// Lists the names in a directory; ENOENT if there is none.
+  /// Lists the names in a directory; fails with ENOENT if there is none.
   virtual int list(string const& directory, vector<string>& names) = 0;
 };
 
-/// The files of the system.
+/// The file system of the operating system.
 FileSystem& systemFileSystem();
 
-/// The errno of the call that has just failed; never 0.
+/// The errno of the call that has just failed; EIO if errno is 0.
 int lastError();
-/// Writes all bytes; gives 0 or the errno of the failure.
+/// Writes all bytes; returns 0 or errno.
 int writeAll(FileSystem& files, int file, string_view bytes);
-/// Syncs a directory, so that names made, renamed or removed in it last; gives 0 or errno.
+/// Syncs a directory, so that created, renamed and removed names in it are durable; returns 0 or errno.
 int syncDirectory(FileSystem& files, string const& directory);
-/// Syncs a file, unless something failed before, and closes it; gives 0 or the first errno.
+/// Syncs a file unless `errorBefore` is set, and closes it; returns 0 or the first errno.
 int syncAndClose(FileSystem& files, int file, int errorBefore);
-/// Writes a file under a name of its own and syncs it; gives 0 or errno.
+/// Replaces the contents of a file and syncs it; returns 0 or errno. Not atomic: write to a temporary name.
 int writeSynced(FileSystem& files, string const& path, string_view bytes);
 
 }  // namespace tealshelf
--- a/base/invariant.cpp
+++ b/base/invariant.cpp
@@ -20,7 +20,7 @@
 static_assert(!names.back().empty(), "each invariant has a name");
 
 std::array<std::atomic<std::uint64_t>, invariantCount> violations;
-std::mutex lastMutex;  ///< guards the next one
+std::mutex lastMutex;  ///< guards `last`
 std::string last;
 }  // namespace
 
@@ -29,14 +29,14 @@
 }
 
 void reportViolation(Invariant invariant, std::string const& detail) {
-  std::uint64_t const times = ++violations.at(static_cast<std::size_t>(invariant));
+  std::uint64_t const violationCount = ++violations.at(static_cast<std::size_t>(invariant));
   std::string const name(nameOf(invariant));
   {
     std::lock_guard<std::mutex> const guard(lastMutex);
     last = name + ": " + detail;
   }
-  if (!std::has_single_bit(times)) return;
-  std::string const repeated = times > 1 ? " (" + std::to_string(times) + " times so far)" : "";
+  if (!std::has_single_bit(violationCount)) return;
+  std::string const repeated = violationCount > 1 ? " (" + std::to_string(violationCount) + " violations so far)" : "";
   logError("invariant " + name, detail + repeated);
 }
 
--- a/base/invariant.hpp
+++ b/base/invariant.hpp
@@ -6,34 +6,34 @@
 #include <type_traits>
 #include <utility>
 
-/// Statements that must hold at every moment, checked while the system runs.
+/// Invariants that are checked at run time.
 ///
-/// A violation is a fault of the program, never an operating condition: it is counted and logged, and the process goes
-/// on. The test program fails the test in which one occurs (tests/invariant_plugin.hpp). Called on the io thread.
+/// A violation is a bug, never an operating condition: it is counted and logged, and the process continues. The test
+/// program fails the test in which one occurs (tests/invariant_plugin.hpp). Called on the io thread.
 namespace tealshelf {
 
-/// What must hold. A new one goes to the end, with its name in invariant.cpp.
+/// The checked invariants. New ones are added at the end, with their names in invariant.cpp.
 enum class Invariant : std::size_t {
-  acceptedRecordStays,     ///< a lot's record that was committed as accepted never becomes opening again
-  acceptedRecordIsKept,    ///< a lot's record is deleted only if it is ended, complete, or was never accepted
-  recordStampRises,        ///< the stamp in a lot's committed record never falls
-  freshStampIsNew,         ///< a stamp that is given out is above every stamp given out and the record's
-  recordNamesHolders,      ///< a committed record names as many holders as it must, each once
-  epochHasOneOwner,        ///< nothing is stored under an epoch but what its owner wrote
-  epochNeverFalls,         ///< the epoch that a disk voted for never falls
-  committedNeverGoesBack,  ///< the committed values of a keyspace stand at a position that never falls
-  takeoverHoldsCommitted,  ///< a takeover begins with no less than what its node knows as committed
-  membershipOverlaps,      ///< two memberships that follow each other differ by one member at the most
+  acceptedRecordStays,     ///< a lot record that was committed as accepted never returns to opening
+  acceptedRecordIsKept,    ///< a lot record is deleted only if the lot ended, is complete, or was never accepted
+  recordStampRises,        ///< the stamp in a committed lot record never decreases
+  freshStampIsNew,         ///< an issued stamp is above the record's stamp and all issued before
+  recordNamesHolders,      ///< a committed record names the required number of holders, all distinct
+  epochHasOneOwner,        ///< only the owner of an epoch writes entries under it
+  epochNeverFalls,         ///< the epoch that a node's disk voted for never decreases
+  committedNeverGoesBack,  ///< the commit position of a keyspace never decreases
+  takeoverHoldsCommitted,  ///< a takeover starts with at least what its node knows as committed
+  membershipOverlaps,      ///< consecutive memberships differ by at most one member
   sealedRecordStays,       ///< a sealed lot's record stays sealed, with the same results
-  freshStampAfterCopies,   ///< survivors take a fresh stamp only once a record may name them
-  count                    ///< number of invariants; not one itself
+  freshStampAfterCopies,   ///< surviving replicas get a fresh stamp only once a record may name them
+  count                    ///< number of invariants, not an invariant
 };
 
 /// Name of an invariant in logs and metrics.
 std::string_view nameOf(Invariant invariant);
 
-/// Counts and logs a violation. The first, second, fourth, eighth and so on of an invariant is logged, so that one that
-/// is broken over and over doesn't fill the log.
+/// Counts and logs a violation. Only the violations 1, 2, 4, 8 and so on of an invariant are logged, so that a repeated
+/// one doesn't fill the log.
 void reportViolation(Invariant invariant, std::string const& detail);
 
 /// Checks an invariant. Never throws and never ends the process.
@@ -41,7 +41,7 @@
   if (!holds) reportViolation(invariant, detail);
 }
 
-/// The same with a detail that is made only if it is needed, for paths that run often.
+/// The same with a detail that is built only for a violation, for hot paths.
 template <class MakeDetail, class = std::enable_if_t<std::is_invocable_r_v<std::string, MakeDetail>>>
 void checkInvariant(Invariant invariant, bool holds, MakeDetail&& makeDetail) {
   if (!holds) reportViolation(invariant, std::forward<MakeDetail>(makeDetail)());
@@ -49,7 +49,7 @@
 
 /// How often an invariant was violated in this process, for metrics and tests.
 std::uint64_t violationsOf(Invariant invariant);
-/// Violations of all invariants in this process.
+/// Number of violations of all invariants in this process.
 std::uint64_t totalViolations();
 /// Detail of the last violation, with the invariant's name; empty if there was none.
 std::string lastViolation();
--- a/base/invariant_metrics.hpp
+++ b/base/invariant_metrics.hpp
@@ -4,7 +4,7 @@
 
 namespace tealshelf {
 
-/// Tells how often each invariant was violated in this process.
+/// Exports the number of violations of each invariant in this process.
 class InvariantMetrics {
  public:
   InvariantMetrics();
--- a/base/json_fields.hpp
+++ b/base/json_fields.hpp
@@ -4,7 +4,7 @@
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
-/// Fields of the JSON reports that processes give to the status commands.
+/// Writers for fields of the JSON reports that processes serve to the status commands.
 namespace tealshelf {
 
 using JsonWriter = rapidjson::Writer<rapidjson::StringBuffer>;
--- a/base/log_format.cpp
+++ b/base/log_format.cpp
@@ -32,31 +32,31 @@
   return crc.checksum();
 }
 
-std::uint32_t numberAt(string_view bytes, std::size_t place) {
+std::uint32_t numberAt(string_view bytes, std::size_t offset) {
   std::uint32_t value = 0;
-  std::memcpy(&value, bytes.data() + place, sizeof value);
+  std::memcpy(&value, bytes.data() + offset, sizeof value);
   return value;
 }
 
-RecordState recordAt(string_view bytes, std::size_t place, std::size_t& next) {
-  if (place + recordHeaderSize > bytes.size()) return RecordState::cut;
-  std::size_t const length = numberAt(bytes, place);
-  std::size_t const begin = place + recordHeaderSize;
-  if (length == 0 || length > bytes.size() - begin) return RecordState::cut;
+RecordState recordAt(string_view bytes, std::size_t offset, std::size_t& next) {
+  if (offset + recordHeaderSize > bytes.size()) return RecordState::truncated;
+  std::size_t const length = numberAt(bytes, offset);
+  std::size_t const begin = offset + recordHeaderSize;
+  if (length == 0 || length > bytes.size() - begin) return RecordState::truncated;
   next = begin + length;
-  bool const good = checksum(bytes.substr(begin, length)) == numberAt(bytes, place + 4);
-  return good ? RecordState::good : RecordState::damaged;
+  bool const valid = checksum(bytes.substr(begin, length)) == numberAt(bytes, offset + 4);
+  return valid ? RecordState::valid : RecordState::damaged;
 }
 
-bool isBatchHeader(string_view bytes, std::size_t place) {
-  if (place + batchHeaderSize > bytes.size() || bytes.substr(place, batchMagic.size()) != batchMagic) return false;
-  return checksum(bytes.substr(place, 8)) == numberAt(bytes, place + 8);
+bool isBatchHeader(string_view bytes, std::size_t offset) {
+  if (offset + batchHeaderSize > bytes.size() || bytes.substr(offset, batchMagic.size()) != batchMagic) return false;
+  return checksum(bytes.substr(offset, 8)) == numberAt(bytes, offset + 8);
 }
 
 std::size_t findBatch(string_view bytes, std::size_t from) {
-  std::size_t place = bytes.find(batchMagic, from);
-  while (place != string_view::npos && !isBatchHeader(bytes, place)) place = bytes.find(batchMagic, place + 1);
-  return place;
+  std::size_t offset = bytes.find(batchMagic, from);
+  while (offset != string_view::npos && !isBatchHeader(bytes, offset)) offset = bytes.find(batchMagic, offset + 1);
+  return offset;
 }
 
 }  // namespace log_format
--- a/base/log_metrics.hpp
+++ b/base/log_metrics.hpp
@@ -3,7 +3,7 @@
 
 namespace tealshelf {
 
-/// What a DurableLog tells about itself, under the name of its directory.
+/// Metrics of a DurableLog, labelled with the name of its directory.
 struct LogMetrics {
   explicit LogMetrics(string const& directory);
 
--- a/base/log_reader.cpp
+++ b/base/log_reader.cpp
@@ -5,7 +5,7 @@
 using namespace log_format;
 
 namespace {
-/// Reads one file, of the present format or of the one without a header.
+/// Reads one file, in the current format or in the earlier one without headers.
 class LogFileReader {
  public:
   LogFileReader(RecoveredLog& result, string path, LogFileKind kind, string_view bytes)
@@ -24,7 +24,7 @@
     }
   }
 
-  /// True if the file has the present format and holds anything.
+  /// True if the file has the current format and contains a batch.
   bool holdsBatches() const {
     return bytes_.substr(0, fileMagic.size()) == fileMagic && findBatch(bytes_, 0) != string_view::npos;
   }
@@ -35,84 +35,88 @@
   Header header() const {
     std::size_t next = 0;
     if (bytes_.substr(0, fileMagic.size()) != fileMagic) {
-      bool const earlyFormat = bytes_.empty() || recordAt(bytes_, 0, next) == RecordState::good;
+      bool const withoutHeader = bytes_.empty() || recordAt(bytes_, 0, next) == RecordState::valid;
       bool const hasBatches = findBatch(bytes_, 0) != string_view::npos;
-      return earlyFormat || !hasBatches ? Header::none : Header::damaged;
+      return withoutHeader || !hasBatches ? Header::none : Header::damaged;
     }
     if (bytes_.size() < fileHeaderSize || checksum(bytes_.substr(0, 12)) != numberAt(bytes_, 12))
       return Header::damaged;
     std::uint32_t const format = numberAt(bytes_, 4);
-    if (format != logFormat) throw Error(ErrorCode::unknownFormat, path_ + " has format " + std::to_string(format));
+    if (format != logFormat)
+      throw Error(ErrorCode::unknownFormat,
+                  path_ + " has format version " + std::to_string(format) + ", expected " + std::to_string(logFormat));
     return numberAt(bytes_, 8) == static_cast<std::uint32_t>(kind_) ? Header::valid : Header::damaged;
   }
 
-  void addCorruption(std::size_t place) { result_.corruptions.push_back(path_ + " at " + std::to_string(place)); }
+  void addCorruption(std::size_t offset) {
+    result_.corruptions.push_back(path_ + " at offset " + std::to_string(offset));
+  }
 
-  void addRecord(std::size_t place, std::size_t end) {
-    std::size_t const begin = place + recordHeaderSize;
+  void addRecord(std::size_t offset, std::size_t end) {
+    std::size_t const begin = offset + recordHeaderSize;
     result_.records.emplace_back(bytes_.substr(begin, end - begin));
   }
 
-  /// Reads batch after batch. What no later batch proves to have been synced is torn, not corrupt; a snapshot was
-  /// synced as a whole before it got its name.
-  void readBatches(std::size_t place) {
+  /// Reads all batches. Damage without a later batch that proves a sync counts as torn, not corrupt; a snapshot was
+  /// synced completely before it was renamed to its final name.
+  void readBatches(std::size_t offset) {
     bool any = false;
-    while (place < bytes_.size()) {
-      std::size_t const later = findBatch(bytes_, place + 1);
+    while (offset < bytes_.size()) {
+      std::size_t const later = findBatch(bytes_, offset + 1);
       bool const provenSynced = later != string_view::npos || kind_ == LogFileKind::snapshot;
-      if (isBatchHeader(bytes_, place)) {
+      if (isBatchHeader(bytes_, offset)) {
         any = true;
-        place = readBatch(place, provenSynced);
+        offset = readBatch(offset, provenSynced);
         continue;
       }
       if (provenSynced)
-        addCorruption(place);
+        addCorruption(offset);
       else
-        result_.tornBytes += bytes_.size() - place;
-      place = std::min(later, bytes_.size());
+        result_.tornBytes += bytes_.size() - offset;
+      offset = std::min(later, bytes_.size());
     }
-    if (kind_ == LogFileKind::snapshot && !any) addCorruption(place);
+    if (kind_ == LogFileKind::snapshot && !any) addCorruption(offset);
   }
 
-  /// Reads the batch at a place; gives where to go on.
-  std::size_t readBatch(std::size_t place, bool provenSynced) {
-    std::size_t const begin = place + batchHeaderSize;
-    std::size_t const length = numberAt(bytes_, place + 4);
+  /// Reads the batch at an offset; returns the offset at which to continue.
+  std::size_t readBatch(std::size_t offset, bool provenSynced) {
+    std::size_t const begin = offset + batchHeaderSize;
+    std::size_t const length = numberAt(bytes_, offset + 4);
     std::size_t const end = std::min(begin + length, bytes_.size());
-    string_view const upToEnd = bytes_.substr(0, end);
-    for (place = begin; place < begin + length;) {
+    string_view const bytesToEnd = bytes_.substr(0, end);
+    for (offset = begin; offset < begin + length;) {
       std::size_t next = 0;
-      RecordState const state = recordAt(upToEnd, place, next);
-      if (state == RecordState::good) {
-        addRecord(place, next);
-        place = next;
+      RecordState const state = recordAt(bytesToEnd, offset, next);
+      if (state == RecordState::valid) {
+        addRecord(offset, next);
+        offset = next;
         continue;
       }
       if (!provenSynced) {
-        result_.tornBytes += end - place;
+        result_.tornBytes += end - offset;
         return end;
       }
-      addCorruption(place);
-      if (state == RecordState::cut) return std::min(findBatch(bytes_, begin), bytes_.size());
-      place = next;
+      addCorruption(offset);
+      if (state == RecordState::truncated) return std::min(findBatch(bytes_, begin), bytes_.size());
+      offset = next;
     }
     return end;
   }
 
-  /// The format of earlier releases: records, without headers.
+  /// Reads format version 0: records without file and batch headers.
   void readWithoutHeader() {
-    std::size_t place = 0, next = 0, afterNext = 0;
-    for (; place < bytes_.size(); place = next) {
-      RecordState const state = recordAt(bytes_, place, next);
-      if (state == RecordState::good) {
-        addRecord(place, next);
+    std::size_t offset = 0, next = 0, afterNext = 0;
+    for (; offset < bytes_.size(); offset = next) {
+      RecordState const state = recordAt(bytes_, offset, next);
+      if (state == RecordState::valid) {
+        addRecord(offset, next);
         continue;
       }
-      if (state == RecordState::cut || recordAt(bytes_, next, afterNext) != RecordState::good) break;
-      addCorruption(place);
+      if (state == RecordState::truncated || recordAt(bytes_, next, afterNext) != RecordState::valid) break;
+      addCorruption(offset);
     }
-    if (kind_ == LogFileKind::snapshot && place < bytes_.size()) addCorruption(place);
-    result_.tornBytes += bytes_.size() - place;
+    if (kind_ == LogFileKind::snapshot && offset < bytes_.size()) addCorruption(offset);
+    result_.tornBytes += bytes_.size() - offset;
   }
 
   RecoveredLog& result_;
@@ -136,9 +140,9 @@
     string bytes;
     if (files.read(path, bytes)) throw Error(ErrorCode::diskFailed, path);
     LogFileReader reader(result, path, file.kind, bytes);
-    // A log of the present format begins together with the snapshot of its number.
+    // In the current format, a log file is always created after the snapshot with the same number.
     if (file.number > newestSnapshot && reader.holdsBatches())
-      result.corruptions.push_back(path + " without its snapshot");
+      result.corruptions.push_back(path + ": the snapshot with the same number is missing");
     reader.read();
   }
   return result;
--- a/base/log_reader.hpp
+++ b/base/log_reader.hpp
@@ -3,21 +3,21 @@
 
 namespace tealshelf {
 
-/// What reading the directory of a log found.
+/// The result of reading a log directory.
 struct RecoveredLog {
   vector<string> records;        ///< snapshot records, then log records, in order
-  std::uint64_t tornBytes = 0;   ///< cut from a tail that was never synced
-  vector<string> corruptions;    ///< places where records that had been synced are damaged or missing
-  std::uint64_t lastNumber = 0;  ///< highest number of a file
+  std::uint64_t tornBytes = 0;   ///< discarded from a tail that was never synced
+  vector<string> corruptions;    ///< files and offsets where synced records are damaged or missing
+  std::uint64_t lastNumber = 0;  ///< highest file number
   std::uint64_t totalBytes = 0;
 };
 
-/// Reads the directory of a log without changing it. Throws unknownFormat for a format that this release doesn't know,
-/// and diskFailed where the disk refuses to be read.
+/// Reads a log directory without changing it. Throws unknownFormat for a format version that this release doesn't
+/// support, and diskFailed if a read fails.
 ///
-/// A log is a sequence of batches, and a batch is written only once the one before it is synced. So damage with a batch
-/// after it is a loss of synced records (a corruption); damage in the last batch is taken for a write that a loss of
-/// power tore.
+/// A log is a sequence of batches, and a batch is written only once the previous one is synced. So damage that is
+/// followed by a batch is a loss of synced records (a corruption); damage in the last batch is treated as a write torn
+/// by a loss of power.
 RecoveredLog readLog(FileSystem& files, string const& directory);
 RecoveredLog readLog(string const& directory);
 
--- a/base/log_writer.cpp
+++ b/base/log_writer.cpp
@@ -3,7 +3,7 @@
 namespace tealshelf {
 
 namespace {
-/// A snapshot is written in batches of about so many bytes.
+/// Approximate size of the batches of a snapshot.
 constexpr std::size_t snapshotBatchBytes = 256u << 10;
 }  // namespace
 
@@ -47,15 +47,16 @@
 int LogWriter::compact(vector<string> records) {
   closeLog();
   ++number_;
-  string const unfinished = directory_ + "/next";
-  int error = writeSnapshot(unfinished, records);
-  if (!error && files_.rename(unfinished, logFilePath(directory_, LogFileKind::snapshot, number_))) error = lastError();
+  string const temporaryPath = directory_ + "/next";
+  int error = writeSnapshot(temporaryPath, records);
+  if (!error && files_.rename(temporaryPath, logFilePath(directory_, LogFileKind::snapshot, number_)))
+    error = lastError();
   if (error) {
-    files_.remove(unfinished);  // gives the space back; it is overwritten next time if this fails
+    files_.remove(temporaryPath);  // frees the space; if this fails, the next snapshot overwrites the file
     return error;
   }
   error = startLog();
-  // One sync of the directory makes both new names last.
+  // One sync of the directory makes both new names durable.
   if (!error) error = syncDirectory(files_, directory_);
   if (error) {
     closeLog();
--- a/base/log_writer.hpp
+++ b/base/log_writer.hpp
@@ -3,11 +3,11 @@
 
 namespace tealshelf {
 
-/// Writes the snapshots and the log of one directory and looks at the result of every call.
+/// Writes the snapshots and the log of one directory and checks the result of every call.
 ///
-/// A log is written on only while everything before was synced. After a failure the kernel may have dropped what it
-/// couldn't write and report the next sync as good, so nothing more is written to that file: the whole state goes into
-/// a fresh snapshot with a fresh log. Not thread safe.
+/// A log is appended to only while every earlier sync succeeded. After a failure the kernel may have dropped dirty
+/// pages and may report success for the next sync, so that file is no longer written: the whole state goes into a new
+/// snapshot with a new log. Not thread safe.
 class LogWriter {
  public:
   LogWriter(FileSystem& files, string directory, std::uint64_t lastNumber);
@@ -15,23 +15,23 @@
   LogWriter(LogWriter const&) = delete;
   LogWriter& operator=(LogWriter const&) = delete;
 
-  /// True if append() may be used; else compact() has to come first.
+  /// True if append() may be called; otherwise compact() must be called first.
   bool isOpen() const { return file_ >= 0; }
-  /// Adds a batch of encoded records and syncs it; gives 0 or errno. REQUIRES: isOpen().
+  /// Appends a batch of encoded records and syncs it; returns 0 or errno. REQUIRES: isOpen().
   int append(string_view encodedRecords);
-  /// Puts the whole state in a snapshot, begins a log after it and only then removes what came before. Gives 0 or
-  /// errno; after a failure all files of before still stand. Each record is freed once it is written, so that the state
-  /// isn't held twice for longer than it must.
+  /// Writes the whole state to a snapshot, starts a log after it and only then removes older files. Returns 0 or errno;
+  /// after a failure all older files still exist. Each record is freed once it is written, so that the state is held
+  /// twice for as short as possible.
   int compact(vector<string> records);
-  /// Why an old file couldn't be removed at the last renewal; 0 if all were. Nothing depends on the removal but space,
-  /// and the next renewal tries again.
+  /// The errno of a failed removal of an older file in the last compact(); 0 if all were removed. A failure only costs
+  /// space, and the next compact() retries.
   int removalError() const { return removalError_; }
 
  private:
   int writeSnapshot(string const& path, vector<string>& records);
   int startLog();
   void removeOlderFiles();
-  /// Closes the log for good. All that counts was synced before, so the result of the close tells nothing more.
+  /// Closes the log file. Everything acknowledged is synced already, so the result of close() is ignored.
   void closeLog();
 
   FileSystem& files_;
--- a/base/logging.cpp
+++ b/base/logging.cpp
@@ -14,7 +14,7 @@
 
 struct LevelNames {
   LogLevel level;
-  std::string_view name, mark;  ///< on the command line, and at the start of a line
+  std::string_view name, prefix;  ///< on the command line, and at the start of a log line
 };
 constexpr LevelNames levelNames[] = {{LogLevel::debug, "debug", "D"},
                                      {LogLevel::info, "info", "I"},
@@ -41,13 +41,13 @@
 void log(LogLevel level, std::string_view component, std::string const& text) {
   if (level < minimumLevel) return;
   int const severity = static_cast<int>(level);
-  BOOST_LOG_SEV(logger(), severity) << levelNames[severity].mark << " " << component << ": " << text;
+  BOOST_LOG_SEV(logger(), severity) << levelNames[severity].prefix << " " << component << ": " << text;
 }
 
 bool parseLogLevel(std::string_view name, LogLevel& level) {
-  for (LevelNames const& known : levelNames)
-    if (known.name == name) {
-      level = known.level;
+  for (LevelNames const& entry : levelNames)
+    if (entry.name == name) {
+      level = entry.level;
       return true;
     }
   return false;
--- a/base/logging.hpp
+++ b/base/logging.hpp
@@ -2,14 +2,14 @@
 #include <string>
 #include <string_view>
 
-/// The log of a process: one short line an event, with the component that it comes from.
+/// The log of a process: one short line per event, with the component that logs it.
 namespace tealshelf {
 
 enum class LogLevel { debug, info, warning, error };
 
-/// Sets the log up for this process, or only its level if it was set up before; below the level nothing is written.
+/// Sets up the log of this process; later calls change only the minimum level. Messages below it are dropped.
 void initLogging(LogLevel minimum);
-/// Reads the name of a level; false if there is none of that name.
+/// Parses the name of a level; false if it is unknown.
 bool parseLogLevel(std::string_view name, LogLevel& level);
 
 void log(LogLevel level, std::string_view component, std::string const& text);
--- a/base/metrics.cpp
+++ b/base/metrics.cpp
@@ -41,9 +41,9 @@
 
 SamplerRegistration Metrics::sample(std::function<void()> sampler) {
   std::erase_if(samplers_, [](auto const& registered) { return registered.expired(); });
-  auto const kept = std::make_shared<std::function<void()>>(std::move(sampler));
-  samplers_.push_back(kept);
-  return SamplerRegistration(kept);
+  auto const shared = std::make_shared<std::function<void()>>(std::move(sampler));
+  samplers_.push_back(shared);
+  return SamplerRegistration(shared);
 }
 
 string Metrics::text() {
@@ -53,8 +53,8 @@
 }
 
 Metrics& metrics() {
-  static Metrics ofProcess;
-  return ofProcess;
+  static Metrics instance;
+  return instance;
 }
 
 }  // namespace tealshelf
--- a/base/metrics.hpp
+++ b/base/metrics.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include "base/tealshelf.hpp"
 
-/// The figures that a process tells about itself, in the text format of Prometheus.
+/// Metrics of a process, exported in the Prometheus text format.
 namespace prometheus {
 class Counter;
 class Gauge;
@@ -10,10 +10,10 @@
 
 namespace tealshelf {
 
-/// Tell the series of one metric apart, for example {"state", "accepted"}.
+/// Labels that distinguish the series of one metric, for example {"state", "accepted"}.
 using MetricLabels = std::map<string, string>;
 
-/// A count that only grows. A handle: copies stand for the same series, which lasts as long as its Metrics.
+/// A counter that never decreases. A handle: copies refer to the same series, which lives as long as its Metrics.
 class Counter {
  public:
   void increment(std::uint64_t by = 1);
@@ -25,7 +25,7 @@
   prometheus::Counter* series_;
 };
 
-/// A figure that goes up and down. A handle, as Counter is.
+/// A value that goes up and down. A handle, like Counter.
 class Gauge {
  public:
   void set(double value);
@@ -55,11 +55,11 @@
 
 /// All metrics of a process.
 ///
-/// Names are those of Prometheus: `tealshelf_` and the component in front, the unit or `_total` at the end. Asking
-/// again for a name and labels gives the same series. The first help text of a name stands. Throws
-/// std::invalid_argument if a name is used for both kinds.
+/// Names follow the Prometheus conventions: the prefix `tealshelf_` and the component, and the unit or `_total` as
+/// suffix. The same name and labels give the same series. The first help text of a name is used. Throws
+/// std::invalid_argument if a name is used for both a counter and a gauge.
 ///
-/// Used on the io thread; increments of series that are already there may come from any thread.
+/// Used on the io thread; existing series may be incremented from any thread.
 class Metrics {
  public:
   Metrics();
@@ -69,10 +69,10 @@
 
   Counter counter(string const& name, string const& help, MetricLabels const& labels = {});
   Gauge gauge(string const& name, string const& help, MetricLabels const& labels = {});
-  /// Calls a function before each rendering, to set gauges whose values stand elsewhere; what it reads must outlive the
-  /// registration.
+  /// Registers a function that is called before each rendering, to set gauges from values kept elsewhere; what it reads
+  /// must outlive the registration.
   [[nodiscard]] SamplerRegistration sample(std::function<void()> sampler);
-  /// Calls the samplers and renders every series.
+  /// Calls the samplers and renders all series.
   string text();
 
  private:
--- a/base/node_id.cpp
+++ b/base/node_id.cpp
@@ -7,13 +7,13 @@
 namespace {
 constexpr std::size_t idDigits = 16;
 
-/// Writes a new id under its name; gives 0 or errno.
+/// Writes a new id to a temporary file and renames it; returns 0 or errno.
 int writeNodeId(FileSystem& files, string const& directory, string const& path, string const& text) {
   if (files.makeDirectory(directory) && errno != EEXIST) return lastError();
-  string const unfinished = path + ".new";
-  int const error = writeSynced(files, unfinished, text);
+  string const temporaryPath = path + ".new";
+  int const error = writeSynced(files, temporaryPath, text);
   if (error) return error;
-  return files.rename(unfinished, path) ? lastError() : 0;
+  return files.rename(temporaryPath, path) ? lastError() : 0;
 }
 }  // namespace
 
@@ -28,7 +28,7 @@
     text = hex(randomId());
     error = writeNodeId(files, directory, path, text);
   }
-  // The name may be there without lasting: an earlier process may have ended before it was synced.
+  // An existing file may not be durable: an earlier process may have ended before the directory was synced.
   if (!error) error = syncDirectory(files, directory);
   if (error) throw Error(ErrorCode::diskFailed, path + ": " + std::strerror(error));
   return {NodeId(std::strtoull(text.c_str(), nullptr, 16)), created};
--- a/base/node_id.hpp
+++ b/base/node_id.hpp
@@ -5,11 +5,11 @@
 
 struct LoadedNodeId {
   NodeId id;
-  bool created = false;  ///< the disk had none
+  bool created = false;  ///< true if the directory had no id
 };
-/// The id of the disk in a directory, made and synced when the directory has none; throws diskFailed.
+/// Reads the node id from a directory; creates and syncs one if there is none. Throws diskFailed.
 LoadedNodeId loadNodeId(string const& directory, FileSystem& files = systemFileSystem());
-/// The same, but waits for a disk that refuses: a process can't begin without an id. Blocks the thread.
+/// The same, but retries while the disk fails, as a process can't start without an id. Blocks the thread.
 NodeId waitForNodeId(string const& directory, Ms maxRetryDelay);
 
 }  // namespace tealshelf
--- a/base/settings.cpp
+++ b/base/settings.cpp
@@ -9,14 +9,14 @@
 constexpr char const* pathVariable = "TEALSHELF_BOOT";
 constexpr char const* defaultPath = "/etc/tealshelf/boot.conf";
 constexpr std::uint64_t maxPort = 65535;
-/// The control, store and relay servers each use one of the internal ports.
+/// The control, store and relay servers use one internal port each.
 constexpr std::uint64_t internalServers = 3;
 constexpr double maxSettingNumber = 1e15;
 constexpr double maxSettingMs = 1e12;
 constexpr std::int64_t maxCount = 1 << 24;
 constexpr std::int64_t maxLosses = 1000;
 
-/// Reads the value of one field; false if the value is bad.
+/// Parses the value of one field; false if it is invalid.
 using FieldParser = std::function<bool(Settings&, string const& value)>;
 
 std::optional<double> parseReal(string const& text) {
@@ -41,12 +41,12 @@
   };
 }
 
-FieldParser numberField(std::int64_t Settings::*field, std::int64_t least, std::int64_t most) {
-  return [field, least, most](Settings& settings, string const& value) {
+FieldParser numberField(std::int64_t Settings::*field, std::int64_t minimum, std::int64_t maximum) {
+  return [field, minimum, maximum](Settings& settings, string const& value) {
     std::optional<std::uint64_t> const parsed = parseNumber(value);
     if (!parsed) return false;
     std::int64_t const number = static_cast<std::int64_t>(*parsed);
-    if (number < least || number > most) return false;
+    if (number < minimum || number > maximum) return false;
     settings.*field = number;
     return true;
   };
@@ -213,11 +213,11 @@
   return parsers;
 }
 
-/// Reads one line; gives what is wrong with it, or nothing.
+/// Parses one line; returns what is wrong with it, or nullopt.
 std::optional<string> readLine(Settings& settings, string const& line) {
   static string const zonePrefix = "zones.";
   std::size_t const equals = line.find('=');
-  if (equals == string::npos) return "no '=' in the line";
+  if (equals == string::npos) return "expected FIELD=VALUE, but the line has no '='";
   string const field = line.substr(0, equals), value = line.substr(equals + 1);
   if (field.starts_with(zonePrefix)) {
     settings.zones[field.substr(zonePrefix.size())] = value;
@@ -228,9 +228,9 @@
     settings.unknownFields.push_back(field);
     return std::nullopt;
   }
-  // As if it weren't there: a field may belong to a matter that isn't open in this deployment.
+  // An empty value counts as missing: the field may belong to a feature that this deployment doesn't use.
   if (value.empty() || parser->second(settings, value)) return std::nullopt;
-  return field + " can't be " + value;
+  return field + " has the invalid value " + value;
 }
 }  // namespace
 
@@ -246,16 +246,17 @@
 }
 
 vector<string> Settings::infeasibleBounds() const {
-  vector<string> weak;
+  vector<string> descriptions;
   if (bounds.evacuateWithin < bounds.applyWithin)
-    weak.emplace_back("bounds.evacuateWithinMs is under bounds.applyWithinMs, in which an order reaches all nodes");
-  // A heal is noticed by heartbeats in three eighths of inTouch, and additions may have to go through a third node.
+    descriptions.emplace_back(
+        "bounds.evacuateWithinMs is less than bounds.applyWithinMs, the time until a change reaches all nodes");
+  // Heartbeats detect the end of a partition within 3/8 of inTouch, and additions may be relayed by a third node.
   if (bounds.merge < bounds.inTouch / 2)
-    weak.emplace_back("bounds.mergeMs is under half of bounds.inTouchMs, in which tallies become one again");
-  // Recent evidence is that of half of inTouch; then the verdict goes to all nodes.
+    descriptions.emplace_back("bounds.mergeMs is less than half of bounds.inTouchMs, the time until tallies converge");
+  // Evidence counts as recent for half of inTouch; then the decision must reach all nodes.
   if (bounds.revertWithin < bounds.applyWithin + bounds.inTouch / 2)
-    weak.emplace_back("bounds.revertWithinMs is under bounds.applyWithinMs and half of bounds.inTouchMs together");
-  return weak;
+    descriptions.emplace_back("bounds.revertWithinMs is less than bounds.applyWithinMs plus half of bounds.inTouchMs");
+  return descriptions;
 }
 
 bool Settings::isServing(std::string_view kind) const {
@@ -266,19 +267,19 @@
   return std::find(rulesInForce.begin(), rulesInForce.end(), rule) != rulesInForce.end();
 }
 
-Settings readSettings(string const& text, vector<SettingsError>& faults) {
+Settings readSettings(string const& text, vector<SettingsError>& errors) {
   Settings settings;
   std::istringstream input(text);
   string line;
   for (int number = 1; std::getline(input, line); ++number) {
     while (!line.empty() && (line.back() == '\r' || line.back() == ' ')) line.pop_back();
     if (line.empty() || line[0] == '#') continue;
-    if (std::optional<string> const fault = readLine(settings, line)) faults.push_back({number, *fault});
+    if (std::optional<string> const error = readLine(settings, line)) errors.push_back({number, *error});
   }
-  if (settings.nodeName.empty()) faults.push_back({0, "nodeName is missing"});
-  if (settings.ip.empty()) faults.push_back({0, "ipAddress is missing"});
-  if (!settings.firstInternalPort) faults.push_back({0, "internalPorts is missing"});
-  if (settings.seeds.empty()) faults.push_back({0, "seedNodes is missing"});
+  if (settings.nodeName.empty()) errors.push_back({0, "nodeName is missing"});
+  if (settings.ip.empty()) errors.push_back({0, "ipAddress is missing"});
+  if (!settings.firstInternalPort) errors.push_back({0, "internalPorts is missing"});
+  if (settings.seeds.empty()) errors.push_back({0, "seedNodes is missing"});
   return settings;
 }
 
@@ -291,10 +292,10 @@
   if (!file) throw Error(ErrorCode::settingsMissing, path);
   std::stringstream text;
   text << file.rdbuf();
-  vector<SettingsError> faults;
-  Settings settings = readSettings(text.str(), faults);
-  if (!faults.empty())
-    throw Error(ErrorCode::settingsInvalid, "line " + std::to_string(faults[0].line) + ": " + faults[0].text);
+  vector<SettingsError> errors;
+  Settings settings = readSettings(text.str(), errors);
+  if (!errors.empty())
+    throw Error(ErrorCode::settingsInvalid, "line " + std::to_string(errors[0].line) + ": " + errors[0].text);
   settings.path = path;
   return settings;
 }
--- a/base/settings.hpp
+++ b/base/settings.hpp
@@ -9,7 +9,7 @@
 /// The settings file of a process (docs/settings.md).
 namespace tealshelf {
 
-/// IP and port.
+/// An IP address and a port.
 struct Address {
   std::string ip;
   int port = 0;
@@ -17,10 +17,10 @@
   std::string text() const { return ip + ":" + std::to_string(port); }
   MSGPACK_DEFINE(ip, port)
 };
-/// Reads IP:PORT; nothing if the text is anything else.
+/// Parses IP:PORT; nullopt if the text is anything else.
 std::optional<Address> parseAddress(std::string_view text);
 
-/// The bounds of the deployment, under the names of the settings file without their units.
+/// Time and load bounds of the deployment; the names are those of the settings file without the units.
 struct Bounds {
   using Ms = std::chrono::milliseconds;
   Ms seedDelay{3000}, reuseAfter{2000}, inTouch{3000}, confirmWithin{4000}, catchUp{5000}, drain{2000}, grace{8000},
@@ -28,30 +28,30 @@
       finishWithin{10000}, statusEvery{120000}, cancelWithin{3000}, settleWithin{1000}, revokeWithin{5000},
       quotaWindow{5000}, evacuateWithin{5000}, merge{3000}, lease{3000}, unfreezeSlack{300}, reportWindow{5000},
       usageDelay{10000};
-  double quotaOverrun = 0.1;      ///< part by which a quota may be exceeded
-  double quotaMargin = 20;        ///< requests by which a quota may be exceeded besides, in one window
-  double exposureFraction = 0.1;  ///< part of a service's requests that a bad version may get in a rollout
-  double exposureMargin = 50;     ///< requests that it may get besides
-  double warmUpOverrun = 1;       ///< times what it bears that a worker may be sent while it warms up
-  double warmUpMargin = 0;        ///< requests that it may be sent besides, in a second
-  double usageError = 0.05;       ///< part by which a tenant's reported use may be off
-  Ms revertWithin{5000};          ///< from a version's 50th bad answer until it gets nothing
-  /// A node that can't prove its configuration recent refuses requests that need a key.
+  double quotaOverrun = 0.1;      ///< fraction by which a quota may be exceeded
+  double quotaMargin = 20;        ///< requests by which a quota may be exceeded in addition, per window
+  double exposureFraction = 0.1;  ///< fraction of a service's requests that a bad version may get in a rollout
+  double exposureMargin = 50;     ///< requests that it may get in addition
+  double warmUpOverrun = 1;       ///< multiple of its capacity that a warming worker may be sent
+  double warmUpMargin = 0;        ///< requests per second that it may be sent in addition
+  double usageError = 0.05;       ///< relative error allowed in a tenant's reported usage
+  Ms revertWithin{5000};          ///< from a version's 50th bad answer until it gets no requests
+  /// If true, a node that can't prove that its configuration is recent refuses requests that need a key.
   bool failClosed = false;
 };
 
-/// The platform's interface for the duties that one node does for all.
+/// The platform API for duties, which one node performs on behalf of all.
 struct ProviderApi {
-  Address address;              ///< without a port: there is none
-  double dutiesPerSecond = 10;  ///< calls that the platform takes from all nodes together
+  Address address;              ///< port 0 if there is no platform API
+  double dutiesPerSecond = 10;  ///< call rate that the platform accepts from all nodes together
   std::vector<std::string> duties;
-  /// The platform refuses calls under a lower fence than it has seen.
+  /// True if the platform rejects calls with a lower fence than it has seen.
   bool checksFences = true;
   bool exists() const { return address.port != 0; }
   bool hasDuty(std::string_view duty) const { return std::find(duties.begin(), duties.end(), duty) != duties.end(); }
 };
 
-/// What a process is told at its start.
+/// The settings of a process, read at startup.
 struct Settings {
   using Ms = std::chrono::milliseconds;
   std::string path, nodeName, role, machineClass, ip, zone, region, dataFolder, discovery, entry;
@@ -60,8 +60,8 @@
   Address outside, readiness, control;
   int firstInternalPort = 0, lastInternalPort = 0;
   std::vector<Address> seeds;
-  bool firstBoot = false;     ///< the whole system starts for the first time
-  bool countsAsLoss = false;  ///< of this machine, towards what must be survived
+  bool firstBoot = false;     ///< true when the whole system starts for the first time
+  bool countsAsLoss = false;  ///< whether losing this machine counts towards the losses to survive
   double cpuFraction = 1;
   std::int64_t cpuCores = 1, memoryMb = 256, openFiles = 1024, diskMb = 0;
   Ms reportEvery{1000};  ///< the period of workers' heartbeats
@@ -70,26 +70,26 @@
   ProviderApi provider;
   std::vector<std::string> unknownFields;
 
-  /// Bounds that are shorter than the times they rest on, a text each. The system runs with them all the same, but may
-  /// break them.
+  /// Describes each bound that is shorter than the times it depends on. The system still runs, but may violate such a
+  /// bound.
   std::vector<std::string> infeasibleBounds() const;
   bool isServing(std::string_view kind) const;
   bool isRuleInForce(std::string_view rule) const;
-  /// Internal address of a role on a machine; ports are alike on all machines.
+  /// Internal address of a role on a machine; all machines use the same ports.
   Address controlAddress(std::string const& machineIp) const { return {machineIp, firstInternalPort}; }
   Address storeAddress(std::string const& machineIp) const { return {machineIp, firstInternalPort + 1}; }
   Address relayAddress(std::string const& machineIp) const { return {machineIp, firstInternalPort + 2}; }
 };
 
-/// One fault found in a settings file.
+/// One error found in a settings file.
 struct SettingsError {
-  int line;  ///< 0 for a field that is missing
+  int line;  ///< 0 for a missing field
   std::string text;
 };
-/// Reads the text of a settings file; all faults are listed in one pass.
-Settings readSettings(std::string const& text, std::vector<SettingsError>& faults);
-/// Reads a settings file: the path, else what TEALSHELF_BOOT names, else the usual path. Throws settingsMissing or
-/// settingsInvalid.
+/// Parses the text of a settings file and collects all errors.
+Settings readSettings(std::string const& text, std::vector<SettingsError>& errors);
+/// Reads a settings file: the given path, else the one in TEALSHELF_BOOT, else the default path. Throws settingsMissing
+/// or settingsInvalid.
 Settings loadSettings(std::string path = "");
 
 }  // namespace tealshelf
--- a/base/tealshelf.hpp
+++ b/base/tealshelf.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The one common header of tealshelf: libraries, aliases and types that every part uses.
+// The common header of tealshelf: libraries, aliases and types that all components use.
 #include <utility>
 
 #include <algorithm>
@@ -37,14 +37,14 @@
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Ms = std::chrono::milliseconds;
-/// A coroutine of the io thread.
+/// A coroutine that runs on the io thread.
 template <class T>
 using Task = asio::awaitable<T>;
 using std::string;
 using std::string_view;
 using std::vector;
 
-/// A value of a type of its own: two with different tags never mix. It is packed as the bare value.
+/// Wraps a value in a distinct type, so that values with different tags can't be mixed. Packed as the plain value.
 template <class T, class Tag>
 struct StrongType {
   T value{};
@@ -58,27 +58,28 @@
   void msgpack_unpack(msgpack::object const& object) { object.convert(value); }
 };
 
-/// Of a node's disk, made when its folder is empty; a node without a disk draws one at each start.
+/// Id of a node, stored on its disk and created when the data directory is empty; a node without a disk draws a new one
+/// at each start.
 using NodeId = StrongType<std::uint64_t, struct NodeIdTag>;
 /// Version of a segment's replicas; see segments/replica_table.hpp.
 using GenerationStamp = StrongType<std::uint64_t, struct GenerationStampTag>;
 using MembershipNumber = StrongType<std::uint64_t, struct MembershipNumberTag>;
 
-/// Milliseconds since the epoch by the time of day.
+/// Milliseconds since the Unix epoch.
 std::int64_t wallClockMs();
-/// Milliseconds from now until a time, never below 0.
+/// Milliseconds from now until a time point; never negative.
 std::int64_t remainingMs(TimePoint until);
-/// A random number for identities and call ids; never 0.
+/// A random id; never 0.
 std::uint64_t randomId();
-/// A 64-bit hash of a text, the same on every machine and in every release.
+/// A 64-bit hash that is the same on all machines and in all releases.
 std::uint64_t hash64(string_view text, std::uint64_t seed = 0);
-/// Reads a whole non-negative number of up to 18 digits; nothing if the text is anything else.
+/// Parses a non-negative integer of up to 18 digits; nullopt if the text is anything else.
 std::optional<std::uint64_t> parseNumber(string_view text);
-/// The parts between separators, without blanks around them; empty parts are left out.
+/// Splits a text at a separator; trims spaces and drops empty parts.
 vector<string> split(string_view text, char separator);
-/// The text with the letters A to Z in lower case.
+/// Converts the letters A to Z to lower case.
 string lowerCase(string text);
-/// 16 hex digits.
+/// Formats a number as 16 hex digits.
 string hex(std::uint64_t value);
 
 }  // namespace tealshelf
--- a/base/util.cpp
+++ b/base/util.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf {
 
 namespace {
-/// Every number of so many digits fits into 64 bits.
+/// Every number with this many digits fits into 64 bits.
 constexpr std::size_t maxDigits = 18;
 
 string_view trimmed(string_view text) {
@@ -36,7 +36,7 @@
   return id;
 }
 
-// FNV-1a, then the finalizer of MurmurHash3, so that near texts give far hashes.
+// FNV-1a, then the finalizer of MurmurHash3, so that similar texts get very different hashes.
 std::uint64_t hash64(string_view text, std::uint64_t seed) {
   std::uint64_t hash = 1469598103934665603ull ^ (seed * 0x9e3779b97f4a7c15ull);
   for (char const c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ull;
