--- a/wire/call_each.hpp
+++ b/wire/call_each.hpp
@@ -3,17 +3,17 @@
 
 namespace tealshelf {
 
-/// How one of several calls ended.
+/// The outcome of one of several calls.
 template <class Reply>
 struct CallOutcome {
-  std::optional<Reply> reply;  ///< none while it is under way, or if it failed
+  std::optional<Reply> reply;  ///< nullopt while the call is pending, or if it failed
   string error;                ///< why it failed
 };
 
-/// Makes the same call to several processes at once and gives the outcomes in the order of the addresses.
+/// Sends the same request to several processes in parallel and returns the outcomes in the order of the addresses.
 ///
-/// Ends when all are answered or failed, each after the limit at the latest, or as soon as `isEnough` says that the
-/// outcomes so far suffice; the other calls then run on, and their answers count for nothing. Client and context must
+/// Ends when all calls have succeeded or failed, at the latest after the limit, or as soon as `isEnough` returns true
+/// for the outcomes so far; the remaining calls then continue, and their replies are ignored. Client and context must
 /// outlive the calls.
 template <class Request>
 Task<vector<CallOutcome<typename Request::Reply>>> callEach(
--- a/wire/fault_injection.cpp
+++ b/wire/fault_injection.cpp
@@ -19,7 +19,7 @@
   return value ? value : "";
 }
 
-/// Differs between any two files that took each other's place; -1 if there is none.
+/// A value from modification time and inode that changes when the file is replaced; -1 if there is no file.
 std::int64_t versionOf(string const& path) {
   struct stat status {};
   if (::stat(path.c_str(), &status) != 0) return -1;
--- a/wire/fault_injection.hpp
+++ b/wire/fault_injection.hpp
@@ -3,26 +3,26 @@
 
 #ifdef TEALSHELF_FAULTS
 
-/// Faults of the network between the system's own processes, for the soak (docs/soak.md). Compiled in by the CMake
-/// option TEALSHELF_FAULTS only; a release has none of it.
+/// Injects network faults between tealshelf processes for the soak test (docs/soak.md). Compiled in only with the CMake
+/// option TEALSHELF_FAULTS; release builds don't contain it.
 namespace tealshelf {
 
-/// Cuts and lost answers, as a text file tells them. The file may be replaced at any time; it is looked at again after
-/// a few milliseconds. Lines are
-///   cut FROM TO       bytes that one IP sends to another don't arrive until the line is gone
-///   lose SELF SHARE   of the answers to calls of an IP, such a share is lost, with the connection
-/// The calling process sees to both ways of its connections, so that every pair is covered by the two callers.
+/// Network partitions and lost replies, configured by a text file. The file may be replaced at any time; it is polled
+/// every few milliseconds. Lines are
+///   cut FROM TO       bytes sent from one IP to another don't arrive until the line is removed
+///   lose SELF SHARE   this fraction of the replies to calls from an IP is lost, together with the connection
+/// The calling process applies the faults to both directions of its connections, so no callee has to.
 class FaultInjection {
  public:
   /// The faults of this process: TEALSHELF_FAULT_FILE names the file, TEALSHELF_FAULT_SELF the IP of the process.
   /// Without these variables there are none.
   static FaultInjection& instance();
 
-  /// True while nothing that this process sends arrives at an IP.
+  /// True while nothing that this process sends reaches an IP.
   bool blocksSending(string const& to);
-  /// True while nothing that an IP sends arrives here.
+  /// True while nothing that an IP sends reaches this process.
   bool blocksReceiving(string const& from);
-  /// Draws whether the next answer to a call of this process is lost.
+  /// Decides at random whether the next reply to a call of this process is lost.
   bool losesReply();
 
  private:
@@ -32,12 +32,12 @@
 
   string path_, self_;
   TimePoint lastCheckedAt_;
-  std::int64_t version_ = -1;  ///< of the file that was read last
+  std::int64_t version_ = -1;  ///< of the file when it was last read
   std::set<string> blockedDestinations_, blockedSources_;
   double replyLossRate_ = 0;
 };
 
-/// Waits while a cut is open, at most until a time; false if it is open still.
+/// Waits while `isBlocked` holds, until a time at most; false if it still holds.
 Task<bool> waitUntilReachable(std::function<bool()> isBlocked, TimePoint until);
 
 }  // namespace tealshelf
--- a/wire/frames.hpp
+++ b/wire/frames.hpp
@@ -1,15 +1,15 @@
 #pragma once
 #include "wire/rpc.hpp"
 
-/// Frames of the connections between the system's own processes, used by both ends.
+/// Frames on connections between tealshelf processes, used by client and server.
 namespace tealshelf::wire {
 
 inline constexpr std::size_t maxFrameBytes = 64u << 20;
-inline constexpr std::size_t maxBatchBytes = 1u << 18;  ///< written in one go, but for a larger frame
+inline constexpr std::size_t maxBatchBytes = 1u << 18;  ///< limit of one write, except for a single larger frame
 
 enum class FrameKind : std::uint8_t { call = 0, reply = 1, error = 2, message = 3, hello = 4, welcome = 5 };
 
-/// An error as it goes over the wire.
+/// Wire format of an error.
 struct WireError {
   int code = 0;
   string text;
@@ -19,12 +19,12 @@
 struct FrameHeader {
   static constexpr std::size_t bytes = 4 + 8 + 2 + 1;
   std::uint32_t bodySize = 0;
-  std::uint64_t callId = 0;  ///< 0 in messages without an answer
+  std::uint64_t callId = 0;  ///< 0 in one-way messages
   std::uint16_t method = 0;
   FrameKind kind = FrameKind::call;
 };
 
-/// A frame as it goes over the wire: the header's fields in the order of their declaration, then the body.
+/// Encodes a frame: the header fields in the order of their declaration, then the body.
 inline string encodeFrame(std::uint64_t callId, RpcMethod method, FrameKind kind, string_view body) {
   string frame(FrameHeader::bytes, '\0');
   std::uint32_t const size = static_cast<std::uint32_t>(body.size());
@@ -37,7 +37,7 @@
   return frame;
 }
 
-/// The frame that answers a call with an error.
+/// Encodes the frame that replies to a call with an error.
 inline string encodeError(std::uint64_t callId, RpcMethod method, Error const& error) {
   string const body = serialize(WireError{static_cast<int>(error.code()), error.what()});
   return encodeFrame(callId, method, FrameKind::error, body);
@@ -52,10 +52,10 @@
   return header;
 }
 
-/// Reads frames off a socket with as few reads as possible.
+/// Reads frames from a socket through a buffer, with as few reads as possible.
 class FrameReader {
  public:
-  /// False if the connection ended, or the frame is too large.
+  /// Reads the next frame; false if the connection ended or the frame is too large.
   Task<bool> next(tcp::socket& socket, FrameHeader& header, string& body) {
     bool available = co_await fill(socket, FrameHeader::bytes);
     if (!available) co_return false;
@@ -80,12 +80,12 @@
     if (buffer_.capacity() > maxIdleBuffer) buffer_.shrink_to_fit();
   }
 
-  Task<bool> fill(tcp::socket& socket, std::size_t wanted) {
-    while (buffer_.size() - position_ < wanted) {
+  Task<bool> fill(tcp::socket& socket, std::size_t required) {
+    while (buffer_.size() - position_ < required) {
       buffer_.erase(0, position_);
       position_ = 0;
       std::size_t const present = buffer_.size();
-      std::size_t const room = std::max(minRead, wanted - present);
+      std::size_t const room = std::max(minRead, required - present);
       buffer_.resize(present + room);
       error_code error;
       std::size_t const received = co_await socket.async_read_some(asio::buffer(&buffer_[present], room),
--- a/wire/http.cpp
+++ b/wire/http.cpp
@@ -5,7 +5,7 @@
 namespace {
 constexpr int backlog = 512;
 
-/// The answer to a request that can't be read; nothing if the connection just ends.
+/// The reply to a request that can't be parsed; nullopt if the connection is to be closed without one.
 std::optional<HttpReply> replyToUnreadable(error_code error, bool connectionIsOpen) {
   if (error == http::error::body_limit) return errorReply(Error(ErrorCode::bodyTooLong));
   if (error == http::error::end_of_stream || !connectionIsOpen || !isHttpError(error)) return std::nullopt;
@@ -63,7 +63,7 @@
   } catch (Error const& error) {
     co_return errorReply(error);
   } catch (std::exception const& error) {
-    logWarning("http", error.what());
+    logWarning("http", string("a request handler failed, replying with status 500: ") + error.what());
     co_return HttpReply{500, "{}", "application/json", {}};
   }
 }
--- a/wire/http.hpp
+++ b/wire/http.hpp
@@ -5,15 +5,15 @@
 
 using HttpRequest = http::request<http::string_body>;
 
-/// A call at a resource of ours.
+/// A request to a resource of this process.
 struct HttpCall {
   string verb, path, body;
   http::fields headers;
-  /// A header; "" if there is none of that name.
+  /// The value of a header; "" if it is missing.
   string header(string_view name) const;
 };
 
-/// An answer of our own.
+/// A response of this process.
 struct HttpReply {
   int status = 200;
   string body, contentType = "application/json";
@@ -21,16 +21,16 @@
 };
 using HttpHandler = std::function<Task<HttpReply>(HttpCall)>;
 
-/// True for errors of reading a message, false for those of the connection.
+/// True for errors in parsing a message, false for errors of the connection.
 bool isHttpError(error_code error);
-/// Answers an error as JSON with its code.
+/// Builds the JSON reply for an error, with its code.
 HttpReply errorReply(Error const& error);
 http::response<http::string_body> makeResponse(HttpReply reply, unsigned httpVersion, bool keepAlive);
 
-/// A small server for the calls of workers, operators and the platform.
+/// A small HTTP server for requests of workers, operators and the platform.
 class HttpServer {
  public:
-  /// Closes connections that are idle, or take to read or write a message, for longer than `idleLimit`.
+  /// Closes connections that are idle, or read or write one message, for longer than `idleLimit`.
   HttpServer(asio::io_context& io, Address const& address, HttpHandler handler, std::uint64_t maxBodyBytes,
              Ms idleLimit);
   void start();
--- a/wire/listener.cpp
+++ b/wire/listener.cpp
@@ -3,8 +3,8 @@
 namespace tealshelf {
 
 namespace {
-/// The pause after a connection that couldn't be accepted, for example for lack of descriptors.
-constexpr Ms pauseAfterFailure{10};
+/// Delay before the next accept after a failed one, for example for lack of file descriptors.
+constexpr Ms acceptRetryDelay{10};
 }  // namespace
 
 Listener::Listener(asio::io_context& io, Address const& address, int backlog) : io_(io), acceptor_(io) {
@@ -30,7 +30,7 @@
     tcp::socket socket = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, error));
     if (error == asio::error::operation_aborted) co_return;
     if (error)
-      co_await sleepFor(pauseAfterFailure);
+      co_await sleepFor(acceptRetryDelay);
     else
       handler(std::move(socket));
   }
--- a/wire/metrics_server.cpp
+++ b/wire/metrics_server.cpp
@@ -15,7 +15,7 @@
   try {
     server_.emplace(io, address, handler, maxCallBytes, idleLimit);
   } catch (boost::system::system_error const& error) {
-    logWarning("metrics", address.text() + " can't be served: " + error.what());
+    logWarning("metrics", "metrics are not served: " + address.text() + " can't be bound: " + error.what());
     return;
   }
   server_->start();
--- a/wire/metrics_server.hpp
+++ b/wire/metrics_server.hpp
@@ -4,21 +4,21 @@
 
 namespace tealshelf {
 
-/// Where a process serves its metrics.
+/// URL path of the metrics.
 constexpr string_view metricsPath = "/metrics";
 
-/// Further pages that a process serves beside its metrics, as JSON, by their path.
+/// JSON pages that a process serves in addition to its metrics, by URL path.
 using StatusPages = std::map<string, std::function<string()>>;
 
-/// Serves the metrics of a process, for whoever looks at an incident.
+/// Serves the metrics and status pages of a process over HTTP.
 ///
 /// Runs on the io thread. The metrics and the io_context must outlive it.
 class MetricsServer {
  public:
-  /// A port that can't be bound is logged as a warning: figures are worth no process.
+  /// If the port can't be bound, logs a warning and goes on: missing metrics are no reason to stop the process.
   MetricsServer(asio::io_context& io, Address const& address, Ms idleLimit, Metrics& metrics, StatusPages pages = {});
   bool isServing() const { return server_.has_value(); }
-  /// The answer to a call: the text at metricsPath, or a page; throws ErrorCode::unknownPath elsewhere.
+  /// The reply to a request for the metrics or a status page; throws ErrorCode::unknownPath for anything else.
   static HttpReply answer(HttpCall const& call, Metrics& metrics, StatusPages const& pages = {});
 
  private:
--- a/wire/rpc.hpp
+++ b/wire/rpc.hpp
@@ -2,10 +2,10 @@
 #include "wire/listener.hpp"
 #include "wire/serialization.hpp"
 
-/// Calls between the system's own processes. The protocol: docs/formats.md.
+/// Remote procedure calls between tealshelf processes. The protocol is described in docs/formats.md.
 namespace tealshelf {
 
-/// Calls by their number on the wire. Numbers of calls that are gone (11, 47, 60, 61) are not used again.
+/// Method numbers on the wire. The numbers of removed methods (11, 47, 60, 61) are not reused.
 enum class RpcMethod : std::uint16_t {
   consensusMessages = 1,
   heartbeat = 2,
@@ -44,53 +44,53 @@
   MSGPACK_DEFINE(ok)
 };
 
-/// Version of what is spoken between the system's own processes; both ends must have the same one.
+/// Protocol version; both ends of a connection must have the same one.
 constexpr std::uint32_t protocolVersion = 2;
 
-/// First frame of a connection, sent along with the first call: who is wanted. Nothing that follows it is handled
-/// unless it fits.
+/// First frame of a connection, sent together with the first call. The server handles no call unless version and
+/// address match its own.
 struct ConnectionHello {
   std::uint32_t version = protocolVersion;
-  Address expected;             ///< the address that the caller means to reach
+  Address expected;             ///< the address that the caller connects to
   std::uint64_t processId = 0;  ///< of the calling process
-  string zone;                  ///< of the calling process; "" if it isn't told
+  string zone;                  ///< of the calling process; "" if unknown
   MSGPACK_DEFINE(version, expected, processId, zone)
 };
-/// First frame of the way back, sent along with the first answer: who answers.
+/// First frame from the server, sent together with the first reply; identifies the server.
 struct ConnectionWelcome {
   std::uint32_t version = protocolVersion;
   Address self;
-  std::uint64_t processId = 0;  ///< drawn anew at each start of the process
-  string zone;                  ///< of the answering process; "" if it isn't told
+  std::uint64_t processId = 0;  ///< random, new at each start of the process
+  string zone;                  ///< of the server process; "" if unknown
   MSGPACK_DEFINE(version, self, processId, zone)
 };
 
-/// A connection to one other process, opened when first used and again after it broke.
+/// The connection to one other process, opened on first use and reopened after it was lost.
 class RpcLink;
 
 /// All connections of this process to others.
 ///
-/// Errors: an answer of the other side throws the error that the other side threw; notConnected says that nothing was
-/// sent; timedOut and connectionLost leave open whether the call was handled.
+/// Errors: an error thrown by the peer's handler is rethrown with its code; notConnected means that nothing was sent;
+/// after timedOut and connectionLost it is unknown whether the call was handled.
 class RpcClient {
  public:
-  /// Connections end after so long a silence of the other side.
+  /// A connection is closed if the peer is silent for `silenceTimeout`.
   RpcClient(asio::io_context& io, Ms silenceTimeout);
   ~RpcClient();
-  /// Sends a call and waits for its answer. Not a coroutine itself, so that no message has to live in the caller's
-  /// frame.
+  /// Sends a call and waits for its reply. Not a coroutine itself: the request is serialized before the first
+  /// suspension, so that it needn't outlive this function.
   template <class Request>
   Task<typename Request::Reply> call(Address const& to, Request const& request, Ms limit) {
     return callTyped<typename Request::Reply>(to, Request::method, serialize(request), limit);
   }
-  /// Sends a message that has no answer; it may be lost.
+  /// Sends a one-way message; it may be lost.
   template <class Request>
   void send(Address const& to, Request const& message) {
     sendRaw(to, Request::method, serialize(message));
   }
   Task<string> callRaw(Address to, RpcMethod method, string body, Ms limit);
   void sendRaw(Address const& to, RpcMethod method, string body);
-  /// The process that answered last at an address; 0 if none did.
+  /// The id of the process that last replied at an address; 0 if none did.
   std::uint64_t processIdAt(Address const& to) const;
 
  private:
@@ -106,11 +106,11 @@
   std::map<Address, std::shared_ptr<RpcLink>> links_;
 };
 
-/// Takes the calls of other processes. A connection begins with a ConnectionHello that names this server's address and
-/// the same version; any other is refused by number before anything on it is handled.
+/// Handles the calls of other processes. A connection must start with a ConnectionHello for this server's address and
+/// protocol version; any other gets an error code before any call on it is handled.
 class RpcServer {
  public:
-  /// Handles one call; what it returns is the answer.
+  /// Handles one call and returns the serialized reply.
   using Handler = std::function<Task<string>(string)>;
 
   RpcServer(asio::io_context& io, Address address, Ms silenceTimeout);
--- a/wire/rpc_client.cpp
+++ b/wire/rpc_client.cpp
@@ -7,7 +7,7 @@
 using namespace wire;
 
 namespace {
-/// Calls and messages that wait to be sent to one process.
+/// Limit of the queued calls and messages to one process.
 constexpr std::size_t maxUnsentBytes = 16u << 20;
 }  // namespace
 
@@ -31,9 +31,9 @@
     calls_.erase(id);
     if (call->reply) co_return std::move(*call->reply);
     if (call->error) throw *call->error;
-    // What wasn't sent so far is not sent any more: its caller no longer waits.
+    // An unsent call is dropped, as its caller no longer waits.
     bool const sent = call->connection != 0;
-    if (!sent) withdraw(id);
+    if (!sent) removeUnsent(id);
     bool const silent = receivedFrames_ == receivedBefore && limit >= silenceTimeout_ / 4;
     if (silent) disconnect(Error(ErrorCode::connectionLost, to_.text()));
     throw Error(sent ? ErrorCode::timedOut : ErrorCode::notConnected, to_.text());
@@ -52,14 +52,14 @@
     asio::steady_timer timer;
     std::optional<string> reply;
     std::optional<Error> error;
-    std::uint64_t connection = 0;  ///< number of the connection that it was sent on; 0 before
+    std::uint64_t connection = 0;  ///< number of the connection that it was sent on; 0 if unsent
   };
   struct UnsentFrame {
     string bytes;
-    std::uint64_t callId = 0;  ///< 0 for a message without an answer
+    std::uint64_t callId = 0;  ///< 0 for a one-way message
     RpcMethod method{};
   };
-  /// One connection, with a number of its own; calls sent on it are answered on it or not at all.
+  /// One connection, with a unique number; replies to calls sent on it are accepted on it only.
   struct Connection {
     Connection(asio::io_context& io, std::uint64_t connectionNumber) : socket(io), number(connectionNumber) {}
     tcp::socket socket;
@@ -87,7 +87,7 @@
     return frame;
   }
 
-  void withdraw(std::uint64_t callId) {
+  void removeUnsent(std::uint64_t callId) {
     std::erase_if(unsent_, [this, callId](UnsentFrame const& frame) {
       if (frame.callId != callId) return false;
       unsentBytes_ -= frame.bytes.size();
@@ -95,7 +95,7 @@
     });
   }
 
-  /// Ends the connection and every call: those that were sent with the error, the others as not sent.
+  /// Closes the connection and fails all calls: those already sent with `error`, the others with notConnected.
   void disconnect(Error const& error) {
     if (connection_) {
       error_code ignored;
@@ -121,7 +121,7 @@
         else
           disconnect(Error(ErrorCode::notConnected, to_.text()));
       } catch (std::exception const& error) {
-        logWarning("link", to_.text() + ": " + error.what());
+        logWarning("link", "sending to " + to_.text() + " failed, closing the connection: " + error.what());
         disconnect(Error(ErrorCode::connectionLost, to_.text()));
       }
     }
@@ -177,9 +177,9 @@
     co_return true;
   }
 
-  /// Reads answers until the connection ends; however it ends, calls sent on it don't wait on.
+  /// Reads replies until the connection ends, then fails the calls sent on it.
   Task<void> readLoop(std::shared_ptr<RpcLink>, ConnectionPtr connection) {
-    Error end(ErrorCode::connectionLost, to_.text());
+    Error reason(ErrorCode::connectionLost, to_.text());
     try {
       FrameReader reader;
       FrameHeader header;
@@ -187,25 +187,26 @@
       bool more = co_await reader.next(connection->socket, header, body);
       while (more && connection == connection_) {
 #ifdef TEALSHELF_FAULTS
-        // What a cut holds up is held up here, in order, until the cut ends or the connection does.
+        // Holds back received frames, in order, until the partition or the connection ends.
         std::function<bool()> const isCut = [this, connection] {
           return connection == connection_ && FaultInjection::instance().blocksReceiving(to_.ip);
         };
         co_await waitUntilReachable(isCut, TimePoint::max());
         if (connection != connection_) co_return;
         bool const isReply = connection->welcomed && header.kind == FrameKind::reply;
-        if (isReply && FaultInjection::instance().losesReply()) throw Error(ErrorCode::connectionLost, "answer lost");
+        if (isReply && FaultInjection::instance().losesReply())
+          throw Error(ErrorCode::connectionLost, "a reply was dropped by fault injection");
 #endif
         ++receivedFrames_;
         receive(*connection, header, std::move(body));
         more = co_await reader.next(connection->socket, header, body);
       }
     } catch (Error const& error) {
-      end = error;
+      reason = error;
     } catch (std::exception const& error) {
-      logWarning("link", to_.text() + ": " + error.what());
+      logWarning("link", "reading from " + to_.text() + " failed, closing the connection: " + error.what());
     }
-    if (connection == connection_) disconnect(end);
+    if (connection == connection_) disconnect(reason);
   }
 
   void receive(Connection& connection, FrameHeader const& header, string body) {
@@ -213,7 +214,8 @@
     rpcTraffic().count(TrafficDirection::received, static_cast<RpcMethod>(header.method), peerZone_,
                        FrameHeader::bytes + body.size());
     bool const isAnswer = header.kind == FrameKind::reply || header.kind == FrameKind::error;
-    if (!isAnswer) throw Error(ErrorCode::connectionLost, "a malformed frame");
+    if (!isAnswer)
+      throw Error(ErrorCode::connectionLost, to_.text() + " sent a frame that is neither a reply nor an error");
     auto const found = calls_.find(header.callId);
     if (found == calls_.end() || found->second->connection != connection.number) return;
     PendingCall& call = *found->second;
@@ -225,7 +227,7 @@
     calls_.erase(found);
   }
 
-  /// Whoever answers must be the process that has the address, and speak the same version.
+  /// Checks that the peer has the expected address and the same protocol version.
   void receiveWelcome(Connection& connection, FrameHeader const& header, string const& body) {
     ConnectionWelcome welcome;
     std::optional<Error> refusal;
@@ -233,7 +235,7 @@
     if (header.kind != FrameKind::welcome || welcome.version != protocolVersion)
       refusal = Error(ErrorCode::protocolMismatch, to_.text());
     else if (welcome.self != to_)
-      refusal = Error(ErrorCode::wrongProcess, to_.text() + " is answered by " + welcome.self.text());
+      refusal = Error(ErrorCode::wrongProcess, "expected " + to_.text() + ", but the peer is " + welcome.self.text());
     if (header.kind == FrameKind::error) {
       Error const error = decodeError(body);
       if (error.code() == ErrorCode::wrongProcess) refusal = error;
@@ -242,7 +244,8 @@
       if (!std::exchange(refusalLogged_, true)) logWarning("link", refusal->what());
       throw *refusal;
     }
-    if (peerProcessId_ && peerProcessId_ != welcome.processId) logDebug("link", to_.text() + " has started again");
+    if (peerProcessId_ && peerProcessId_ != welcome.processId)
+      logDebug("link", to_.text() + " has restarted with a new process id");
     peerProcessId_ = welcome.processId;
     peerZone_ = welcome.zone;
     refusalLogged_ = false;
@@ -261,10 +264,10 @@
   Ms silenceTimeout_;
   std::uint64_t processId_, peerProcessId_ = 0;
   ConnectionPtr connection_;
-  string helloFrame_;  ///< goes out along with the first call
-  string peerZone_;    ///< "" until the first answer
+  string helloFrame_;  ///< sent together with the first call
+  string peerZone_;    ///< "" until the first reply
   bool sending_ = false;
-  bool refusalLogged_ = false;  ///< that the other side can't be talked to
+  bool refusalLogged_ = false;  ///< true once the current refusal by the peer was logged
   std::uint64_t lastCall_ = 0, lastConnection_ = 0, receivedFrames_ = 0;
   std::size_t unsentBytes_ = 0;
   std::deque<UnsentFrame> unsent_;
--- a/wire/rpc_server.cpp
+++ b/wire/rpc_server.cpp
@@ -6,8 +6,8 @@
 using namespace wire;
 
 namespace {
-constexpr std::size_t maxUnsentReplyBytes = 8u << 20;  ///< answers that wait for a caller that doesn't read
-constexpr std::size_t maxActiveCalls = 1024;           ///< calls of one connection that are handled at once
+constexpr std::size_t maxUnsentReplyBytes = 8u << 20;  ///< queued replies to a caller that doesn't read
+constexpr std::size_t maxActiveCalls = 1024;           ///< concurrent calls of one connection
 constexpr int rpcBacklog = 256;
 }  // namespace
 
@@ -16,19 +16,19 @@
   void close() {
     error_code ignored;
     socket.close(ignored);
-    answers.clear();
-    answerBytes = 0;
+    replies.clear();
+    replyBytes = 0;
   }
   void push(string frame) {
-    answerBytes += frame.size();
-    answers.push_back(std::move(frame));
+    replyBytes += frame.size();
+    replies.push_back(std::move(frame));
   }
   tcp::socket socket;
   FrameReader reader;
-  string welcome;  ///< goes out along with the first answer
+  string welcome;  ///< sent together with the first reply
   string peerZone;
-  std::deque<string> answers;
-  std::size_t answerBytes = 0, activeCalls = 0;
+  std::deque<string> replies;
+  std::size_t replyBytes = 0, activeCalls = 0;
   bool writing = false;
 };
 
@@ -42,7 +42,7 @@
   });
 }
 
-/// Serves one connection; however the reading ends, the connection ends with it.
+/// Serves one connection and closes it when reading ends for any reason.
 Task<void> RpcServer::serve(ConnectionPtr connection) {
   try {
     bool const accepted = co_await performHandshake(connection);
@@ -53,7 +53,7 @@
   connection->close();
 }
 
-/// Reads the hello; false if the connection isn't served.
+/// Reads and checks the hello; false if the connection is refused.
 Task<bool> RpcServer::performHandshake(ConnectionPtr connection) {
   FrameHeader header;
   string body;
@@ -66,7 +66,8 @@
   if (hello.version != protocolVersion)
     refusal = Error(ErrorCode::protocolMismatch, address_.text());
   else if (hello.expected != address_)
-    refusal = Error(ErrorCode::wrongProcess, address_.text() + " is not " + hello.expected.text());
+    refusal = Error(ErrorCode::wrongProcess,
+                    "the caller expected " + hello.expected.text() + ", but this is " + address_.text());
   if (refusal) {
     co_await refuse(connection, header.callId, *refusal);
     co_return false;
@@ -92,12 +93,13 @@
       spawnTask(io_, "rpc call", handle(connection, header.callId, method, wantsReply, std::move(body)));
     } else if (wantsReply) {
       connection->push(encodeError(header.callId, method, Error(ErrorCode::queueFull, address_.text())));
-      spawnTask(io_, "rpc answers", flush(connection));
+      spawnTask(io_, "rpc replies", flush(connection));
     }
   }
 }
 
-/// Tells why a connection isn't served; waits a moment for its end, so that the answer isn't lost in a reset.
+/// Sends the reason of a refusal, then reads until the peer closes or a deadline expires, so that a TCP reset doesn't
+/// discard the error frame.
 Task<void> RpcServer::refuse(ConnectionPtr connection, std::uint64_t id, Error reason) {
   SocketDeadline deadline(io_, connection->socket);
   deadline.expireAt(Clock::now() + silenceTimeout_ / 4);
@@ -110,7 +112,7 @@
     co_await connection->socket.async_read_some(asio::buffer(rest), asio::redirect_error(asio::use_awaitable, error));
 }
 
-/// A handler's answer as a frame's body; what isn't an Error of ours becomes one, so that no caller waits on.
+/// Returns a handler's serialized reply; converts foreign exceptions to an Error, so that every caller gets an answer.
 Task<string> RpcServer::invoke(RpcMethod method, string body) {
   auto const handler = handlers_.find(method);
   if (handler == handlers_.end()) throw Error(ErrorCode::badMessage);
@@ -119,7 +121,8 @@
   } catch (Error const&) {
     throw;
   } catch (std::exception const& error) {
-    logWarning("rpc", "call " + std::to_string(static_cast<int>(method)) + ": " + error.what());
+    logWarning("rpc", "the handler of method " + string(nameOf(method)) + " (" +
+                          std::to_string(static_cast<int>(method)) + ") failed: " + error.what());
     throw Error(ErrorCode::callFailed, error.what());
   }
 }
@@ -135,8 +138,8 @@
   }
   --connection->activeCalls;
   if (!wantsReply || !connection->socket.is_open()) co_return;
-  // One answer always fits; a caller that asks on without reading is cut off.
-  bool const fits = connection->answers.empty() || connection->answerBytes + frame.size() <= maxUnsentReplyBytes;
+  // A single reply always fits; a caller that keeps calling without reading is disconnected.
+  bool const fits = connection->replies.empty() || connection->replyBytes + frame.size() <= maxUnsentReplyBytes;
   if (!fits) {
     connection->close();
     co_return;
@@ -149,16 +152,16 @@
 Task<void> RpcServer::flush(ConnectionPtr connection) {
   if (connection->writing) co_return;
   connection->writing = true;
-  while (!connection->answers.empty() && connection->socket.is_open()) {
+  while (!connection->replies.empty() && connection->socket.is_open()) {
     string batch = std::exchange(connection->welcome, "");
-    while (!connection->answers.empty() && batch.size() < maxBatchBytes) {
+    while (!connection->replies.empty() && batch.size() < maxBatchBytes) {
       if (batch.empty())
-        batch = std::move(connection->answers.front());
+        batch = std::move(connection->replies.front());
       else
-        batch += connection->answers.front();
-      connection->answers.pop_front();
+        batch += connection->replies.front();
+      connection->replies.pop_front();
     }
-    connection->answerBytes -= std::min(connection->answerBytes, batch.size());
+    connection->replyBytes -= std::min(connection->replyBytes, batch.size());
     error_code error;
     co_await asio::async_write(connection->socket, asio::buffer(batch),
                                asio::redirect_error(asio::use_awaitable, error));
--- a/wire/rpc_traffic.cpp
+++ b/wire/rpc_traffic.cpp
@@ -40,9 +40,9 @@
 };
 constexpr string_view unknownMethod = "unknown";
 constexpr char const* unknownZone = "unknown";
-/// Series at the most, as kinds and zones come from peers; what is beyond is counted as one.
+/// Limit of the number of series, as methods and zones come from peers; further ones share an overflow series.
 constexpr std::size_t maxSeries = 2048;
-/// A summary names so many series.
+/// Number of series in a summary.
 constexpr std::size_t maxInSummary = 8;
 
 char const* nameOf(TrafficDirection direction) {
@@ -69,8 +69,8 @@
 }
 
 void RpcTraffic::count(TrafficDirection direction, RpcMethod method, string const& peerZone, std::size_t bytes) {
-  bool const inUse = nameOf(method) != unknownMethod;
-  Series& series = seriesOf(Key{direction, inUse ? method : RpcMethod(), peerZone.empty() ? unknownZone : peerZone});
+  bool const isKnown = nameOf(method) != unknownMethod;
+  Series& series = seriesOf(Key{direction, isKnown ? method : RpcMethod(), peerZone.empty() ? unknownZone : peerZone});
   series.bytes.increment(bytes);
   series.messages.increment();
 }
@@ -101,8 +101,8 @@
 }
 
 RpcTraffic& rpcTraffic() {
-  static RpcTraffic ofProcess(metrics());
-  return ofProcess;
+  static RpcTraffic instance(metrics());
+  return instance;
 }
 
 }  // namespace tealshelf
--- a/wire/rpc_traffic.hpp
+++ b/wire/rpc_traffic.hpp
@@ -6,19 +6,20 @@
 
 enum class TrafficDirection { sent, received };
 
-/// Counts messages and bytes between own processes by direction, kind of message and zone of the peer.
+/// Counts messages and bytes between tealshelf processes by direction, method and zone of the peer.
 ///
-/// Bytes are those of frames, without TCP. Each series is a metric
+/// Bytes are those of frames, without TCP overhead. The counts are exported as metrics
 /// (`tealshelf_rpc_bytes_total`, `tealshelf_rpc_messages_total`). Used on the io thread.
 class RpcTraffic {
  public:
   explicit RpcTraffic(Metrics& metrics) : metrics_(metrics) {}
-  /// The zone that this process tells its peers; "" until it is set.
+  /// The zone that this process reports to its peers; "" until it is set.
   void setOwnZone(string zone) { ownZone_ = std::move(zone); }
   string const& ownZone() const { return ownZone_; }
-  /// Counts one message. A peer whose zone isn't known yet is counted under "unknown".
+  /// Counts one message. A peer with an unknown zone is counted under "unknown".
   void count(TrafficDirection direction, RpcMethod method, string const& peerZone, std::size_t bytes);
-  /// One line on what was counted since the last call, largest first, with its seconds; "" if nothing was.
+  /// One line with the counts since the last call, most bytes first; `seconds` is the time since then. "" if there were
+  /// no messages.
   string summary(double seconds);
 
  private:
@@ -42,7 +43,7 @@
 /// The traffic of this process.
 RpcTraffic& rpcTraffic();
 
-/// The name of a kind of message in metrics and logs; "unknown" for a number that isn't in use.
+/// The name of a method in metrics and logs; "unknown" if it has none.
 string_view nameOf(RpcMethod method);
 
 }  // namespace tealshelf
--- a/wire/serialization.hpp
+++ b/wire/serialization.hpp
@@ -1,8 +1,8 @@
 #pragma once
 #include "base/tealshelf.hpp"
 
-/// Packing of messages and records. Structs are arrays of their fields, so that a field may be added at the end and
-/// both older and newer releases read the rest (docs/formats.md).
+/// Serialization of messages and records with MessagePack. Structs are arrays of their fields, so that fields may be
+/// added at the end and both older and newer releases can read the others (docs/formats.md).
 namespace tealshelf {
 
 template <class T>
@@ -12,7 +12,7 @@
   return string(buffer.data(), buffer.size());
 }
 
-/// Throws ErrorCode::badMessage for bytes that are no T.
+/// Throws ErrorCode::badMessage if the bytes aren't a serialized T.
 template <class T>
 T deserialize(string_view bytes) {
   try {
