--- a/base/durable_log.hpp
+++ b/base/durable_log.hpp
@@ -119,7 +119,7 @@
   FileSystem& files_;
   RecoveredLog recovered_;
   std::unique_ptr<LogWriter> writer_;  ///< used by the log's thread only
-  bool directoryDurable_ = false;      ///< likewise
+  bool directoryDurable_ = false;      ///< used by the log's thread only
   Job pendingJob_;
   std::size_t stateSize_ = 0, logSize_ = 0;
   bool snapshotRequired_ = true;
--- a/tests/base/errors_test.cpp
+++ b/tests/base/errors_test.cpp
@@ -20,12 +20,14 @@
 TEST(errors, docsHoldTheWholeTable) {
   string const doc = textOf("docs/errors.md");
   for (std::size_t i = 0; i < errorTableSize; ++i) {
-    ErrorInfo const& l = errorTable[i];
+    ErrorInfo const& info = errorTable[i];
     string row = "| E";
-    row.append(std::to_string(static_cast<int>(l.code))).append(" | ").append(std::to_string(httpStatusOf(l.kind)));
-    row.append(" | ").append(l.text).append(" |");
+    row.append(std::to_string(static_cast<int>(info.code)))
+        .append(" | ")
+        .append(std::to_string(httpStatusOf(info.kind)));
+    row.append(" | ").append(info.text).append(" |");
     CHECK_TEXT(doc.find(row) != string::npos, row.c_str());
-    if (i) CHECK(errorTable[i - 1].code < l.code);
+    if (i) CHECK(errorTable[i - 1].code < info.code);
   }
 }
 TEST(errors, statusFollowsFromTheKind) {
--- a/tests/base/invariant_test.cpp
+++ b/tests/base/invariant_test.cpp
@@ -9,7 +9,7 @@
 
 TEST(invariant, oneThatHoldsCountsNothing) {
   std::uint64_t const before = totalViolations();
-  checkInvariant(Invariant::epochNeverFalls, true, "not looked at");
+  checkInvariant(Invariant::epochNeverFalls, true, "unused");
   LONGS_EQUAL(before, totalViolations());
 }
 
@@ -44,7 +44,7 @@
   LONGS_EQUAL(count, names.size());
 }
 
-/// The plugin itself: it fails a test with a violation that nobody provoked.
+/// The plugin fails a test with an unexpected violation.
 TEST(invariant, aTestWithAViolationFails) {
   StringBufferTestOutput output;
   TestResult result(output);
--- a/tests/base/memory_disk.hpp
+++ b/tests/base/memory_disk.hpp
@@ -8,16 +8,16 @@
 
 namespace tealshelf::sim {
 
-/// A disk in memory that can refuse calls, hang, and lose power.
+/// An in-memory disk that can fail calls, hang, and lose power.
 class MemoryDisk : public FileSystem {
  public:
   explicit MemoryDisk(std::uint64_t seed) : random_(seed) {}
 
-  std::size_t failFrom = ~std::size_t(0), failCount = 0;  ///< which calls fail, by number
+  std::size_t failFrom = ~std::size_t(0), failCount = 0;  ///< the range of calls that fail, by call number
   std::atomic<std::size_t> calls{0};
-  bool losesUnsyncedDirectories = false;  ///< a new folder is lost with the power unless the folder above it was synced
+  bool losesUnsyncedDirectories = false;  ///< a new directory is lost with the power unless its parent was synced
 
-  /// Loses power: unsynced writes and names are there, missing or torn, each by itself.
+  /// Loses power: each unsynced name or page of a write independently survives or is lost.
   void losePower() {
     for (auto const& [name, file] : files_)
       if (dice(2)) durableFiles_[name] = file;
@@ -25,26 +25,26 @@
       i = !files_.count(i->first) && dice(2) ? durableFiles_.erase(i) : std::next(i);
     for (auto& [name, file] : durableFiles_) {
       for (Write const& write : file->unsynced)
-        for (std::size_t at = 0; at < write.bytes.size(); at += page)
-          if (dice(3)) put(file->synced, write.at + at, string_view(write.bytes).substr(at, page));
+        for (std::size_t offset = 0; offset < write.bytes.size(); offset += page)
+          if (dice(3)) put(file->synced, write.offset + offset, string_view(write.bytes).substr(offset, page));
       file->cached = file->synced;
       file->unsynced.clear();
     }
-    for (string const& folder : unsyncedDirectories_)
+    for (string const& directory : unsyncedDirectories_)
       if (losesUnsyncedDirectories)
-        std::erase_if(durableFiles_, [&](auto const& item) { return item.first.starts_with(folder + "/"); });
+        std::erase_if(durableFiles_, [&](auto const& item) { return item.first.starts_with(directory + "/"); });
     unsyncedDirectories_.clear();
     files_ = durableFiles_;
   }
-  /// Calls hang until this is undone.
-  void hang(bool on) {
-    std::lock_guard<std::mutex> const guard(lock_);
-    hangs_ = on;
+  /// While on, calls block.
+  void hang(bool enabled) {
+    std::lock_guard<std::mutex> const guard(mutex_);
+    hangs_ = enabled;
     wake_.notify_all();
   }
-  void refuse(bool on) {
-    std::lock_guard<std::mutex> const guard(lock_);
-    refuses_ = on;
+  void refuse(bool enabled) {
+    std::lock_guard<std::mutex> const guard(mutex_);
+    refuses_ = enabled;
   }
   string& bytes(string const& path) { return files_[path]->cached; }
   void place(string const& path, string bytes) {
@@ -73,7 +73,7 @@
     return static_cast<int>(open_.size() - 1);
   }
   std::ptrdiff_t write(int file, string_view bytes) override {
-    // Half of the failures take a part before they refuse.
+    // Half of the failing writes are partial instead, and the calls after them fail.
     bool const failed = fails();
     if (failed && dice(2)) return -1;
     if (failed) failFrom = calls.load(), failCount = std::max<std::size_t>(failCount, 1);
@@ -83,17 +83,18 @@
     target.cached.append(bytes.substr(0, taken));
     return static_cast<std::ptrdiff_t>(taken);
   }
-  /// A failed sync drops what was not synced: the next sync succeeds without it.
+  /// A failed sync drops the unsynced writes; the next sync succeeds without them.
   int sync(int file) override {
     bool const failed = fails();
     std::shared_ptr<File> const target = open_[static_cast<std::size_t>(file)];
     if (!target) {
       if (!failed) durableFiles_ = files_;
       if (!failed)
-        std::erase_if(unsyncedDirectories_, [this](string const& folder) { return isIn(folder, lastOpenedPath_); });
+        std::erase_if(unsyncedDirectories_,
+                      [this](string const& directory) { return isIn(directory, lastOpenedPath_); });
     } else {
       if (!failed)
-        for (Write const& write : target->unsynced) put(target->synced, write.at, write.bytes);
+        for (Write const& write : target->unsynced) put(target->synced, write.offset, write.bytes);
       target->unsynced.clear();
     }
     return failed ? -1 : 0;
@@ -118,9 +119,9 @@
     out = files_[path]->cached;
     return 0;
   }
-  int list(string const& folder, vector<string>& names) override {
+  int list(string const& directory, vector<string>& names) override {
     names.clear();
-    for (auto const& [name, file] : files_) names.push_back(name.substr(folder.size() + 1));
+    for (auto const& [name, file] : files_) names.push_back(name.substr(directory.size() + 1));
     return 0;
   }
   std::size_t dice(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_); }
@@ -128,22 +129,22 @@
  private:
   static constexpr std::size_t page = 16;
   struct Write {
-    std::size_t at;
+    std::size_t offset;
     string bytes;
   };
   struct File {
     string synced, cached;
     vector<Write> unsynced;
   };
-  static void put(string& target, std::size_t at, string_view bytes) {
-    if (target.size() < at + bytes.size()) target.resize(at + bytes.size());
-    target.replace(at, bytes.size(), bytes);
+  static void put(string& target, std::size_t offset, string_view bytes) {
+    if (target.size() < offset + bytes.size()) target.resize(offset + bytes.size());
+    target.replace(offset, bytes.size(), bytes);
   }
-  static bool isIn(string const& path, string const& folder) {
-    return path.starts_with(folder + "/") && path.find('/', folder.size() + 1) == string::npos;
+  static bool isIn(string const& path, string const& directory) {
+    return path.starts_with(directory + "/") && path.find('/', directory.size() + 1) == string::npos;
   }
   bool fails() {
-    std::unique_lock<std::mutex> guard(lock_);
+    std::unique_lock<std::mutex> guard(mutex_);
     wake_.wait(guard, [this] { return !hangs_; });
     bool const failed = refuses_ || (calls >= failFrom && calls - failFrom < failCount);
     ++calls;
@@ -152,11 +153,11 @@
   }
 
   std::mt19937_64 random_;
-  std::map<string, std::shared_ptr<File>> files_, durableFiles_;  ///< names now, and after a loss of power
-  vector<std::shared_ptr<File>> open_;                            ///< nothing stands for a folder
-  string lastOpenedPath_;                                         ///< opened last
-  std::set<string> unsyncedDirectories_;                          ///< whose names aren't synced
-  std::mutex lock_;
+  std::map<string, std::shared_ptr<File>> files_, durableFiles_;  ///< by name: current, and after a loss of power
+  vector<std::shared_ptr<File>> open_;                            ///< null for a directory
+  string lastOpenedPath_;
+  std::set<string> unsyncedDirectories_;  ///< created, but the parent isn't synced
+  std::mutex mutex_;
   std::condition_variable wake_;
   bool hangs_ = false, refuses_ = false;
 };
--- a/tests/base/settings_test.cpp
+++ b/tests/base/settings_test.cpp
@@ -14,54 +14,56 @@
 TEST_GROUP(settings){};
 
 TEST(settings, readsTheExample) {
-  vector<SettingsError> f;
-  Settings const b = readSettings(settingsText + "some.new.field=7\n", f);
-  CHECK(f.empty());
-  LONGS_EQUAL(5100, b.bounds.catchUp.count());
-  LONGS_EQUAL(7000, b.controlAddress("x").port);
-  LONGS_EQUAL(2, b.seeds.size());
-  CHECK(b.firstBoot);
-  LONGS_EQUAL(1, b.unknownFields.size());
+  vector<SettingsError> errors;
+  Settings const settings = readSettings(settingsText + "some.new.field=7\n", errors);
+  CHECK(errors.empty());
+  LONGS_EQUAL(5100, settings.bounds.catchUp.count());
+  LONGS_EQUAL(7000, settings.controlAddress("x").port);
+  LONGS_EQUAL(2, settings.seeds.size());
+  CHECK(settings.firstBoot);
+  LONGS_EQUAL(1, settings.unknownFields.size());
 }
-/// Fields of matters that aren't open may be empty, known ones and unknown ones.
+/// Fields of features that the deployment doesn't use may be empty, both known and unknown ones.
 TEST(settings, emptyFieldsCountAsMissing) {
-  vector<SettingsError> f;
-  Settings const b = readSettings(
-      settingsText + "some.new.field=\nlimits.networkMbps=\nbounds.cancelWithinMs=\nsurvive.zones=\nentry=\n", f);
-  CHECK(f.empty());
-  LONGS_EQUAL(3000, b.bounds.cancelWithin.count());
-  LONGS_EQUAL(0, b.surviveZones);
+  vector<SettingsError> errors;
+  Settings const settings = readSettings(
+      settingsText + "some.new.field=\nlimits.networkMbps=\nbounds.cancelWithinMs=\nsurvive.zones=\nentry=\n", errors);
+  CHECK(errors.empty());
+  LONGS_EQUAL(3000, settings.bounds.cancelWithin.count());
+  LONGS_EQUAL(0, settings.surviveZones);
 }
 TEST(settings, readsTheDutiesAtThePlatform) {
-  vector<SettingsError> f;
-  Settings const none = readSettings(settingsText, f);
+  vector<SettingsError> errors;
+  Settings const none = readSettings(settingsText, errors);
   CHECK(!none.provider.exists());
-  Settings const b = readSettings(settingsText +
-                                      "providerApi.address=127.0.0.7:8306\nproviderApi.duties=usage,scaling\n"
-                                      "providerApi.dutiesPerS=50.0\nbounds.checksFences=false\nbounds.leaseMs=2000\n"
-                                      "bounds.reportWindowS=4\nbounds.usageDelayS=8.5\nbounds.usageError=0.02\n",
-                                  f);
-  CHECK(f.empty());
-  CHECK(b.provider.exists() && b.provider.hasDuty("usage") && b.provider.hasDuty("scaling"));
-  CHECK(!b.provider.hasDuty("other") && !b.provider.checksFences);
-  DOUBLES_EQUAL(50, b.provider.dutiesPerSecond, 0);
-  LONGS_EQUAL(2000, b.bounds.lease.count());
-  LONGS_EQUAL(4000, b.bounds.reportWindow.count());
-  LONGS_EQUAL(8500, b.bounds.usageDelay.count());
-  DOUBLES_EQUAL(0.02, b.bounds.usageError, 0);
-  readSettings(settingsText + "providerApi.address=nowhere\nproviderApi.dutiesPerS=0\n", f);
-  LONGS_EQUAL(2, f.size());
+  Settings const settings =
+      readSettings(settingsText +
+                       "providerApi.address=127.0.0.7:8306\nproviderApi.duties=usage,scaling\n"
+                       "providerApi.dutiesPerS=50.0\nbounds.checksFences=false\nbounds.leaseMs=2000\n"
+                       "bounds.reportWindowS=4\nbounds.usageDelayS=8.5\nbounds.usageError=0.02\n",
+                   errors);
+  CHECK(errors.empty());
+  CHECK(settings.provider.exists() && settings.provider.hasDuty("usage") && settings.provider.hasDuty("scaling"));
+  CHECK(!settings.provider.hasDuty("other") && !settings.provider.checksFences);
+  DOUBLES_EQUAL(50, settings.provider.dutiesPerSecond, 0);
+  LONGS_EQUAL(2000, settings.bounds.lease.count());
+  LONGS_EQUAL(4000, settings.bounds.reportWindow.count());
+  LONGS_EQUAL(8500, settings.bounds.usageDelay.count());
+  DOUBLES_EQUAL(0.02, settings.bounds.usageError, 0);
+  readSettings(settingsText + "providerApi.address=nowhere\nproviderApi.dutiesPerS=0\n", errors);
+  LONGS_EQUAL(2, errors.size());
 }
 TEST(settings, aFieldThatIsNeededMustNotBeEmpty) {
-  vector<SettingsError> f;
-  readSettings("nodeName=a\nipAddress=\ninternalPorts=\nseedNodes=\n", f);
-  LONGS_EQUAL(3, f.size());
+  vector<SettingsError> errors;
+  readSettings("nodeName=a\nipAddress=\ninternalPorts=\nseedNodes=\n", errors);
+  LONGS_EQUAL(3, errors.size());
 }
 TEST(settings, listsAllFaultsInOnePass) {
-  vector<SettingsError> f;
-  readSettings("nodeName=a\nipAddress=1\ninternalPorts=9,8\nlimits.memoryMb=-4\nfirstBoot=maybe\nbounds.graceS=x\n", f);
-  LONGS_EQUAL(6, f.size());  // four bad values, no ports and no seeds
-  LONGS_EQUAL(3, f[0].line);
+  vector<SettingsError> errors;
+  readSettings("nodeName=a\nipAddress=1\ninternalPorts=9,8\nlimits.memoryMb=-4\nfirstBoot=maybe\nbounds.graceS=x\n",
+               errors);
+  LONGS_EQUAL(6, errors.size());  // four bad values, no ports and no seeds
+  LONGS_EQUAL(3, errors[0].line);
 }
 
 TEST(settings, infeasibleBoundsAreReported) {
--- a/tests/formats.hpp
+++ b/tests/formats.hpp
@@ -16,7 +16,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-/// What the tests of formats have in common: bytes as hex digits, and values that stand in records and messages.
+/// Helpers of the format tests: hex conversion, and sample values for records and messages.
 namespace tealshelf::formats {
 
 inline string toHex(string_view bytes) {
@@ -36,14 +36,14 @@
   return bytes;
 }
 
-/// Writes a value and reads it back: both must agree with the bytes.
+/// Checks that a value serializes to the bytes, and that the bytes survive deserializing and serializing.
 template <class T>
 void expectBytes(string const& bytes, T const& value) {
   STRCMP_EQUAL(bytes.c_str(), toHex(serialize(value)).c_str());
   STRCMP_EQUAL(bytes.c_str(), toHex(serialize(deserialize<T>(fromHex(bytes)))).c_str());
 }
 
-/// What an older release wrote reads as a value with the fields that it didn't know at their defaults.
+/// Checks that bytes of an older release deserialize to a value whose newer fields have their defaults.
 template <class T>
 void expectReads(string const& olderBytes, T const& value) {
   STRCMP_EQUAL(toHex(serialize(value)).c_str(), toHex(serialize(deserialize<T>(fromHex(olderBytes)))).c_str());
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -1,5 +1,5 @@
-// Bytes that earlier releases wrote to disks and sent to each other; every release must read and write the same ones.
-// They were made by the code before its names were changed (commit ef6d31a).
+// Byte formats of stored records and of messages between processes, which every release must read and write unchanged.
+// The expected bytes were generated with commit ef6d31a.
 #include "tests/formats.hpp"
 
 using namespace tealshelf;
@@ -111,7 +111,7 @@
       "302e302e39cd1ded0000a0a56974656d7391a161c3c2"};
   expectRecords(expected, table.takeRecords());
   expectRecords(snapshot, table.snapshot());
-  // Before lots named their tenant.
+  // The format before lots had a tenant.
   vector<string> const untenanted{
       "9a01a168a36c6f7405009fa36c6f74a168a172a173280203cd03e8cdea60cd1f400105919409a27374a17a92a831302e"
       "302e302e39cd1ded0000a56974656d7390c3c2",
@@ -121,7 +121,7 @@
   vector<string> const untenantedSnapshot{
       "9a01a168a36c6f7408009fa36c6f74a168a172a173280203cd03e8cdea60cd1f400108919409a27374a17a92a831302e"
       "302e302e39cd1ded0000a56974656d7391a161c3c2"};
-  // Before lots were sealed.
+  // The format before lots could be sealed.
   vector<string> const older{
       "9901a168a36c6f7405009da36c6f74a168a172a173280203cd03e8cdea60cd1f400105919409a27374a17a92a831302e"
       "302e302e39cd1deda56974656d7390c3",
--- a/tests/invariant_plugin.hpp
+++ b/tests/invariant_plugin.hpp
@@ -8,7 +8,7 @@
 
 namespace tealshelf {
 
-/// Fails each test in which an invariant is violated, unless the test took the violations as ones that it provoked.
+/// Fails each test in which an invariant is violated, unless the test declared the violations as expected.
 class InvariantPlugin : public TestPlugin {
  public:
   InvariantPlugin() : TestPlugin("InvariantPlugin") {}
@@ -21,11 +21,12 @@
   void postTestAction(UtestShell& test, TestResult& result) override {
     std::uint64_t const violations = totalViolations() - before_;
     if (violations <= provoked()) return;
-    std::string const text = std::to_string(violations - provoked()) + " violated invariants; " + lastViolation();
+    std::string const text =
+        std::to_string(violations - provoked()) + " unexpected invariant violations, the last: " + lastViolation();
     result.addFailure(TestFailure(&test, SimpleString(text.c_str())));
   }
 
-  /// Violations that the running test brought about on purpose, by a broken variant.
+  /// Violations that the running test caused on purpose, for example by a faulty variant.
   static std::uint64_t& provoked() {
     static std::uint64_t count = 0;
     return count;
@@ -35,7 +36,7 @@
   std::uint64_t before_ = 0;
 };
 
-/// Takes the violations within its life as provoked by the test, which breaks something on purpose.
+/// Marks the violations during its lifetime as expected by the test.
 class ExpectedViolations {
  public:
   ExpectedViolations() : before_(totalViolations()) {}
--- a/tests/older_formats_test.cpp
+++ b/tests/older_formats_test.cpp
@@ -1,4 +1,4 @@
-// Bytes that older releases wrote are read, with the fields that they did not know at their defaults.
+// Bytes of older releases must be readable; fields that those releases didn't have get their defaults.
 #include "tests/formats.hpp"
 
 using namespace tealshelf;
@@ -6,7 +6,7 @@
 
 TEST_GROUP(olderFormats){};
 
-/// Bytes that releases wrote before lots named their tenant.
+/// Bytes of releases before lots had a tenant.
 TEST(olderFormats, lotsWithoutTenants) {
   LotRecord sealed = lot();
   sealed.sealedStamp = GenerationStamp(4);
@@ -22,7 +22,7 @@
       tenanted);
 }
 
-/// Bytes that releases wrote before lots were sealed and stores told their load.
+/// Bytes of releases before lots could be sealed and stores reported their load.
 TEST(olderFormats, lotsOfOlderReleases) {
   expectReads("9da36c6f74a168a172a173280203cd03e8cdea60cd1f400105919409a27374a17a92a831302e302e302e39cd1ded", lot());
   expectReads(
@@ -63,7 +63,7 @@
       reply);
 }
 
-/// Bytes that releases wrote before workers told the data plane that they warm up.
+/// Bytes of releases before workers reported their warm-up to the data plane.
 TEST(olderFormats, workersThatDoNotWarmUp) {
   expectReads("9ea3692d31a173a17aa17692a831302e302e302e31500407c3c203c201c302", worker());
   expectReads("91a174", TakeCredit{"t", CreditKind::tenant});
@@ -75,7 +75,7 @@
       HeartbeatMessage{heartbeat(), membership(), {worker()}, true, 4, 5, true, {dataNode()}, {{"i", 1, 2}}, {}});
 }
 
-/// Bytes that releases wrote before nodes confirmed rollouts.
+/// Bytes of releases before nodes confirmed rollouts.
 TEST(olderFormats, nodesWithoutRollouts) {
   expectReads("95a16ea17aa46564676592a831302e302e302e31cd1deecd012c", dataNode());
   expectReads(
@@ -92,7 +92,7 @@
       HeartbeatMessage{heartbeat(), membership(), {worker()}, true, 4, 5, true, {dataNode()}, {{"i", 1, 2}}, {}});
 }
 
-/// Bytes that releases wrote before heartbeats told of tallies.
+/// Bytes of releases before heartbeats contained tallies.
 TEST(olderFormats, heartbeatsWithoutTallies) {
   expectReads(
       "9a969701a26e31a831302e302e302e31a27a31c3c30002c39205cd02589192029206cd02bc9195a16b9203010605c393"
@@ -102,7 +102,7 @@
       HeartbeatMessage{heartbeat(), membership(), {worker()}, true, 4, 5, true, {dataNode()}, {{"i", 1, 2}}, {}, 0});
 }
 
-/// Bytes that releases wrote before control nodes told their time of day and whether they reach the platform.
+/// Bytes of releases before control nodes reported their wall clock and whether they reach the platform.
 TEST(olderFormats, heartbeatsWithoutDuties) {
   expectReads(
       "9b969701a26e31a831302e302e302e31a27a31c3c30002c39205cd02589192029206cd02bc9195a16b9203010605c393"
--- a/tests/seeds.hpp
+++ b/tests/seeds.hpp
@@ -3,16 +3,16 @@
 
 namespace tealshelf {
 
-/// How many seeds a search over failures tries: what TEALSHELF_SEEDS says, or else so many.
+/// Number of seeds that a randomized failure test runs: TEALSHELF_SEEDS if set, otherwise `defaultCount`.
 inline std::uint64_t seedCount(std::uint64_t defaultCount = 60) {
-  char const* const wanted = std::getenv("TEALSHELF_SEEDS");
-  return wanted ? std::strtoull(wanted, nullptr, 10) : defaultCount;
+  char const* const value = std::getenv("TEALSHELF_SEEDS");
+  return value ? std::strtoull(value, nullptr, 10) : defaultCount;
 }
 
-/// The one seed to be played, with what happens told, if TEALSHELF_ONLY_SEED names one.
+/// The only seed to run, with its events printed, if TEALSHELF_ONLY_SEED is set.
 inline std::optional<std::uint64_t> onlySeed() {
-  char const* const wanted = std::getenv("TEALSHELF_ONLY_SEED");
-  return wanted ? std::optional<std::uint64_t>(std::strtoull(wanted, nullptr, 10)) : std::nullopt;
+  char const* const value = std::getenv("TEALSHELF_ONLY_SEED");
+  return value ? std::optional<std::uint64_t>(std::strtoull(value, nullptr, 10)) : std::nullopt;
 }
 
 }  // namespace tealshelf
--- a/tests/wire/call_each_test.cpp
+++ b/tests/wire/call_each_test.cpp
@@ -12,12 +12,12 @@
 
 using Outcomes = vector<CallOutcome<Acknowledgement>>;
 
-/// Two processes that answer, one that never does, and an address where nobody listens.
+/// A server that replies, one that fails, one that doesn't reply in time, and an address without a listener.
 struct PeerServers {
   PeerServers() {
-    for (RpcServer* const server : {&prompt, &second, &silent}) server->start();
-    prompt.on<FenceStore>([](FenceStore) -> Task<Acknowledgement> { co_return Acknowledgement{}; });
-    second.on<FenceStore>([](FenceStore) -> Task<Acknowledgement> {
+    for (RpcServer* const server : {&replying, &failing, &silent}) server->start();
+    replying.on<FenceStore>([](FenceStore) -> Task<Acknowledgement> { co_return Acknowledgement{}; });
+    failing.on<FenceStore>([](FenceStore) -> Task<Acknowledgement> {
       throw Error(ErrorCode::busy);
       co_return Acknowledgement{};
     });
@@ -38,7 +38,8 @@
 
   string ip = loopbackOfThisProcess();
   asio::io_context io{1};
-  RpcServer prompt{io, addressOf(0), Ms(1000)}, second{io, addressOf(1), Ms(1000)}, silent{io, addressOf(2), Ms(1000)};
+  RpcServer replying{io, addressOf(0), Ms(1000)}, failing{io, addressOf(1), Ms(1000)},
+      silent{io, addressOf(2), Ms(1000)};
   RpcClient rpc{io, Ms(1000)};
 };
 }  // namespace
--- a/tests/wire/loopback.hpp
+++ b/tests/wire/loopback.hpp
@@ -5,10 +5,10 @@
 
 namespace tealshelf {
 
-/// A loopback address of this process's own, so that groups of tests may run at once on the same ports.
+/// A loopback address derived from the process id, so that test processes can run in parallel on the same ports.
 inline string loopbackOfThisProcess() {
-  long const process = ::getpid();
-  return "127.1." + std::to_string(process / 250 % 250) + "." + std::to_string(1 + process % 250);
+  long const processId = ::getpid();
+  return "127.1." + std::to_string(processId / 250 % 250) + "." + std::to_string(1 + processId % 250);
 }
 
 }  // namespace tealshelf
--- a/tests/wire/metrics_server_test.cpp
+++ b/tests/wire/metrics_server_test.cpp
@@ -35,18 +35,18 @@
 TEST(metricsServer, servesOverHttp) {
   figures.gauge("teal_level", "The level.").set(7);
   // A port that was free a moment ago.
-  tcp::endpoint const at = tcp::acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)).local_endpoint();
-  MetricsServer const server(io, Address{at.address().to_string(), at.port()}, Ms(1000), figures);
+  tcp::endpoint const endpoint = tcp::acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)).local_endpoint();
+  MetricsServer const server(io, Address{endpoint.address().to_string(), endpoint.port()}, Ms(1000), figures);
   CHECK(server.isServing());
   http::response<http::string_body> response;
-  spawnTask(io, "client", [](tcp::endpoint to, http::response<http::string_body>& into) -> Task<void> {
+  spawnTask(io, "client", [](tcp::endpoint to, http::response<http::string_body>& result) -> Task<void> {
     tcp::socket socket(co_await asio::this_coro::executor);
     co_await socket.async_connect(to, asio::use_awaitable);
     http::request<http::empty_body> request(http::verb::get, string(metricsPath), 11);
     co_await http::async_write(socket, request, asio::use_awaitable);
     beast::flat_buffer buffer;
-    co_await http::async_read(socket, buffer, into, asio::use_awaitable);
-  }(at, response));
+    co_await http::async_read(socket, buffer, result, asio::use_awaitable);
+  }(endpoint, response));
   while (response.body().empty() && io.run_one_for(Ms(5000))) continue;
   LONGS_EQUAL(200, response.result_int());
   CHECK(response.body().find("teal_level 7") != string::npos);
--- a/tests/wire/rpc_client_test.cpp
+++ b/tests/wire/rpc_client_test.cpp
@@ -11,7 +11,7 @@
   return encodeFrame(id, RpcMethod(), FrameKind::reply, body);
 }
 
-/// A peer that reads the hello and one call on each connection, answers with fixed bytes, and ends.
+/// A peer that reads the hello and one call on each connection and answers with fixed bytes; may then close it.
 class FakePeer {
  public:
   FakePeer(asio::io_context& io, Address const& at, vector<string> answers, bool ends)
@@ -21,22 +21,22 @@
     spawnTask(io, "fake peer", serve());
   }
   std::size_t connections = 0;
-  bool together = true;  ///< each call came along with its hello, before anything was answered
+  bool helloWithCall = true;  ///< each call arrived with its hello, before any answer
 
  private:
   Task<void> serve() {
     for (string const& answer : answers_) {
-      tcp::socket s = co_await acceptor_.async_accept(asio::use_awaitable);
+      tcp::socket socket = co_await acceptor_.async_accept(asio::use_awaitable);
       ++connections;
-      FrameReader r;
-      FrameHeader h;
+      FrameReader reader;
+      FrameHeader header;
       string body;
-      bool ok = co_await r.next(s, h, body);
-      together = together && ok && h.kind == FrameKind::hello;
-      ok = co_await r.next(s, h, body);
-      together = together && ok && h.kind == FrameKind::call;
-      co_await asio::async_write(s, asio::buffer(answer), asio::use_awaitable);
-      if (!ends_) open_.push_back(std::move(s));
+      bool ok = co_await reader.next(socket, header, body);
+      helloWithCall = helloWithCall && ok && header.kind == FrameKind::hello;
+      ok = co_await reader.next(socket, header, body);
+      helloWithCall = helloWithCall && ok && header.kind == FrameKind::call;
+      co_await asio::async_write(socket, asio::buffer(answer), asio::use_awaitable);
+      if (!ends_) open_.push_back(std::move(socket));
     }
   }
   tcp::acceptor acceptor_;
@@ -45,8 +45,8 @@
   vector<tcp::socket> open_;
 };
 
-/// Passes bytes on to another address: stands for an address that another process took over.
-Task<void> passOn(tcp::socket& from, tcp::socket& to) {
+/// Forwards bytes between two sockets; simulates an address that another process took over.
+Task<void> forwardBytes(tcp::socket& from, tcp::socket& to) {
   char b[4096];
   for (error_code e; !e;) {
     std::size_t const n = co_await from.async_read_some(asio::buffer(b), asio::redirect_error(asio::use_awaitable, e));
@@ -59,33 +59,33 @@
   asio::io_context io{1};
   Address const at{"127.0.0.79", 17691}, elsewhere{"127.0.0.79", 17692};
   Ms const silence{2000};
-  struct End {
-    int code = -1;  ///< 0: an answer came; -1: nothing ended yet
+  struct CallResult {
+    int code = -1;  ///< 0: a reply arrived; -1: the call is pending
     string body;
   };
-  std::shared_ptr<End> start(RpcClient & rpc, Address const& to, string body, Ms limit = Ms(1500)) {
-    std::shared_ptr<End> const end = std::make_shared<End>();
-    asio::co_spawn(io, rpc.callRaw(to, method, std::move(body), limit), [end](std::exception_ptr p, string r) {
+  std::shared_ptr<CallResult> start(RpcClient & rpc, Address const& to, string body, Ms limit = Ms(1500)) {
+    std::shared_ptr<CallResult> const end = std::make_shared<CallResult>();
+    asio::co_spawn(io, rpc.callRaw(to, method, std::move(body), limit), [end](std::exception_ptr failure, string text) {
       end->code = 0;
-      end->body = std::move(r);
+      end->body = std::move(text);
       try {
-        if (p) std::rethrow_exception(p);
-      } catch (Error const& x) {
-        end->code = static_cast<int>(x.code());
+        if (failure) std::rethrow_exception(failure);
+      } catch (Error const& error) {
+        end->code = static_cast<int>(error.code());
       }
     });
     return end;
   }
-  void finish(std::function<bool()> const& f) {
+  void runUntil(std::function<bool()> const& condition) {
     TimePoint const until = Clock::now() + Ms(5000);
-    while (!f() && Clock::now() < until) {
+    while (!condition() && Clock::now() < until) {
       io.restart();
       io.run_one_for(Ms(20));
     }
   }
-  End call(RpcClient & rpc, Address const& to, string body, Ms limit = Ms(1500)) {
-    std::shared_ptr<End> const end = start(rpc, to, std::move(body), limit);
-    finish([&] { return end->code >= 0; });
+  CallResult call(RpcClient & rpc, Address const& to, string body, Ms limit = Ms(1500)) {
+    std::shared_ptr<CallResult> const end = start(rpc, to, std::move(body), limit);
+    runUntil([&] { return end->code >= 0; });
     return *end;
   }
   string welcome(Address const& self, std::uint32_t version = protocolVersion) {
@@ -94,7 +94,7 @@
   void echo(RpcServer & server, std::size_t & handled) {
     server.onRaw(method, [&handled](string b) -> Task<string> {
       ++handled;
-      if (b == "throw") throw std::runtime_error("not an error of ours");
+      if (b == "throw") throw std::runtime_error("an exception that is no Error");
       if (b == "wait") co_await sleepFor(Ms(3000));
       co_return b;
     });
@@ -108,11 +108,11 @@
     string answer;
     ErrorCode code;
   };
-  string const old =
+  string const oldVersionError =
       encodeFrame(0, RpcMethod(), FrameKind::error, serialize(WireError{static_cast<int>(ErrorCode::badMessage), "x"}));
   for (Row const& row : vector<Row>{
            {"another version", welcome(at, protocolVersion + 1) + reply(1, "a"), ErrorCode::protocolMismatch},
-           {"an old version", old, ErrorCode::protocolMismatch},
+           {"an old version", oldVersionError, ErrorCode::protocolMismatch},
            {"no welcome", reply(1, "a"), ErrorCode::protocolMismatch},
            {"another process", welcome(elsewhere) + reply(1, "a"), ErrorCode::wrongProcess},
            {"a malformed welcome", encodeFrame(0, RpcMethod(), FrameKind::welcome, "\xc1"), ErrorCode::badMessage},
@@ -132,18 +132,18 @@
     TimePoint const began = Clock::now();
     LONGS_EQUAL_TEXT(static_cast<int>(row.code), call(rpc, at, "q").code, row.name);
     CHECK_TEXT(Clock::now() - began < Ms(1000), row.name);
-    CHECK_TEXT(peer.together, "the handshake costs a round trip");
+    CHECK_TEXT(peer.helloWithCall, "the handshake takes an extra round trip");
     io.restart();
     io.poll();
   }
 }
 TEST(rpcClient, aReplyToACallOfAnEarlierConnectionIsIgnored) {
-  // The first call ends unclear with its connection; its reply comes on the next one.
+  // The connection is lost during the first call; the reply to that call arrives on the next connection.
   FakePeer peer(io, at, {welcome(at), welcome(at) + reply(1, "old") + reply(2, "new")}, true);
   RpcClient rpc(io, silence);
   LONGS_EQUAL(static_cast<int>(ErrorCode::connectionLost), call(rpc, at, "first").code);
   CHECK(Error(ErrorCode::connectionLost).kind() == ErrorKind::undetermined);
-  End const second = call(rpc, at, "second");
+  CallResult const second = call(rpc, at, "second");
   LONGS_EQUAL(0, second.code);
   STRCMP_EQUAL("new", second.body.c_str());
   LONGS_EQUAL(2, peer.connections);
@@ -156,8 +156,8 @@
   tcp::socket a(io), b(io);
   front.async_accept(a, [&](error_code) {
     b.connect({asio::ip::make_address(elsewhere.ip), static_cast<std::uint16_t>(elsewhere.port)});
-    spawnTask(io, "there", passOn(a, b));
-    spawnTask(io, "back", passOn(b, a));
+    spawnTask(io, "forward to server", forwardBytes(a, b));
+    spawnTask(io, "forward to client", forwardBytes(b, a));
   });
   RpcClient rpc(io, silence);
   LONGS_EQUAL(static_cast<int>(ErrorCode::wrongProcess), call(rpc, at, "q").code);
@@ -174,15 +174,15 @@
       encodeFrame(0, RpcMethod(), FrameKind::hello, serialize(ConnectionHello{protocolVersion + 1, at, 1, "z"}));
   for (string const& first :
        {q, other + q, encodeFrame(0, RpcMethod(), FrameKind::hello, "\xc1") + q, string(15, '\xff') + q}) {
-    tcp::socket s(io);
-    s.connect({asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
-    asio::write(s, asio::buffer(first));
-    s.non_blocking(true);
+    tcp::socket socket(io);
+    socket.connect({asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
+    asio::write(socket, asio::buffer(first));
+    socket.non_blocking(true);
     bool closed = false;
     char b[4096];
-    finish([&] {
+    runUntil([&] {
       error_code e;
-      s.read_some(asio::buffer(b), e);
+      socket.read_some(asio::buffer(b), e);
       closed = e && e != asio::error::would_block;
       return closed;
     });
@@ -215,52 +215,53 @@
   CHECK(Error(ErrorCode::callFailed).kind() == ErrorKind::undetermined);
 }
 TEST(rpcClient, whatCallersSendIsBounded) {
-  // A peer that takes connections and never reads.
-  tcp::acceptor deaf(io, {asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
+  // A peer that accepts connections and never reads.
+  tcp::acceptor unreadAcceptor(io, {asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
   RpcClient rpc(io, silence);
-  vector<std::shared_ptr<End>> ends;
-  for (int n = 0; n < 12; ++n) ends.push_back(start(rpc, at, string(4u << 20, 'x'), Ms(300)));
-  finish([&] {
-    return std::all_of(ends.begin(), ends.end(), [](std::shared_ptr<End> const& e) { return e->code >= 0; });
+  vector<std::shared_ptr<CallResult>> results;
+  for (int n = 0; n < 12; ++n) results.push_back(start(rpc, at, string(4u << 20, 'x'), Ms(300)));
+  runUntil([&] {
+    return std::all_of(results.begin(), results.end(),
+                       [](std::shared_ptr<CallResult> const& e) { return e->code >= 0; });
   });
   std::size_t full = 0;
-  for (std::shared_ptr<End> const& e : ends) full += e->code == static_cast<int>(ErrorCode::queueFull);
-  CHECK_TEXT(full >= 7, "calls to a peer that doesn't read cost memory without bound");
+  for (std::shared_ptr<CallResult> const& e : results) full += e->code == static_cast<int>(ErrorCode::queueFull);
+  CHECK_TEXT(full >= 7, "unsent calls to a peer that doesn't read are not bounded");
 }
 TEST(rpcClient, callsUnderWayAreBounded) {
   std::size_t handled = 0;
   RpcServer server(io, at, silence);
   echo(server, handled);
   RpcClient rpc(io, silence);
-  vector<std::shared_ptr<End>> ends;
-  for (int n = 0; n < 1100; ++n) ends.push_back(start(rpc, at, "wait", Ms(1500)));
+  vector<std::shared_ptr<CallResult>> results;
+  for (int n = 0; n < 1100; ++n) results.push_back(start(rpc, at, "wait", Ms(1500)));
   std::size_t full = 0;
-  finish([&] {
+  runUntil([&] {
     full = 0;
-    for (std::shared_ptr<End> const& e : ends) full += e->code == static_cast<int>(ErrorCode::queueFull);
+    for (std::shared_ptr<CallResult> const& e : results) full += e->code == static_cast<int>(ErrorCode::queueFull);
     return full >= 76;
   });
   LONGS_EQUAL(76, full);
   LONGS_EQUAL(1024, handled);
 }
 TEST(rpcClient, whatWasNotSentInTimeIsNotSentLater) {
-  // The first call fills the sockets, so that the second one waits behind it until its caller gives up.
-  tcp::acceptor slow(io, {asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
+  // The first call fills the socket buffers, so that the second one is queued until its caller times out.
+  tcp::acceptor acceptor(io, {asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
   RpcClient rpc(io, silence);
-  std::shared_ptr<End> const first = start(rpc, at, string(15u << 20, 'x'), Ms(4000));
+  std::shared_ptr<CallResult> const first = start(rpc, at, string(15u << 20, 'x'), Ms(4000));
   io.run_for(Ms(100));
-  std::shared_ptr<End> const second = start(rpc, at, "second", Ms(100));
-  finish([&] { return second->code >= 0; });
+  std::shared_ptr<CallResult> const second = start(rpc, at, "second", Ms(100));
+  runUntil([&] { return second->code >= 0; });
   LONGS_EQUAL(static_cast<int>(ErrorCode::notConnected), second->code);
-  CHECK_TEXT(Error(ErrorCode::notConnected).kind() == ErrorKind::rejected, "what was never sent has not run");
-  tcp::socket s(io);
-  slow.accept(s);
-  s.non_blocking(true);
+  CHECK_TEXT(Error(ErrorCode::notConnected).kind() == ErrorKind::rejected, "an unsent call must count as not run");
+  tcp::socket socket(io);
+  acceptor.accept(socket);
+  socket.non_blocking(true);
   string all;
   vector<char> b(1u << 20);
   for (int idle = 0; idle < 10;) {
     error_code e;
-    std::size_t const n = s.read_some(asio::buffer(b), e);
+    std::size_t const n = socket.read_some(asio::buffer(b), e);
     all.append(b.data(), n);
     idle = n ? 0 : idle + 1;
     io.restart();
--- a/tests/wire/rpc_server_test.cpp
+++ b/tests/wire/rpc_server_test.cpp
@@ -5,55 +5,56 @@
 using namespace tealshelf;
 
 namespace {
-/// A server of updates on loopback, and a raw peer that may say anything.
-struct Loop {
-  Loop() : server(io, at, Ms(2000)), publisher(io, settings, 0), rpc(io, Ms(2000)) {
+/// An update server on loopback, with raw connections that can send arbitrary bytes.
+struct UpdateServerFixture {
+  UpdateServerFixture() : server(io, at, Ms(2000)), publisher(io, settings, 0), rpc(io, Ms(2000)) {
     publisher.proof = [] { return UpdatePublisher::Proof{true, 0, Clock::now()}; };
     publisher.setConfiguration(1, string(300000, 'c'));
-    server.on<UpdateRequest>([this](UpdateRequest q) { return publisher.serve(std::move(q)); });
+    server.on<UpdateRequest>([this](UpdateRequest request) { return publisher.serve(std::move(request)); });
     server.start();
   }
-  void run(Ms d) {
+  void run(Ms duration) {
     io.restart();
-    io.run_for(d);
+    io.run_for(duration);
   }
-  /// Runs until something holds, within a limit.
-  bool until(std::function<bool()> const& f) {
+  /// Runs until a condition holds or 5 s have passed; returns whether it holds.
+  bool until(std::function<bool()> const& condition) {
     TimePoint const end = Clock::now() + Ms(5000);
-    while (!f() && Clock::now() < end) run(Ms(5));
-    return f();
+    while (!condition() && Clock::now() < end) run(Ms(5));
+    return condition();
   }
-  /// A connection on which the hello was sent, as every connection begins.
-  tcp::socket raw() {
-    tcp::socket s(io);
-    s.connect({asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
+  /// Opens a connection and sends the hello.
+  tcp::socket connectRaw() {
+    tcp::socket socket(io);
+    socket.connect({asio::ip::make_address(at.ip), static_cast<std::uint16_t>(at.port)});
     string const hello = serialize(ConnectionHello{protocolVersion, at, 1, "z"});
-    asio::write(s, asio::buffer(head(static_cast<std::uint32_t>(hello.size()), 0, 0, 4) + hello));
-    return s;
+    asio::write(socket, asio::buffer(frameHeader(static_cast<std::uint32_t>(hello.size()), 0, 0, 4) + hello));
+    return socket;
   }
-  /// True if an ordinary ask is still answered.
+  /// True if an ordinary request still gets a reply.
   bool serves() {
     bool ok = false;
-    asio::co_spawn(io, rpc.call(at, UpdateRequest(), Ms(2000)),
-                   [&](std::exception_ptr p, UpdateReply r) { ok = !p && r.configurationVersion == 1; });
+    asio::co_spawn(io, rpc.call(at, UpdateRequest(), Ms(2000)), [&](std::exception_ptr failure, UpdateReply reply) {
+      ok = !failure && reply.configurationVersion == 1;
+    });
     return until([&] { return ok; });
   }
-  static string head(std::uint32_t size, std::uint64_t id, std::uint16_t method, char sort) {
-    string f(15, '\0');
-    std::memcpy(&f[0], &size, 4);
-    std::memcpy(&f[4], &id, 8);
-    std::memcpy(&f[12], &method, 2);
-    f[14] = sort;
-    return f;
+  static string frameHeader(std::uint32_t size, std::uint64_t id, std::uint16_t method, char kind) {
+    string frame(15, '\0');
+    std::memcpy(&frame[0], &size, 4);
+    std::memcpy(&frame[4], &id, 8);
+    std::memcpy(&frame[12], &method, 2);
+    frame[14] = kind;
+    return frame;
   }
-  /// True once the server has closed a raw connection.
-  bool closed(tcp::socket& s) {
-    s.non_blocking(true);
+  /// Waits until the server closes a raw connection; false on a timeout.
+  bool closed(tcp::socket& socket) {
+    socket.non_blocking(true);
     char b[65536];
     return until([&] {
-      error_code e;
-      s.read_some(asio::buffer(b), e);
-      return e && e != asio::error::would_block;
+      error_code error;
+      socket.read_some(asio::buffer(b), error);
+      return error && error != asio::error::would_block;
     });
   }
   asio::io_context io{1};
@@ -68,75 +69,77 @@
 TEST_GROUP(rpcServer){};
 
 TEST(rpcServer, anOversizedMessageEndsItsConnectionOnly) {
-  Loop l;
-  tcp::socket s = l.raw();
-  asio::write(s, asio::buffer(Loop::head(0xfffffff0u, 1, 6, 0)));
-  CHECK(l.closed(s));
-  CHECK(l.serves());
+  UpdateServerFixture fixture;
+  tcp::socket socket = fixture.connectRaw();
+  asio::write(socket, asio::buffer(UpdateServerFixture::frameHeader(0xfffffff0u, 1, 6, 0)));
+  CHECK(fixture.closed(socket));
+  CHECK(fixture.serves());
 }
 TEST(rpcServer, aTruncatedMessageLeavesOtherConnectionsServed) {
-  Loop l;
-  string const f = Loop::head(100, 1, 6, 0) + "only a part";
-  for (std::size_t n = 1; n < f.size(); n += 5) {
-    tcp::socket s = l.raw();
-    asio::write(s, asio::buffer(f.substr(0, n)));
-    l.run(Ms(2));
+  UpdateServerFixture fixture;
+  string const frame = UpdateServerFixture::frameHeader(100, 1, 6, 0) + "only a part";
+  for (std::size_t length = 1; length < frame.size(); length += 5) {
+    tcp::socket socket = fixture.connectRaw();
+    asio::write(socket, asio::buffer(frame.substr(0, length)));
+    fixture.run(Ms(2));
   }
-  CHECK(l.serves());
+  CHECK(fixture.serves());
 }
 TEST(rpcServer, aMalformedBodyIsAnsweredWithAnError) {
-  Loop l;
+  UpdateServerFixture fixture;
   for (string const& body : {string("\xc1"), string("\x93\x01"), string(40, '\xff'), string(),
                              serialize(string("a text")), serialize(vector<int>{7, 8})}) {
-    tcp::socket s = l.raw();
-    asio::write(s, asio::buffer(Loop::head(static_cast<std::uint32_t>(body.size()), 9, 6, 0) + body));
-    string got;
+    tcp::socket socket = fixture.connectRaw();
+    asio::write(socket, asio::buffer(
+                            UpdateServerFixture::frameHeader(static_cast<std::uint32_t>(body.size()), 9, 6, 0) + body));
+    string received;
     std::size_t welcome = 0;
-    s.non_blocking(true);
-    CHECK(l.until([&] {
-      error_code e;
-      char h[256];
-      got.append(h, s.read_some(asio::buffer(h), e));
-      if (got.size() >= 15) std::memcpy(&welcome, got.data(), 4);
-      return got.size() >= 15 && got.size() >= 15 + welcome + 15;
+    socket.non_blocking(true);
+    CHECK(fixture.until([&] {
+      error_code error;
+      char buffer[256];
+      received.append(buffer, socket.read_some(asio::buffer(buffer), error));
+      if (received.size() >= 15) std::memcpy(&welcome, received.data(), 4);
+      return received.size() >= 15 && received.size() >= 15 + welcome + 15;
     }));
-    LONGS_EQUAL_TEXT(5, got[14], "the welcome comes first");
-    LONGS_EQUAL_TEXT(2, got[15 + welcome + 14], "an error is the answer");
+    LONGS_EQUAL_TEXT(5, received[14], "the welcome comes first");
+    LONGS_EQUAL_TEXT(2, received[15 + welcome + 14], "an error is the answer");
   }
-  tcp::socket s = l.raw();
-  asio::write(s, asio::buffer(Loop::head(0, 1, 9999, 0)));
-  l.run(Ms(20));
-  CHECK(l.serves());
+  tcp::socket socket = fixture.connectRaw();
+  asio::write(socket, asio::buffer(UpdateServerFixture::frameHeader(0, 1, 9999, 0)));
+  fixture.run(Ms(20));
+  CHECK(fixture.serves());
 }
 TEST(rpcServer, anUnsupportedUpdateFormatIsRefused) {
-  Loop l;
-  UpdateRequest q;
-  q.format = updateFormat + 1;
+  UpdateServerFixture fixture;
+  UpdateRequest request;
+  request.format = updateFormat + 1;
   int code = 0;
-  asio::co_spawn(l.io, l.rpc.call(l.at, q, Ms(2000)), [&](std::exception_ptr p, UpdateReply) {
-    try {
-      if (p) std::rethrow_exception(p);
-    } catch (Error const& x) {
-      code = static_cast<int>(x.code());
-    }
-  });
-  CHECK(l.until([&] { return code != 0; }));
+  asio::co_spawn(fixture.io, fixture.rpc.call(fixture.at, request, Ms(2000)),
+                 [&](std::exception_ptr failure, UpdateReply) {
+                   try {
+                     if (failure) std::rethrow_exception(failure);
+                   } catch (Error const& thrown) {
+                     code = static_cast<int>(thrown.code());
+                   }
+                 });
+  CHECK(fixture.until([&] { return code != 0; }));
   LONGS_EQUAL(static_cast<int>(ErrorCode::badMessage), code);
 }
 TEST(rpcServer, aPeerThatCallsWithoutReadingIsDisconnected) {
-  Loop l;
-  tcp::socket s = l.raw();
-  s.non_blocking(true);
+  UpdateServerFixture fixture;
+  tcp::socket socket = fixture.connectRaw();
+  socket.non_blocking(true);
   string const body = serialize(UpdateRequest()),
-               f = Loop::head(static_cast<std::uint32_t>(body.size()), 5, 6, 0) + body;
-  // Each answer has 300 kB; the server may keep 8 MB of them, and the sockets some more.
-  bool cut = false;
-  for (int k = 0; k < 4000 && !cut; ++k) {
-    error_code e;
-    s.write_some(asio::buffer(f), e);
-    cut = e && e != asio::error::would_block;
-    l.run(Ms(1));
+               frame = UpdateServerFixture::frameHeader(static_cast<std::uint32_t>(body.size()), 5, 6, 0) + body;
+  // Each reply has 300 kB; the server queues up to 8 MB, and the socket buffers hold some more.
+  bool disconnected = false;
+  for (int count = 0; count < 4000 && !disconnected; ++count) {
+    error_code error;
+    socket.write_some(asio::buffer(frame), error);
+    disconnected = error && error != asio::error::would_block;
+    fixture.run(Ms(1));
   }
-  CHECK_TEXT(cut, "a peer that doesn't read costs memory without bound");
-  CHECK(l.serves());
+  CHECK_TEXT(disconnected, "replies to a peer that doesn't read are not bounded");
+  CHECK(fixture.serves());
 }
