--- a/tests/base/durable_log_test.cpp
+++ b/tests/base/durable_log_test.cpp
@@ -156,7 +156,7 @@
              "no trial caught reliance on unsynced records at the start");
 }
 
-TEST(durableLog, recordsComeBackInOrderAndSnapshotsBoundTheSpace) {
+TEST(durableLog, recordsAreRecoveredInOrderAndSnapshotsBoundTheSpace) {
   MemoryDisk disk(1);
   std::size_t maxBytes = 0;
   for (int restart = 0; restart < 2; ++restart) {
@@ -241,7 +241,7 @@
   for (char const* const record : {"three", "four", "five"}) writer.append(encodeRecord(record));
 }
 
-TEST(durableLog, damageIsTornOnlyInWhatMayBeUnsynced) {
+TEST(durableLog, damageIsTornOnlyWhereRecordsMayBeUnsynced) {
   struct Case {
     LogFileKind file;
     std::size_t fromEnd;
--- a/tests/base/invariant_test.cpp
+++ b/tests/base/invariant_test.cpp
@@ -7,25 +7,25 @@
 
 TEST_GROUP(invariant){};
 
-TEST(invariant, oneThatHoldsCountsNothing) {
+TEST(invariant, anInvariantThatHoldsIsNotCounted) {
   std::uint64_t const before = totalViolations();
   checkInvariant(Invariant::epochNeverFalls, true, "unused");
   LONGS_EQUAL(before, totalViolations());
 }
 
 TEST(invariant, aViolationIsCountedUnderItsName) {
-  ExpectedViolations const provoked;
+  ExpectedViolations const expectedViolations;
   std::uint64_t const others = violationsOf(Invariant::recordStampRises);
   std::uint64_t const before = violationsOf(Invariant::epochNeverFalls);
   checkInvariant(Invariant::epochNeverFalls, false, "from 5 to 4");
   LONGS_EQUAL(before + 1, violationsOf(Invariant::epochNeverFalls));
   LONGS_EQUAL(others, violationsOf(Invariant::recordStampRises));
-  LONGS_EQUAL(1, provoked.count());
+  LONGS_EQUAL(1, expectedViolations.count());
   STRCMP_EQUAL("epochNeverFalls: from 5 to 4", lastViolation().c_str());
 }
 
 TEST(invariant, aDetailIsMadeOnlyForAViolation) {
-  ExpectedViolations const provoked;
+  ExpectedViolations const expectedViolations;
   int made = 0;
   auto const detail = [&made] {
     ++made;
@@ -50,10 +50,10 @@
   TestResult result(output);
   InvariantPlugin plugin;
   UtestShell test("group", "name", "file", 1);
-  std::uint64_t const outerProvoked = InvariantPlugin::provoked();
+  std::uint64_t const outerExpected = InvariantPlugin::expectedViolations();
   plugin.preTestAction(test, result);
   reportViolation(Invariant::epochNeverFalls, "on purpose");
   plugin.postTestAction(test, result);
-  InvariantPlugin::provoked() = outerProvoked + 1;
+  InvariantPlugin::expectedViolations() = outerExpected + 1;
   LONGS_EQUAL(1, result.getFailureCount());
 }
--- a/tests/base/settings_test.cpp
+++ b/tests/base/settings_test.cpp
@@ -32,7 +32,7 @@
   LONGS_EQUAL(3000, settings.bounds.cancelWithin.count());
   LONGS_EQUAL(0, settings.surviveZones);
 }
-TEST(settings, readsTheDutiesAtThePlatform) {
+TEST(settings, readsTheProviderApi) {
   vector<SettingsError> errors;
   Settings const none = readSettings(settingsText, errors);
   CHECK(!none.provider.exists());
--- a/tests/consensus/membership_search_test.cpp
+++ b/tests/consensus/membership_search_test.cpp
@@ -89,7 +89,7 @@
 }
 
 TEST(membershipSearch, injectedFaultsAreFound) {
-  ExpectedViolations const provoked;
+  ExpectedViolations const expectedViolations;
   Case const cases[] = {
       {"a promoted learner votes at once",
        4,
--- a/tests/invariant_plugin.hpp
+++ b/tests/invariant_plugin.hpp
@@ -15,19 +15,19 @@
 
   void preTestAction(UtestShell&, TestResult&) override {
     before_ = totalViolations();
-    provoked() = 0;
+    expectedViolations() = 0;
   }
 
   void postTestAction(UtestShell& test, TestResult& result) override {
     std::uint64_t const violations = totalViolations() - before_;
-    if (violations <= provoked()) return;
-    std::string const text =
-        std::to_string(violations - provoked()) + " unexpected invariant violations, the last: " + lastViolation();
+    if (violations <= expectedViolations()) return;
+    std::string const text = std::to_string(violations - expectedViolations()) +
+                             " unexpected invariant violations, the last: " + lastViolation();
     result.addFailure(TestFailure(&test, SimpleString(text.c_str())));
   }
 
   /// Violations that the running test caused on purpose, for example by a faulty variant.
-  static std::uint64_t& provoked() {
+  static std::uint64_t& expectedViolations() {
     static std::uint64_t count = 0;
     return count;
   }
@@ -42,7 +42,7 @@
   ExpectedViolations() : before_(totalViolations()) {}
   ExpectedViolations(ExpectedViolations const&) = delete;
   ExpectedViolations& operator=(ExpectedViolations const&) = delete;
-  ~ExpectedViolations() { InvariantPlugin::provoked() += count(); }
+  ~ExpectedViolations() { InvariantPlugin::expectedViolations() += count(); }
   std::uint64_t count() const { return totalViolations() - before_; }
 
  private:
--- a/tests/wire/call_each_test.cpp
+++ b/tests/wire/call_each_test.cpp
@@ -55,7 +55,7 @@
   CHECK(!outcomes[2].reply && !outcomes[2].error.empty());
   CHECK(!outcomes[3].reply && !outcomes[3].error.empty());
 }
-TEST(callEach, aSilentProcessIsNotWaitedForOnceTheOthersSuffice) {
+TEST(callEach, aSilentProcessIsNotAwaitedOnceTheOthersSuffice) {
   PeerServers peers;
   auto const hasOne = [](Outcomes const& outcomes) { return outcomes[0].reply.has_value(); };
   Outcomes const outcomes = peers.callAll(Ms(60000), hasOne);
--- a/tests/wire/metrics_server_test.cpp
+++ b/tests/wire/metrics_server_test.cpp
@@ -26,7 +26,7 @@
   CHECK_THROWS(Error, MetricsServer::answer(callOf("GET", "/"), figures));
   CHECK_THROWS(Error, MetricsServer::answer(callOf("POST", "/metrics"), figures));
 }
-TEST(metricsServer, goesOnWithoutAPortThatIsTaken) {
+TEST(metricsServer, startsWithoutServingIfThePortIsTaken) {
   tcp::acceptor const taken(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   Address const address{"127.0.0.1", taken.local_endpoint().port()};
   MetricsServer const server(io, address, Ms(1000), figures);
--- a/tests/wire/rpc_client_test.cpp
+++ b/tests/wire/rpc_client_test.cpp
@@ -148,7 +148,7 @@
   STRCMP_EQUAL("new", second.body.c_str());
   LONGS_EQUAL(2, peer.connections);
 }
-TEST(rpcClient, aTakenOverAddressIsRefusedBeforeAnythingIsHandled) {
+TEST(rpcClient, aServerWithAnotherAddressRefusesBeforeHandlingCalls) {
   std::size_t handled = 0;
   RpcServer server(io, elsewhere, silence);
   echo(server, handled);
@@ -190,7 +190,7 @@
   }
   LONGS_EQUAL(0, handled);
 }
-TEST(rpcClient, aRestartedProcessHasAnotherIncarnation) {
+TEST(rpcClient, aRestartedProcessHasAnotherProcessId) {
   RpcClient rpc(io, silence);
   {
     FakePeer peer(io, at, {welcome(at)}, true);
--- a/tests/wire/rpc_traffic_test.cpp
+++ b/tests/wire/rpc_traffic_test.cpp
@@ -22,7 +22,7 @@
         string::npos);
 }
 
-TEST(rpcTraffic, aSummaryTellsWhatCameSinceTheLastLargestFirst) {
+TEST(rpcTraffic, aSummaryListsTheCountsSinceTheLastLargestFirst) {
   traffic.count(TrafficDirection::sent, RpcMethod::heartbeat, "a", 10);
   traffic.count(TrafficDirection::sent, RpcMethod::updates, "b", 99);
   STRCMP_EQUAL("in 5 s: sent updates b 1 of 99 B; sent heartbeat a 1 of 10 B;", traffic.summary(5).c_str());
