--- a/base/durable_log.hpp
+++ b/base/durable_log.hpp
@@ -133,8 +133,7 @@
   asio::steady_timer retryTimer_, stallTimer_;
   LogMetrics metrics_;
   SamplerRegistration sampler_;
-  std::shared_ptr<bool> const alive_ =
-      std::make_shared<bool>(true);  ///< false once destroyed; checked by posted functions
+  std::shared_ptr<bool> const alive_ = std::make_shared<bool>(true);  ///< checked by posted functions
 
   std::mutex mutex_;  ///< guards stopping_ and nextJob_
   bool stopping_ = false;
