--- a/tools/soak/cluster.hpp
+++ b/tools/soak/cluster.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include "tools/soak/child_process.hpp"
-#include "tools/soak/cut_table.hpp"
 #include "tools/soak/http_call.hpp"
+#include "tools/soak/network_fault_table.hpp"
 #include "tools/soak/topology.hpp"
 #include "tools/soak/verdict.hpp"
 
--- a/tools/soak/fault_driver.hpp
+++ b/tools/soak/fault_driver.hpp
@@ -1,6 +1,6 @@
 #pragma once
 #include "tools/soak/fault_plan.hpp"
-#include "tools/soak/lot_book.hpp"
+#include "tools/soak/lot_checker.hpp"
 #include "tools/soak/operator_client.hpp"
 #include "tools/soak/stand_in_worker.hpp"
 
--- a/tools/soak/kept_client.cpp
+++ b/tools/soak/keep_alive_client.cpp
@@ -1,4 +1,4 @@
-#include "tools/soak/kept_client.hpp"
+#include "tools/soak/keep_alive_client.hpp"
 
 namespace tealshelf::soak {
 
--- a/tools/soak/lot_book.cpp
+++ b/tools/soak/lot_checker.cpp
@@ -1,4 +1,4 @@
-#include "tools/soak/lot_book.hpp"
+#include "tools/soak/lot_checker.hpp"
 
 #include "tools/soak/configurations.hpp"
 
--- a/tools/soak/lot_client.hpp
+++ b/tools/soak/lot_client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include "tools/soak/cluster.hpp"
 #include "tools/soak/random.hpp"
-#include "tools/soak/sabotage.hpp"
+#include "tools/soak/self_test.hpp"
 
 namespace tealshelf::soak {
 
--- a/tools/soak/cut_table.cpp
+++ b/tools/soak/network_fault_table.cpp
@@ -1,4 +1,4 @@
-#include "tools/soak/cut_table.hpp"
+#include "tools/soak/network_fault_table.hpp"
 
 #include <filesystem>
 #include <fstream>
--- a/tools/soak/sabotage.cpp
+++ b/tools/soak/self_test.cpp
@@ -1,4 +1,4 @@
-#include "tools/soak/sabotage.hpp"
+#include "tools/soak/self_test.hpp"
 
 #include <csignal>
 #include <fstream>
--- a/tools/soak/sabotage.hpp
+++ b/tools/soak/self_test.hpp
@@ -1,6 +1,6 @@
 #pragma once
 #include "tools/soak/cluster.hpp"
-#include "tools/soak/lot_book.hpp"
+#include "tools/soak/lot_checker.hpp"
 #include "tools/soak/stand_in_worker.hpp"
 #include "tools/soak/tally_client.hpp"
 
--- a/tools/soak/soak_run.hpp
+++ b/tools/soak/soak_run.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include "tools/soak/fault_driver.hpp"
 #include "tools/soak/final_checks.hpp"
-#include "tools/soak/kept_client.hpp"
+#include "tools/soak/keep_alive_client.hpp"
 #include "tools/soak/tally_client.hpp"
 
 namespace tealshelf::soak {
