--- a/tools/soak/fault_driver.cpp
+++ b/tools/soak/fault_driver.cpp
@@ -123,7 +123,7 @@
 void FaultDriver::beginAtNode(Fault const& fault, ClusterNode& node) {
   if (fault.kind == FaultKind::pauseNode) return cluster_.pause(node);
   if (fault.kind == FaultKind::hangUp) return cluster_.hangUp(node);
-  if (fault.kind == FaultKind::injectAnswerLoss)
+  if (fault.kind == FaultKind::loseAnswers)
     return cluster_.networkFaults().injectAnswerLoss(node.plan.ip, lostAnswersInFault);
   cluster_.kill(node);
   if (fault.kind == FaultKind::loseDisk) cluster_.wipeDisk(node);
@@ -132,7 +132,7 @@
 void FaultDriver::endAtNode(Fault const& fault, ClusterNode& node) {
   if (fault.kind == FaultKind::pauseNode) return cluster_.resume(node);
   if (fault.kind == FaultKind::hangUp) return;
-  if (fault.kind == FaultKind::injectAnswerLoss) return cluster_.networkFaults().injectAnswerLoss(node.plan.ip, 0);
+  if (fault.kind == FaultKind::loseAnswers) return cluster_.networkFaults().injectAnswerLoss(node.plan.ip, 0);
   cluster_.restart(node);
 }
 
--- a/tools/soak/fault_plan.cpp
+++ b/tools/soak/fault_plan.cpp
@@ -116,7 +116,7 @@
     case FaultKind::edgeCut:
       fault.nodes = {random_.pick(nodesOf(NodeRole::edge))};
       break;
-    case FaultKind::injectAnswerLoss:
+    case FaultKind::loseAnswers:
       fault.nodes = {random_.index(topology_.nodes.size()), random_.index(topology_.nodes.size())};
       break;
     case FaultKind::workerCrash:
