--- a/tools/soak/address_block.cpp
+++ b/tools/soak/address_block.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf::soak {
 
 namespace {
-/// Each block takes so many values of an address's third number, with so many addresses each.
+/// A block spans `thirdOctetsPerBlock` values of the third octet, with `addressesPerThirdOctet` addresses in each.
 constexpr int thirdOctetsPerBlock = 4, addressesPerThirdOctet = 250;
 constexpr std::uint64_t firstSecondOctet = 64, secondOctets = 120, blocksPerSecondOctet = 60,
                         blocks = secondOctets * blocksPerSecondOctet;
--- a/tools/soak/address_block.hpp
+++ b/tools/soak/address_block.hpp
@@ -3,11 +3,10 @@
 
 namespace tealshelf::soak {
 
-/// A block of loopback addresses that no other soak on this machine uses, as long as this object lives.
+/// A block of loopback addresses reserved for this soak process while the object lives.
 class AddressBlock {
  public:
-  /// Begins to look at a place that follows from the process id and the seed. Throws std::runtime_error if no block is
-  /// free.
+  /// Probes blocks from an index hashed from process id and seed. Throws std::runtime_error if it finds none free.
   AddressBlock(asio::io_context& io, std::uint64_t seed);
   /// An address of the block, from 1 to 900.
   string ip(int number) const;
@@ -15,9 +14,9 @@
  private:
   bool reserve(std::uint64_t place);
 
-  tcp::acceptor guard_;  ///< holds a port at an address of the block, so that others see that it is taken
-  string prefix_;        ///< of its addresses, up to the third number
-  int thirdOctet_ = 0;   ///< of the first address
+  tcp::acceptor guard_;  ///< listens on an address of the block, which marks the block as used for other processes
+  string prefix_;        ///< first two octets of the block's addresses, with a dot
+  int thirdOctet_ = 0;   ///< of the block's first address
 };
 
 }  // namespace tealshelf::soak
--- a/tools/soak/child_process.cpp
+++ b/tools/soak/child_process.cpp
@@ -13,13 +13,13 @@
 namespace {
 constexpr int exitCannotRun = 127;
 
-/// Runs in the child, between fork and exec: only calls that are safe there.
+/// Runs in the child between fork and exec; makes only async-signal-safe calls.
 [[noreturn]] void becomeProgram(char* const* arguments, char* const* environment, int log, pid_t parent) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (::getppid() != parent) ::_exit(exitCannotRun);
   ::dup2(log, STDOUT_FILENO);
   ::dup2(log, STDERR_FILENO);
-  // Sockets of the soak must not live on in its children.
+  // Children must not inherit the sockets of the soak.
   ::close_range(STDERR_FILENO + 1, ~0u, 0);
   ::execve(arguments[0], arguments, environment);
   ::_exit(exitCannotRun);
--- a/tools/soak/child_process.hpp
+++ b/tools/soak/child_process.hpp
@@ -9,7 +9,7 @@
   string name, value;
 };
 
-/// One child process. It dies with its parent, and with this object.
+/// One child process; it is killed when its parent exits or this object is destroyed.
 class ChildProcess {
  public:
   ChildProcess() = default;
@@ -17,16 +17,17 @@
   ChildProcess(ChildProcess const&) = delete;
   ChildProcess& operator=(ChildProcess const&) = delete;
 
-  /// Starts a program; what it prints is added to a file. Throws std::runtime_error if no process can be made.
+  /// Starts a program and appends its output to a file. Throws std::runtime_error if the process can't be started.
   void start(vector<string> const& command, vector<EnvironmentValue> const& environment, string const& logPath);
   bool isRunning() const { return pid_ > 0; }
   pid_t pid() const { return pid_; }
   void signal(int number) const;
-  /// Kills the process, a stopped one too, and waits until it is gone.
+  /// Kills the process, even a stopped one, and waits for its exit.
   void killAndWait();
-  /// How long its main thread was ready to run and waited for a core since it began; 0 if the kernel doesn't tell.
+  /// Total time since its start for which the main thread was runnable and waited for a CPU; 0 if the kernel doesn't
+  /// report it.
   Ms runQueueWait() const;
-  /// How the process ended by itself, if it did since the last look.
+  /// Exit status or signal if the process has exited by itself since the last call.
   std::optional<string> pollExit();
 
  private:
--- a/tools/soak/cluster.cpp
+++ b/tools/soak/cluster.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 constexpr Ms readinessPeriod{100}, readinessLimit{1000}, watchPeriod{50}, pauseBeforeRestart{300};
-/// After a pause of a process, its clients' connections need a moment to be served.
+/// Time that a resumed process gets to serve the connections that queued up during its pause.
 constexpr Ms afterPause{1500};
-/// What a busy machine may add to a span.
+/// Extra delay allowed for a busy machine.
 constexpr Ms machineSlack{300};
 string const cleanEnd = "exit status 0";
 
@@ -151,7 +151,7 @@
 }
 
 void Cluster::restart(ClusterNode& node) {
-  // One that was told to end is started when that is over.
+  // A process that also received SIGTERM is started by endTermination().
   if (--node.activeKills > 0 || stopping_ || node.activeTerminations > 0) return;
   start(node);
 }
@@ -172,7 +172,7 @@
   node.process.signal(SIGHUP);
 }
 
-/// A process that was told to end may do so, if it ends well.
+/// After SIGTERM a process may exit, with status 0; any other exit fails the run.
 void Cluster::handleExit(ClusterNode& node, string const& how) {
   if (node.activeTerminations > 0) {
     beginOutage(node);
@@ -195,7 +195,7 @@
   spawnTask(io_, "readiness", endOutageOnceReady(node, node.incarnation));
 }
 
-/// Ends a node's trouble once it serves again.
+/// Ends a node's outage once the node serves again.
 Task<void> Cluster::endOutageOnceReady(ClusterNode& node, int incarnation) {
   bool ready = false;
   while (!ready && node.incarnation == incarnation && !stopping_) {
--- a/tools/soak/cluster.hpp
+++ b/tools/soak/cluster.hpp
@@ -7,82 +7,83 @@
 
 namespace tealshelf::soak {
 
-/// One of our processes: started, killed, paused, emptied. Faults that overlap on it add up: it runs again once each of
-/// them is over.
+/// One tealshelf process under test. Overlapping faults are counted: the process runs again once all of them have
+/// ended.
 struct ClusterNode {
-  /// A time in which the process was in trouble; open ones have no end yet.
+  /// A period in which the process was down, paused or not ready yet; no end while it lasts.
   struct Outage {
     TimePoint begin;
     std::optional<TimePoint> end;
   };
   NodePlan plan;
   ChildProcess process;
-  int activeKills = 0, activePauses = 0;  ///< faults that hold it down, or paused
-  int activeTerminations = 0;             ///< faults that had it told to end
-  int incarnation = 0;                    ///< rises with each start
-  TimePoint diskWipedAt;                  ///< when its disk was lost last
+  int activeKills = 0, activePauses = 0;  ///< active faults that keep it down, or paused
+  int activeTerminations = 0;             ///< active faults that sent it SIGTERM
+  int incarnation = 0;                    ///< incremented at each start
+  TimePoint diskWipedAt;                  ///< last loss of its disk
   vector<Outage> outages;
-  /// Where it serves something; GCC 12 doesn't take an Address in braces inside `co_await`.
+  /// Address of a port of this node; GCC 12 rejects a braced Address inside `co_await`.
   Address address(int port) const { return {plan.ip, port}; }
 };
 
-/// All processes of a run.
+/// All tealshelf processes of a run, and the stand-in platform.
 class Cluster {
  public:
   Cluster(asio::io_context& io, Options const& options, Topology topology, string directory, Verdict& verdict);
 
-  /// Starts the stand-in of the platform. It lasts for the whole run.
+  /// Starts the stand-in platform, which runs until stopAll().
   void startPlatform();
-  /// Ends the platform's misbehaviour for good.
+  /// Makes the platform answer normally for the rest of the run.
   void stopPlatformFaults();
-  /// The reports of usage that the platform has taken so far.
+  /// Usage reports that the platform has accepted so far.
   struct ReportsTaken {
-    std::int64_t newestWindow = 0;  ///< its number; 0 before the first
-    std::size_t gaps = 0;           ///< windows that were left out between the first and the last
+    std::int64_t newestWindow = 0;  ///< window number; 0 before the first report
+    std::size_t gaps = 0;           ///< unreported windows between the first and the last reported one
   };
   ReportsTaken reportsTaken() const;
-  /// Starts all for the first time.
+  /// Starts all nodes for the first time.
   void startAll();
   vector<std::unique_ptr<ClusterNode>> const& nodes() const { return nodes_; }
   Topology const& topology() const { return topology_; }
   SoakBounds const& bounds() const { return bounds_; }
   vector<ClusterNode*> nodesOf(NodeRole role) const;
-  /// Machines that count as a loss: those with a disk.
+  /// IPs of the nodes with a disk.
   vector<string> diskNodeIps() const;
   vector<string> allIps() const;
   NetworkFaultTable& networkFaults() { return networkFaults_; }
 
   void kill(ClusterNode& node);
-  /// Empties the data folder of a process that is down.
+  /// Deletes the data folder of a process that is down.
   void wipeDisk(ClusterNode& node);
   void restart(ClusterNode& node);
-  /// Tells a process to end.
+  /// Sends SIGTERM to a process.
   void terminate(ClusterNode& node);
-  /// The other end of terminate(): starts it again.
+  /// Ends a terminate() fault: restarts the process unless another fault keeps it down.
   void endTermination(ClusterNode& node);
-  /// Tells a process that its settings file has changed; it names the seeds in another order.
+  /// Rewrites the settings file with the seeds in another order and sends SIGHUP.
   void hangUp(ClusterNode& node);
   void pause(ClusterNode& node);
   void resume(ClusterNode& node);
 
-  /// Notes that a fault begins or ends; while one is open, or a moment after, the system isn't calm.
+  /// Records that a fault begins or ends, for isFaultFreeFor().
   void faultBegins() { ++openFaults_; }
   void faultEnds();
-  /// No fault was open in the time before now.
+  /// True if no fault was active during the last `duration`.
   bool isFaultFreeFor(Ms duration) const;
-  /// The process of the node was in trouble at some moment between two.
+  /// True if the node had an outage that overlaps the period.
   bool hadOutage(ClusterNode const& node, TimePoint from, TimePoint until) const;
-  /// A process that was told to end may refuse a connection, or close it at once if it hasn't read the request.
+  /// True if the missing answer is explained by SIGTERM: a process that shuts down may refuse a connection, or close it
+  /// at once with the request unread.
   bool mayHaveClosedUnread(ClusterNode const& node, HttpAnswer const& answer) const;
-  /// Looks for processes that ended by themselves, which no rule allows, and starts them again.
+  /// Polls for processes that exited by themselves, fails the run for each unexpected exit, and restarts them.
   Task<void> watchProcesses();
-  /// True once each edge counts itself ready.
+  /// Waits until all edges report readiness; false on a timeout.
   Task<bool> awaitReadyEdges(TimePoint until);
   void stopAll();
 
  private:
   void start(ClusterNode& node);
-  /// Writes the settings file of a node; its path.
+  /// Writes a node's settings file and returns its path.
   string writeSettings(ClusterNode const& node);
   void handleExit(ClusterNode& node, string const& how);
   void beginOutage(ClusterNode& node);
--- a/tools/soak/configurations.hpp
+++ b/tools/soak/configurations.hpp
@@ -4,19 +4,20 @@
 
 namespace tealshelf::soak {
 
-/// Hosts of the routes. Lots have two, so that two keyspaces keep their records.
+/// Hosts of the routes. Lots use two hosts, so that their records are stored in two keyspaces.
 inline string const requestHost = "shop.example";
 inline vector<string> const lotHosts{"shop.example", "depot.example"};
 
-/// Routes of lots. Nobody serves the second: its items wait for good, so that their bodies must come back.
+/// Path prefixes of the lot routes. The second has no workers: its items stay queued, and their bodies must stay
+/// readable.
 inline string const lotPathStart = "/night/", unservedPathStart = "/shelf/";
 
-/// Where requests of a kind go.
+/// Path prefix of the route for requests of a kind.
 string pathStartOf(RequestKind kind);
-/// The path that only one version of the configuration allows.
+/// Path prefix of the marker route that only this version of the configuration has.
 string markerPathStart(std::uint64_t version);
 
-/// The text of a configuration. Each version has a route of its own, and small differences that follow from `variant`.
+/// JSON text of a configuration, with the version's marker route; `variant` varies a few values.
 string configurationText(std::uint64_t version, std::uint64_t variant);
 
 }  // namespace tealshelf::soak
--- a/tools/soak/edge_probe.cpp
+++ b/tools/soak/edge_probe.cpp
@@ -30,7 +30,7 @@
   --underWay_;
 }
 
-/// One of the newest versions that were acknowledged.
+/// Picks one of the newest acknowledged versions; 0 if there is none.
 std::uint64_t EdgeProbe::drawVersion() {
   vector<std::uint64_t> const versions = operators_.acknowledgedVersions();
   if (versions.empty()) return 0;
--- a/tools/soak/edge_probe.hpp
+++ b/tools/soak/edge_probe.hpp
@@ -4,21 +4,21 @@
 
 namespace tealshelf::soak {
 
-/// Asks edges on routes that one version of the configuration has alone, and so sees which version an edge goes by. An
-/// edge must not go back within a life, nor, in calm times, lag behind.
+/// Requests marker routes, each of which exists in one version of the configuration only, to see which version an edge
+/// applies. Within an incarnation an edge must not revert, and without faults it must not lag behind.
 class EdgeProbe {
  public:
   EdgeProbe(asio::io_context& io, Cluster& cluster, OperatorClient& operators, Ledger& ledger, Verdict& verdict,
             std::uint64_t seed);
-  /// Asks one edge again and again until stop().
+  /// Probes one edge periodically until stop().
   Task<void> watch(ClusterNode& edge);
   void stop() { stopping_ = true; }
   std::size_t underWay() const { return underWay_; }
-  /// True if an edge serves the route of a version.
+  /// True if an edge serves the marker route of a version.
   Task<bool> serves(ClusterNode& edge, std::uint64_t version);
 
  private:
-  /// What an edge showed in one life.
+  /// Newest version that an edge served in one incarnation.
   struct ObservedVersion {
     int incarnation = 0;
     std::uint64_t version = 0;
@@ -27,10 +27,10 @@
   Task<HttpAnswer> sendProbe(ClusterNode& edge, std::uint64_t version);
   void check(ClusterNode const& edge, ObservedVersion& observed, std::uint64_t version, HttpAnswer const& answer);
   std::uint64_t drawVersion();
-  /// Notes how long each process has waited for a core when a version is first seen to be acknowledged.
+  /// Records each process's run queue wait when a newly acknowledged version is first seen.
   void noteNewestVersion();
-  /// How long processes have waited for a core since then, the edge first, then the one that waited most. A machine
-  /// that is busy with other work shows in it; it explains a failed check and excuses none.
+  /// Text with the run queue wait since then of the edge and of the process that waited longest. It shows whether the
+  /// machine was overloaded when a check failed; the check still counts as failed.
   string describeWaits(ClusterNode const& edge) const;
 
   asio::io_context& io_;
@@ -42,7 +42,7 @@
   std::size_t underWay_ = 0;
   bool stopping_ = false;
   std::uint64_t newestVersion_ = 0;
-  std::map<string, Ms> waitsAtNewest_;  ///< by process
+  std::map<string, Ms> waitsAtNewest_;  ///< run queue waits by process name
 };
 
 }  // namespace tealshelf::soak
--- a/tools/soak/fault_driver.cpp
+++ b/tools/soak/fault_driver.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr double lostAnswersInFault = 0.2;
 constexpr Ms waitForAcknowledgement{3000}, pollPeriod{5}, betweenRepeats{250};
-/// Times confirmWithin for which an order about a zone is sent again.
+/// Evacuation orders are retried for this multiple of `confirmWithin`.
 constexpr int orderTimeoutFactor = 6;
 
 bool isCut(FaultKind kind) {
@@ -80,7 +80,7 @@
   if (!takenBack) verdict_.fail("Acks", "the end of an evacuation of " + fault.zone + " isn't acknowledged");
 }
 
-/// Returns in the moment in which a client sees a lot accepted.
+/// Returns as soon as a client sees the next lot accepted, or after `waitForAcknowledgement`.
 Task<void> FaultDriver::awaitAcceptedLot() {
   TimePoint const until = Clock::now() + waitForAcknowledgement;
   std::size_t const known = lotChecker_.countOf(Lot::State::accepted);
@@ -111,7 +111,7 @@
   cluster_.networkFaults().publish();
 }
 
-/// Kills the others along with those that lose their disks: all signals go out before the first process is waited for.
+/// Kills the nodes that lose their disks and those of `alsoKilled`: sends all signals before waiting for any exit.
 void FaultDriver::killSimultaneously(Fault const& fault) {
   vector<ClusterNode*> all;
   for (std::size_t const place : fault.nodes) all.push_back(cluster_.nodes()[place].get());
@@ -136,7 +136,7 @@
   cluster_.restart(node);
 }
 
-/// Cuts the nodes of a fault off from the others that count, or, an edge, from all machines.
+/// Cuts the links between a fault's nodes and all other nodes with a disk; for an edge cut, all other machines.
 void FaultDriver::setLinkCuts(Fault const& fault, bool open) {
   std::set<string> inside;
   for (std::size_t const place : fault.nodes) inside.insert(cluster_.topology().nodes[place].ip);
--- a/tools/soak/fault_driver.hpp
+++ b/tools/soak/fault_driver.hpp
@@ -6,21 +6,21 @@
 
 namespace tealshelf::soak {
 
-/// Brings faults about on the processes, and mends them.
+/// Injects faults into the processes and ends them.
 class FaultDriver {
  public:
   FaultDriver(asio::io_context& io, Cluster& cluster, vector<std::unique_ptr<StandInWorker>>& workers,
               OperatorClient& operators, LotChecker const& book, Verdict& verdict);
-  /// Carries an episode out; returns when all of it is mended.
+  /// Injects the faults of an episode; returns when all of them have ended.
   Task<void> run(Episode episode);
 
  private:
   Task<void> runFault(Fault fault, std::shared_ptr<std::size_t> open);
-  /// The fault once, from its beginning to its end.
+  /// Injects the fault once, from begin to end.
   Task<void> injectOnce(Fault const& fault);
-  /// Tells a process to end, and starts it again some time after it has.
+  /// Sends SIGTERM, waits for the exit within the grace period, and later restarts the process.
   Task<void> runTermination(Fault const& fault);
-  /// Evacuates a zone and takes it back; its workers are cold then.
+  /// Evacuates a zone and then ends the evacuation; the zone's workers have to warm up again.
   Task<void> runEvacuation(Fault const& fault);
   Task<void> awaitAcceptedLot();
   void begin(Fault const& fault);
--- a/tools/soak/fault_plan.cpp
+++ b/tools/soak/fault_plan.cpp
@@ -56,7 +56,7 @@
   return found;
 }
 
-/// Half of some nodes, by chance; the larger half of an odd number stays.
+/// A random half of the nodes, rounded down.
 vector<std::size_t> FaultPlanner::halfOf(vector<std::size_t> nodes) {
   vector<std::size_t> half;
   std::size_t const wanted = nodes.size() / 2;
--- a/tools/soak/fault_plan.hpp
+++ b/tools/soak/fault_plan.hpp
@@ -5,28 +5,28 @@
 
 namespace tealshelf::soak {
 
-/// One fault: when it begins in its episode, how long it lasts, and whom it hits.
+/// One fault: its start within the episode, its duration and its targets.
 struct Fault {
   FaultKind kind = FaultKind::killNode;
   Ms startsAfter{0}, lasts{0};
-  vector<std::size_t> nodes;       ///< places in the topology; of workers for a worker's crash
-  vector<std::size_t> alsoKilled;  ///< killed in the moment in which the others lose their disks
-  string zone;                     ///< of an evacuation
-  int repeats = 1;                 ///< the fault comes so often, one after the other
-  bool oneWay = false;             ///< of a cut: only what the others send is held up
+  vector<std::size_t> nodes;       ///< indexes into Topology::nodes; for workerCrash indexes of workers
+  vector<std::size_t> alsoKilled;  ///< killed at the same moment as `nodes`, which lose their disks
+  string zone;                     ///< zone to evacuate
+  int repeats = 1;                 ///< consecutive injections
+  bool oneWay = false;             ///< for cuts: only messages from the other nodes are blocked
   bool afterAcknowledgement = false;
-  bool afterLot = false;  ///< the acknowledgement is that of a lot, not of a change of the configuration
+  bool afterLot = false;  ///< waits for a lot's acknowledgement instead of a configuration change's
   string describe(Topology const& topology) const;
 };
 
-/// Faults that overlap. Until the next episode all of them are mended and what was lost is copied anew.
+/// Overlapping faults. Before the next episode all have ended and lost disks have been copied again from replicas.
 struct Episode {
   vector<Fault> faults;
-  /// More is lost at once than `survive` names: service may rest, and a disk is lost only once it is back.
+  /// More nodes fail at once than `survive` allows: service may be unavailable, and recovery takes longer.
   bool beyondSurvive = false;
 };
 
-/// Draws faults by a seed. At most `survive` disks are lost in an episode.
+/// Draws random faults from a seed. At most `survive` disks are lost in an episode.
 class FaultPlanner {
  public:
   FaultPlanner(Options const& options, Topology const& topology, std::size_t workers)
@@ -36,8 +36,8 @@
         random_(options.seed, "faults"),
         afterLotRandom_(options.seed, "moments") {}
   Episode draw();
-  /// The last one: right after an acknowledgement as many disks as `survive` allows are lost, and at times all other
-  /// processes that count, or all others, are killed in the same moment.
+  /// The last episode: right after an acknowledgement `survive` disks are lost and, depending on the ClosingFault,
+  /// other processes are killed at the same moment.
   Episode drawClosing();
 
  private:
--- a/tools/soak/final_checks.cpp
+++ b/tools/soak/final_checks.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 constexpr Ms askAgainAfter{150};
-/// On top of the bounds of the deployment, as the machine is shared.
+/// Added to the deployment's bounds because the machine is shared.
 constexpr Ms allowance{8000};
-/// Bodies asked for of each lot at each edge.
+/// Item bodies read per lot and edge.
 constexpr std::size_t maxBodies = 6;
 }  // namespace
 
@@ -33,8 +33,8 @@
   while (*open) co_await sleepFor(askAgainAfter);
 }
 
-/// The newest acknowledged version, or a later one that was sent, is read at every control node and served by every
-/// edge.
+/// Every control node must return the newest acknowledged version, or a later one that was sent, and every edge must
+/// serve it.
 Task<void> FinalChecks::checkConfiguration(TimePoint until) {
   std::uint64_t const newest = operators_.newestAcknowledged();
   for (ClusterNode* const control : cluster_.nodesOf(NodeRole::control)) {
@@ -59,7 +59,7 @@
   }
 }
 
-/// Each edge serves requests again.
+/// Each edge must serve requests again.
 Task<void> FinalChecks::checkRequests(TimePoint until) {
   for (ClusterNode* const edge : cluster_.nodesOf(NodeRole::edge)) {
     bool served = co_await requests_.requestAt(*edge, RequestKind::repeatable);
@@ -71,7 +71,7 @@
   }
 }
 
-/// Lots whose route has workers are listed to their last item.
+/// Lots whose route has workers must list results for all of their items.
 Task<void> FinalChecks::checkLotsFinish(TimePoint until) {
   vector<ClusterNode*> const edges = cluster_.nodesOf(NodeRole::edge);
   vector<Lot*> unfinished = lotChecker_.accepted();
@@ -113,7 +113,7 @@
                      "end " + edge.plan.name);
 }
 
-/// Bodies of items that aren't listed come back, also after their lot was ended unless they are listed.
+/// Bodies of items without a listed result must be readable; lots that a client asked to end are skipped.
 Task<void> FinalChecks::checkBodiesAt(Lot& lot, ClusterNode& edge, TimePoint until) {
   if (lot.endAsked) co_return;
   std::size_t asked = 0;
--- a/tools/soak/final_checks.hpp
+++ b/tools/soak/final_checks.hpp
@@ -4,7 +4,7 @@
 
 namespace tealshelf::soak {
 
-/// What must hold once all faults are mended. Each check asks again until it holds or its time is up.
+/// Checks that must pass once all faults have ended. Each is retried until it passes or its deadline expires.
 class FinalChecks {
  public:
   FinalChecks(asio::io_context& io, Cluster& cluster, OperatorClient& operators, RequestClient& requests,
