--- a/tools/soak/http_call.cpp
+++ b/tools/soak/http_call.cpp
@@ -6,7 +6,7 @@
 constexpr std::uint64_t maxAnswerBytes = 64u << 20;
 constexpr std::size_t maxShownBody = 120;
 
-/// Bytes that are no answer, as opposed to an answer that was cut off.
+/// True for bytes that aren't an HTTP response, as opposed to a truncated response.
 bool isGarbled(error_code error) {
   return isHttpError(error) && error != http::error::end_of_stream && error != http::error::partial_message;
 }
@@ -52,7 +52,7 @@
   parser.body_limit(maxAnswerBytes);
   error_code error;
   co_await http::async_write(connection.socket, request, asio::redirect_error(asio::use_awaitable, error));
-  // A node may answer before it has read all; the answer counts all the same.
+  // The node may respond before it has read the whole request, so read the response even after a write error.
   co_await http::async_read(connection.socket, connection.buffer, parser,
                             asio::redirect_error(asio::use_awaitable, error));
   answer.endedAt = Clock::now();
--- a/tools/soak/http_call.hpp
+++ b/tools/soak/http_call.hpp
@@ -4,44 +4,44 @@
 
 namespace tealshelf::soak {
 
-/// What came back on one connection.
+/// The response to one request, or how the call failed.
 struct HttpAnswer {
-  int status = 0;  ///< 0 if no head came
+  int status = 0;  ///< 0 if no response header arrived
   http::fields headers;
-  string body;  ///< as far as it came
+  string body;  ///< as far as it was received
   bool connected = false;
-  bool complete = false;   ///< the whole answer came
-  bool garbled = false;    ///< bytes came that are no answer
-  bool timedOut = false;   ///< the caller's patience ended
-  bool keepAlive = false;  ///< the connection may be used on
+  bool complete = false;   ///< the whole response was received
+  bool garbled = false;    ///< the received bytes aren't an HTTP response
+  bool timedOut = false;   ///< the call's time limit expired
+  bool keepAlive = false;  ///< the connection may be reused
   string failure;
   TimePoint sentAt, endedAt;
   string header(string_view name) const;
-  /// A short text for reports.
+  /// Short text for failure messages.
   string describe() const;
 };
 
-/// How near to a fault of its node an answer may be that isn't judged.
+/// Missing answers aren't reported if the node had an outage within this margin of the call.
 constexpr Ms outageMargin{300};
-/// True for a status that says that nothing ran or will.
+/// True for a status with which the node guarantees that the request hasn't run and won't.
 constexpr bool isNotRunStatus(int status) {
   return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
-/// The key of the only tenant, which every request bears.
+/// API key of the only tenant, sent with every request.
 constexpr string_view tenantKey = "soak0key1of2the3tenant";
 HttpRequest makeRequest(http::verb verb, string const& target, string const& host);
-/// A connection that is kept for many requests.
+/// A connection that is reused for many requests.
 struct PersistentConnection {
   explicit PersistentConnection(asio::io_context& io) : socket(io) {}
   tcp::socket socket;
   beast::flat_buffer buffer;
 };
-/// Opens it; false if that isn't done in time.
+/// Opens the connection; false on failure or timeout.
 Task<bool> connectTo(asio::io_context& io, PersistentConnection& connection, Address to, Ms limit);
-/// Sends a request on an open connection and reads the answer; whether more may be sent is told by its headers.
+/// Sends a request on an open connection and reads the answer; HttpAnswer::keepAlive tells whether to reuse it.
 Task<HttpAnswer> callOn(asio::io_context& io, PersistentConnection& connection, HttpRequest request, Ms limit);
-/// Sends a request on a connection of its own and reads the answer; a connection that breaks is told in the answer.
+/// Sends a request on a new connection and reads the answer; connection errors are returned in the answer.
 Task<HttpAnswer> callHttp(asio::io_context& io, Address to, HttpRequest request, Ms limit);
 
 }  // namespace tealshelf::soak
--- a/tools/soak/keep_alive_client.hpp
+++ b/tools/soak/keep_alive_client.hpp
@@ -3,19 +3,19 @@
 
 namespace tealshelf::soak {
 
-/// Clients that hold on to their connections: each sends its requests on one connection, with short pauses, until the
-/// node ends it, and then, as long as the process lives, on another to the same node.
+/// Clients with persistent connections: each sends requests on one connection, with short pauses, until the edge closes
+/// it, and reconnects to the same edge as long as that accepts connections.
 class KeepAliveClient {
  public:
   KeepAliveClient(asio::io_context& io, Cluster& cluster, RequestClient& requests, Verdict& verdict, std::uint64_t seed)
       : io_(io), cluster_(cluster), requests_(requests), verdict_(verdict), random_(seed, "kept clients") {}
-  /// One such client, until stop().
+  /// Runs one client until stop().
   Task<void> hold();
   void stop() { stopping_ = true; }
   std::size_t underWay() const { return underWay_; }
 
  private:
-  /// Uses one connection up; false if it couldn't be opened.
+  /// Opens a connection and uses it until it ends; false if it couldn't be opened.
   Task<bool> useConnection(ClusterNode& edge);
 
   asio::io_context& io_;
--- a/tools/soak/log_scan.cpp
+++ b/tools/soak/log_scan.cpp
@@ -8,7 +8,7 @@
 struct LinePattern {
   string_view text, name;
 };
-/// Lines that are counted, by a part of their text.
+/// Log lines that are counted, identified by a part of their text.
 constexpr std::array<LinePattern, 7> countedLines{{{"taken usage", "usage reports taken"},
                                                    {"taken capacity", "orders of workers taken"},
                                                    {"holds the duties", "claims of the duties"},
@@ -17,7 +17,7 @@
                                                    {"E606", "log lines with E606"},
                                                    {" stopped: ", "log lines of tasks that stopped"}}};
 
-/// Before the rule and the text of a violation that the platform noticed.
+/// Prefix of a violation that the stand-in platform detected; the rule and the text follow.
 constexpr string_view failedMark = "FAILED ";
 
 void noteFailure(string const& failure, Verdict& verdict) {
--- a/tools/soak/log_scan.hpp
+++ b/tools/soak/log_scan.hpp
@@ -3,8 +3,8 @@
 
 namespace tealshelf::soak {
 
-/// Looks through the logs of all processes of a run: a line ` invariant` of level E fails it; other lines that tell how
-/// the run went are counted.
+/// Scans the logs of all processes of a run: a line of level E with ` invariant` and each violation that the platform
+/// detected fail the run; other significant lines are counted.
 void scanLogs(string const& directory, Verdict& verdict);
 
 }  // namespace tealshelf::soak
--- a/tools/soak/lot_checker.hpp
+++ b/tools/soak/lot_checker.hpp
@@ -5,18 +5,18 @@
 
 namespace tealshelf::soak {
 
-/// What a client knows of one lot.
+/// What the clients know about one lot.
 struct Lot {
   enum class State {
     sending,
-    accepted,  ///< a 202 came: the whole of it must be kept
-    refused,   ///< every try ended with a promise that nothing runs
-    unclear    ///< neither: it may have been taken or not
+    accepted,  ///< a 202 was received: no item may be lost
+    refused,   ///< every attempt was answered with a guarantee that nothing runs
+    unclear    ///< neither: the lot may have been accepted or not
   };
   struct SeenResult {
     string item, state;
     std::uint64_t textHash = 0;
-    TimePoint seenAt;  ///< first
+    TimePoint seenAt;  ///< first time
   };
   string id, host, pathStart, body;
   vector<string> items;
@@ -25,14 +25,14 @@
   TimePoint acceptedAt;
   bool everUnclear = false;
   bool endAsked = false;
-  vector<SeenResult> seen;                  ///< by position
-  std::map<string, std::size_t> positions;  ///< of items that were seen
-  std::set<string> reportedFailures;        ///< failures that were reported, to say each once
-  bool hasWorkers() const;                  ///< its route has workers
+  vector<SeenResult> seen;                  ///< results by position
+  std::map<string, std::size_t> positions;  ///< positions of listed items
+  std::set<string> reportedFailures;        ///< keys of reported failures, so that each is reported once
+  bool hasWorkers() const;                  ///< true if its route has workers
   bool isFullyListed() const { return seen.size() == items.size(); }
 };
 
-/// One page of results.
+/// One page of a lot's results.
 struct LotPage {
   struct Output {
     string item, state, text;
@@ -44,7 +44,7 @@
 std::optional<LotPage> readLotPage(string const& body);
 string encodeBase64(string_view bytes);
 
-/// The lots of a run, and the checks of what is told of them.
+/// The lots of a run, and the checks of the answers about them.
 class LotChecker {
  public:
   LotChecker(Ledger& ledger, Verdict& verdict, SoakBounds const& bounds)
@@ -55,16 +55,15 @@
   std::size_t countOf(Lot::State state) const;
 
   void noteAccepted(Lot& lot);
-  /// Every try was answered with a promise: none of its items may ever run.
+  /// Records that every attempt was refused: none of the lot's items may ever run.
   void noteRefused(Lot& lot);
-  /// Checks the answer to a read from a position. `place` names the edge, for reports.
+  /// Checks the answer to a read from a position. `place` is the edge's name for failure messages.
   void checkRead(Lot& lot, std::uint64_t from, HttpAnswer const& answer, string const& place);
-  /// Checks the answer to a question for an item's body. True if it is a 404, which is right only for an item that is
-  /// listed.
+  /// Checks the answer to a read of an item's body. True if it is a 404, which is correct only for a listed item.
   bool checkItem(Lot& lot, string const& item, HttpAnswer const& answer, string const& place);
-  /// An item whose body isn't there must be listed; to be asked after a fresh read of the whole lot.
+  /// Fails the run if an item without a body isn't listed; call it after a fresh read of the whole lot.
   void failMissingItem(Lot& lot, string const& item, string const& place);
-  /// Reports a failure of a lot once for each place.
+  /// Reports a failure of a lot, once for each rule and key.
   void fail(Lot& lot, string_view rule, string const& text, string const& key);
 
  private:
--- a/tools/soak/lot_client.cpp
+++ b/tools/soak/lot_client.cpp
@@ -20,7 +20,7 @@
          "\",\"tokens\":150}";
 }
 
-/// The code in the body of an error of tealshelf's own, after a blank.
+/// A blank and the code of an error answer of tealshelf itself; empty for other answers.
 string codeOf(HttpAnswer const& answer) {
   bool const hasCode = answer.status >= 400 && answer.body.starts_with(errorStart);
   if (!hasCode) return "";
@@ -77,7 +77,7 @@
   return ledger_.enter(std::move(item)).id;
 }
 
-/// Every call must be answered unless the edge was in trouble, or hasn't read it as it ends.
+/// Every call must be answered unless the edge had an outage or closed the connection during shutdown.
 void LotClient::checkIsAnswered(ClusterNode const& edge, string const& what, HttpAnswer const& answer) {
   if (answer.complete || cluster_.mayHaveClosedUnread(edge, answer)) return;
   if (cluster_.hadOutage(edge, answer.sentAt - outageMargin, answer.endedAt + outageMargin)) return;
@@ -98,7 +98,7 @@
   co_return answer;
 }
 
-/// Hands a lot in, again and again until the answer is clear.
+/// Submits a lot, with retries, until the outcome is clear.
 Task<void> LotClient::submit(Lot& lot) {
   ++underWay_;
   Ms pause = firstPause;
@@ -110,7 +110,7 @@
     bool const promised = answer.complete && isNotRunStatus(answer.status) && !answerLost;
     if (accepted) lotChecker_.noteAccepted(lot);
     if (!accepted && !promised) lot.everUnclear = true;
-    // Some take the first refusal for the last word; what they handed in must never run, also if there is room later.
+    // Some clients don't retry after a refusal; their lot must never run, even if capacity becomes free later.
     if (promised && impatient) break;
     if (stopping_ && !accepted) break;
     if (!accepted) co_await sleepFor(pause);
@@ -138,7 +138,7 @@
       lotChecker_.fail(lot, "LOST", edge.plan.name + " can't end it: " + answer.describe(), edge.plan.name);
     if (answer.complete && answer.status == 200) {
       verdict_.count("lots ended");
-      // Stores that were in trouble since may run on; the bound holds for machines in touch.
+      // Stores with an outage since then may go on running items; the bound holds for connected machines only.
       co_await sleepFor(cluster_.bounds().cancelWithin);
       if (!cluster_.isFaultFreeFor(2 * cluster_.bounds().inTouch)) co_return;
       for (string const& item : lot.items) ledger_.at(item).neverAfter = Clock::now();
@@ -213,7 +213,7 @@
   outcome.succeeded = answer.complete && answer.status == 200;
   if (!outcome.succeeded) outcome.failureText = answer.describe();
   if (!missing) co_return outcome;
-  // It may just have been listed.
+  // The item may have been listed in the meantime.
   ReadOutcome const whole = co_await readAll(lot, edge);
   if (whole.succeeded) lotChecker_.failMissingItem(lot, item, edge.plan.name);
   outcome.succeeded = whole.succeeded && lot.positions.contains(item);
--- a/tools/soak/lot_client.hpp
+++ b/tools/soak/lot_client.hpp
@@ -5,35 +5,35 @@
 
 namespace tealshelf::soak {
 
-/// How a read ended: well, or with what trouble.
+/// Whether a read succeeded, and otherwise why it failed.
 struct ReadOutcome {
   bool succeeded = true;
   string failureText;
 };
 
-/// One page, if it came.
+/// One page, or why it couldn't be read.
 struct LotReading {
   std::optional<LotPage> page;
   string failureText;
 };
 
-/// Clients of lots: they hand lots in, read them from any position at any edge, ask for bodies and end some.
+/// Clients of lots: they submit lots, read them from any position at any edge, read item bodies and end some lots.
 class LotClient {
  public:
   LotClient(asio::io_context& io, Options const& options, Cluster& cluster, Ledger& ledger, LotChecker& book,
             SelfTest& runsSelfTest, Verdict& verdict);
-  /// Hands lots in at a rate until stop().
+  /// Submits lots at a rate until stop().
   Task<void> arrivals();
-  /// Reads lots, one at a time, until stop().
+  /// Reads random lots, one at a time, until stop().
   Task<void> observe();
   void stop() { stopping_ = true; }
   std::size_t underWay() const { return underWay_; }
 
-  /// Reads on from a position; the answer is checked.
+  /// Reads a page from a position and checks the answer.
   Task<LotReading> read(Lot& lot, ClusterNode& edge, std::uint64_t from, Ms hold);
-  /// Reads a whole lot, as far as it is listed; it must come as far as it was ever read.
+  /// Reads all listed results of a lot; must reach at least the position that any read has reached before.
   Task<ReadOutcome> readAll(Lot& lot, ClusterNode& edge);
-  /// Asks for the body of an item that isn't listed; well if it came, or the item turned out to be listed.
+  /// Reads the body of an unlisted item; succeeds if the body is returned or the item has been listed in the meantime.
   Task<ReadOutcome> readBody(Lot& lot, ClusterNode& edge, string item);
 
  private:
--- a/tools/soak/main.cpp
+++ b/tools/soak/main.cpp
@@ -1,5 +1,5 @@
-// The soak: runs our programs as real processes on loopback, with stand-in workers, clients and an operator, under
-// faults drawn by a seed, and checks what all of them see. See docs/soak.md.
+// Soak test: runs the tealshelf programs as real processes on loopback, with stand-in workers, clients and an operator,
+// injects random faults drawn from a seed, and checks what clients and workers observe. See docs/soak.md.
 #include "tools/soak/soak_run.hpp"
 #include "tools/soak/stand_in_platform.hpp"
 
@@ -16,7 +16,7 @@
 
 namespace {
 constexpr int exitFailed = 1, exitBadArguments = 2;
-/// What the short form for CI sets.
+/// Settings of the short form for CI (--short).
 constexpr int shortSeconds = 12, shortItemBytes = 12000;
 constexpr double shortLotsPerSecond = 3;
 constexpr int controlsForTwoLosses = 5, storesForTwoLosses = 6;
@@ -32,19 +32,19 @@
   return kinds;
 }
 
-/// Few seconds of faults, and larger lots at a higher rate; what the command line names stays.
+/// Sets a short fault phase, and larger lots at a higher rate; options given on the command line take precedence.
 void makeShort(CLI::App const& app, Options& options) {
   if (!app.count("--seconds")) options.seconds = shortSeconds;
   if (!app.count("--lots-per-second")) options.lotsPerSecond = shortLotsPerSecond;
   if (!app.count("--item-bytes")) options.itemBytes = shortItemBytes;
 }
 
-/// One run in a process of its own, which takes all its children along.
+/// Executes one run and exits the process, which also kills its child processes.
 int runSeed(Options const& options) {
   SoakRun soakRun(options);
   bool const passed = soakRun.run();
   std::cout.flush();
-  // Tasks that are still under way would outlive what they refer to.
+  // Skip destructors: tasks that are still running refer to objects of the run.
   std::_Exit(passed ? 0 : exitFailed);
 }
 
@@ -61,7 +61,7 @@
   return WIFEXITED(status) && WEXITSTATUS(status) == 0;
 }
 
-/// Machines that a run needs to survive the loss of two disks; what the command line names stays.
+/// Sets the node counts needed to survive the loss of two disks; options given on the command line take precedence.
 void provisionForTwoLosses(CLI::App const& app, Options& options) {
   if (options.survive < 2) return;
   if (!app.count("--controls")) options.controls = controlsForTwoLosses;
@@ -74,7 +74,7 @@
   return std::nullopt;
 }
 
-/// Texts and flags of the command line that are no options of a run yet.
+/// Command line values that are converted to Options after parsing.
 struct CommandLine {
   string faults = "all", closing = "any";
   bool isShort = false;
--- a/tools/soak/network_fault_table.hpp
+++ b/tools/soak/network_fault_table.hpp
@@ -3,17 +3,17 @@
 
 namespace tealshelf::soak {
 
-/// The file that tells our processes which ways are cut and whose answers are lost (wire/fault_injection.hpp).
+/// Writes the file that tells the processes which links are cut and whose answers are lost (wire/fault_injection.hpp).
 class NetworkFaultTable {
  public:
   explicit NetworkFaultTable(string path);
   string const& path() const { return path_; }
-  /// Cuts one way; cuts of the same way add up.
+  /// Cuts a link in one direction; the cuts of a link are counted.
   void cut(string const& from, string const& to);
   void restore(string const& from, string const& to);
-  /// Loses a share of the answers to calls of an IP; 0 ends it.
+  /// Loses a share of the answers to calls from an IP; 0 ends the loss.
   void injectAnswerLoss(string const& caller, double share);
-  /// Makes what was changed known to the processes.
+  /// Writes the file, from which the processes read the changes.
   void publish() const;
   bool empty() const { return linkCuts_.empty() && answerLossShares_.empty(); }
 
--- a/tools/soak/operator_client.cpp
+++ b/tools/soak/operator_client.cpp
@@ -74,7 +74,7 @@
   co_return false;
 }
 
-/// Sends a change, unchanged, to any node until its end is clear.
+/// Resends the same change to random control nodes until its outcome is clear.
 Task<OperatorClient::Outcome> OperatorClient::send(SentChange& change, TimePoint until) {
   vector<ClusterNode*> const controls = cluster_.nodesOf(NodeRole::control);
   while (Clock::now() < until) {
@@ -85,7 +85,7 @@
       noteAcknowledged(change, control);
       co_return Outcome::acknowledged;
     }
-    // A rival with a higher version makes a change invalid as well as late.
+    // A concurrent change with a higher version makes this one invalid (400) as well as outdated (412).
     if (clear && (answer.status == 412 || answer.status == 400)) {
       change.refused = true;
       co_return Outcome::refused;
@@ -120,7 +120,7 @@
   co_return outcome == Outcome::acknowledged;
 }
 
-/// Two changes on one base at once: one of them wins.
+/// Sends two concurrent changes on the same base; exactly one must be acknowledged.
 Task<void> OperatorClient::race() {
   SentChange& second = draw();
   std::uint64_t const base = second.base;
@@ -175,7 +175,8 @@
   co_return version;
 }
 
-/// A read shows nothing older than what was acknowledged `applyWithin` before, and only what was sent and not refused.
+/// A read must not return a version older than one acknowledged `applyWithin` before, nor one that was refused or never
+/// sent.
 void OperatorClient::checkRead(ClusterNode const& control, HttpAnswer const& answer, std::uint64_t version) {
   std::uint64_t due = 0;
   for (Acknowledged const& acknowledged : acknowledged_)
--- a/tools/soak/operator_client.hpp
+++ b/tools/soak/operator_client.hpp
@@ -5,36 +5,37 @@
 
 namespace tealshelf::soak {
 
-/// The operator: changes the configuration all the time, sends each change until its end is clear, at times two on the
-/// same base at once, and reads what is in force.
+/// The operator: keeps changing the configuration, retries each change until its outcome is clear, sometimes sends two
+/// concurrent changes on the same base, and reads the active configuration.
 class OperatorClient {
  public:
   OperatorClient(asio::io_context& io, Cluster& cluster, Verdict& verdict, std::uint64_t seed);
-  /// Sends one change on top of the newest version until it is acknowledged; false if it wasn't by then.
+  /// Sends one change based on the newest acknowledged version; false if it isn't acknowledged in time.
   Task<bool> change(TimePoint until);
-  /// Changes the configuration with a pause between until stop().
+  /// Changes the configuration, with a pause between changes, until stop().
   Task<void> changes(Ms pause);
-  /// Sends an order about a zone, unchanged, to one node after the other until it is acknowledged; false if it isn't.
+  /// Sends an evacuation order for a zone to random control nodes until one acknowledges it; false on a timeout.
   Task<bool> orderEvacuation(http::verb verb, string zone, Ms limit);
-  /// Reads at any control node until stop().
+  /// Reads the configuration at random control nodes until stop().
   Task<void> reads();
   void stop() { stopping_ = true; }
   std::size_t underWay() const { return underWay_; }
-  /// Reads at one node; the answer is checked. The version that came, if one did.
+  /// Reads the configuration at one node and checks it. Returns its version, 0 if there is no configuration yet, or
+  /// nothing if the read failed.
   Task<std::optional<std::uint64_t>> read(ClusterNode& control);
 
   std::uint64_t newestAcknowledged() const { return acknowledged_.empty() ? 0 : acknowledged_.back().version; }
   TimePoint newestAcknowledgedAt() const { return acknowledged_.empty() ? TimePoint() : acknowledged_.back().at; }
-  /// Versions that were acknowledged, in their order.
+  /// Acknowledged versions in the order of their acknowledgement.
   vector<std::uint64_t> acknowledgedVersions() const;
-  /// Waits for the next acknowledgement; the node that gave it, or none in time.
+  /// Waits for the next acknowledgement; returns the node that sent it, or null on a timeout.
   Task<ClusterNode*> awaitAcknowledgement(Ms limit);
 
  private:
   struct SentChange {
     std::uint64_t version = 0, base = 0;
     string text;
-    bool refused = false;  ///< a 412 came: it must never be in force
+    bool refused = false;  ///< a 412 or 400 was received: it must never become active
   };
   struct Acknowledged {
     std::uint64_t version = 0;
--- a/tools/soak/options.hpp
+++ b/tools/soak/options.hpp
@@ -3,7 +3,7 @@
 
 namespace tealshelf::soak {
 
-/// The troubles that a run draws from; docs/soak.md says what each does.
+/// Kinds of injected faults; docs/soak.md describes them.
 enum class FaultKind {
   killNode,
   pauseNode,
@@ -44,11 +44,11 @@
   return "";
 }
 
-/// What is killed in the moment in which the disks of the closing fault are lost.
+/// Which other processes are killed at the moment of the disk losses that end the fault phase.
 enum class ClosingFault {
-  none,     ///< there is no closing fault
-  any,      ///< drawn by the seed
-  alone,    ///< nothing else
+  none,     ///< no closing fault
+  any,      ///< drawn from the seed
+  alone,    ///< no other process
   counted,  ///< all other processes with a disk
   everyone  ///< all other processes of all machines
 };
@@ -63,28 +63,28 @@
                                                    {ClosingFault::counted, "counted"},
                                                    {ClosingFault::everyone, "everyone"}}};
 
-/// What a run is made of; the command line sets it.
+/// Settings of a run, from the command line.
 struct Options {
-  string build;      ///< folder of the programs
-  string directory;  ///< a run keeps settings files, disks and logs in a folder of its own below
+  string build;      ///< build folder with the programs
+  string directory;  ///< each run keeps settings files, disks and logs in a subfolder
   std::uint64_t seed = 1;
-  int seeds = 1;     ///< runs, one after the other, with rising seeds
-  int seconds = 60;  ///< of faults; start, repair and the last checks come on top
+  int seeds = 1;     ///< number of consecutive runs, with increasing seeds
+  int seconds = 60;  ///< fault phase only, without start, recovery and final checks
   bool keepAlways = false;
   int controls = 3, forwarders = 1, plainEdges = 1, stores = 4, zones = 3;
   int survive = 1;
   int modelWorkers = 4, appWorkers = 2;
   int storeDiskMb = 8, controlDiskMb = 64;
-  int keepAliveClients = 8;  ///< that hold on to their connections
+  int keepAliveClients = 8;  ///< clients with persistent connections
   double requestsPerSecond = 25, lotsPerSecond = 1.5;
   int itemsPerLot = 16, itemBytes = 6000;
-  double unservedShare = 0.25;  ///< of the lots: nobody serves their route, so that their items wait for good
-  Ms changePause{400};          ///< between two changes of the configuration
+  double unservedShare = 0.25;  ///< share of lots without workers, whose items stay queued
+  Ms changePause{400};          ///< between two configuration changes
   int faultsAtOnce = 3;
   ClosingFault closing = ClosingFault::any;
   string logLevel = "info";
   vector<FaultKind> faults;
-  bool runsSelfTest = false;  ///< the soak breaks what it checks on purpose: see SelfTest
+  bool runsSelfTest = false;  ///< injects violations that the checks must detect: see SelfTest
 };
 
 }  // namespace tealshelf::soak
--- a/tools/soak/platform_ledger.hpp
+++ b/tools/soak/platform_ledger.hpp
@@ -3,24 +3,24 @@
 
 namespace tealshelf::soak {
 
-/// A call of a duty as the platform reads it.
+/// A call to the platform from a holder of the duties.
 struct DutyCall {
   string owner;
   std::uint64_t fence = 0;
-  string subject;  ///< `usage`, or the service and zone of an order
+  string subject;  ///< `usage`, or service and zone of a capacity order
   std::optional<std::int64_t> window;
   string body;
 };
 
-/// What the platform has taken, and whether that keeps to the rule ONE.
+/// Calls that the platform has accepted; checks the rule ONE (a single holder of the duties at a time).
 class PlatformLedger {
  public:
   explicit PlatformLedger(Ms lease) : lease_(lease) {}
-  /// False if a higher fence was seen for the subject: the call counts for nothing.
+  /// False if the subject has been called under a higher fence: the call is rejected.
   bool admit(DutyCall const& call);
-  /// Takes an admitted call; gives what it breaks, or nothing.
+  /// Records an admitted call and returns the violations that it shows.
   vector<string> take(DutyCall const& call, TimePoint now);
-  /// Windows that were left out between the first and the last that was reported.
+  /// Unreported windows between the first and the last reported one.
   std::size_t gaps() const;
 
  private:
@@ -29,10 +29,10 @@
     TimePoint at;
   };
   Ms lease_;
-  std::map<string, std::uint64_t> highestFences_;               ///< by subject
-  std::map<std::pair<string, std::uint64_t>, string> holders_;  ///< by subject and fence
-  std::map<string, std::deque<Taken>> recent_;                  ///< of the last lease, by subject
-  std::map<std::int64_t, string> reports_;                      ///< bodies by window
+  std::map<string, std::uint64_t> highestFences_;               ///< highest fence by subject
+  std::map<std::pair<string, std::uint64_t>, string> holders_;  ///< owner by subject and fence
+  std::map<string, std::deque<Taken>> recent_;                  ///< calls within the last lease period, by subject
+  std::map<std::int64_t, string> reports_;                      ///< report bodies by window
 };
 
 }  // namespace tealshelf::soak
--- a/tools/soak/request_client.cpp
+++ b/tools/soak/request_client.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 constexpr Ms timeLeft{2000};
-/// So long after the client's deadline an answer, an error at least, must have come; generous, as the machine is
+/// An answer, at least an error, must arrive within this time after the deadline; generous because the machine is
 /// shared.
 constexpr Ms answerTimeoutMargin{3000};
-/// A process may be hit by a fault just as a request leaves.
+/// Share of requests sent to any edge, even one with an outage, since a fault may begin just as a request is sent.
 constexpr double anyEdgeShare = 0.1;
 constexpr int minEvents = 2, maxEvents = 12;
 
@@ -102,7 +102,7 @@
   if (denied) verdict_.fail("DENIED", edge.plan.name + " ends " + request.path + " with " + answer.describe());
 }
 
-/// A request must end with an answer unless its edge was in trouble; a stream also ends with its worker's.
+/// A request must be answered unless its edge had an outage; a stream may also break off with its worker's answer.
 void RequestClient::checkUnanswered(ClusterNode const& edge, TrackedRequest const& request, HttpAnswer const& answer) {
   if (cluster_.hadOutage(edge, answer.sentAt - outageMargin, answer.endedAt + outageMargin)) {
     verdict_.count("requests cut by trouble of their edge");
--- a/tools/soak/request_client.hpp
+++ b/tools/soak/request_client.hpp
@@ -6,7 +6,7 @@
 
 namespace tealshelf::soak {
 
-/// Clients of plain requests and streams: they call any edge and check each answer against what the workers sent.
+/// Clients of plain requests and streams: they call random edges and check each answer against what the workers sent.
 class RequestClient {
  public:
   RequestClient(asio::io_context& io, Cluster& cluster, Ledger& ledger, Verdict& verdict, std::uint64_t seed);
@@ -14,9 +14,10 @@
   Task<void> arrivals(double perSecond);
   void stop() { stopping_ = true; }
   std::size_t underWay() const { return underWay_; }
-  /// One request to an edge whose answer is checked; true if it was served.
+  /// Sends one request to an edge and checks the answer; true if the request was served.
   Task<bool> requestAt(ClusterNode& edge, RequestKind kind);
-  /// One request of any kind on an open connection, whose answer is checked; true if the connection may be used on.
+  /// Sends one request of a random kind on an open connection and checks the answer; true if the connection may be
+  /// reused.
   Task<bool> requestOn(ClusterNode& edge, PersistentConnection& connection);
 
  private:
@@ -38,7 +39,7 @@
   bool stopping_ = false;
 };
 
-/// Picks an edge as the platform does: one that serves, now and then any.
+/// Picks a random edge without an outage, as the platform does, and occasionally any edge.
 ClusterNode& drawEdge(Cluster& cluster, Random& random);
 
 }  // namespace tealshelf::soak
--- a/tools/soak/self_test.hpp
+++ b/tools/soak/self_test.hpp
@@ -6,8 +6,8 @@
 
 namespace tealshelf::soak {
 
-/// The soak's test of itself: in a run without faults it breaks what the checks watch, each break on another lot or
-/// process. The run passes if the checks noticed each break, and nothing else.
+/// Tests the checks themselves: in a run without faults it injects violations, each at another lot or process. The run
+/// passes if the checks report each violation and nothing else.
 class SelfTest {
  public:
   SelfTest(asio::io_context& io, bool on, Cluster& cluster, vector<std::unique_ptr<StandInWorker>>& workers,
@@ -19,24 +19,24 @@
         lotChecker_(book),
         tallies_(tallies),
         verdict_(verdict) {}
-  /// Waits until enough lots were accepted, then begins to break things.
+  /// Waits until enough lots have been accepted, then injects the violations.
   Task<void> run();
-  /// Changes the answer to a read of a lot, before anybody looks at it.
+  /// Corrupts the answer to a read of a lot before it is checked.
   void corruptRead(Lot const& lot, HttpAnswer& answer);
-  /// Changes the answer to a question for an item's body.
+  /// Corrupts the answer to a read of an item's body.
   void corruptBody(Lot const& lot, HttpAnswer& answer) const;
-  /// Writes what a failed check of the code would write.
+  /// Writes a log file with the line of a failed invariant.
   void corruptLogs(string const& directory) const;
-  /// Tells whether the run counts as passed.
+  /// True if the run passed, with or without the self-test.
   bool judge() const;
 
  private:
-  /// A report that must come: its rule and parts of its text. Others of the rule and subject may come, too.
+  /// A failure that must be reported: its rule and parts of its text. Others with the same rule and subject may follow.
   struct InjectedViolation {
     string rule, subject, text;
   };
 
-  /// Orders workers at the platform under one fence and two names.
+  /// Sends capacity orders of two owners under the same fence to the platform.
   Task<void> sendOrdersUnderOneFence();
 
   asio::io_context& io_;
@@ -47,9 +47,9 @@
   TallyClient& tallies_;
   Verdict& verdict_;
   vector<InjectedViolation> injectedViolations_;
-  Lot const* unreadableLot_ = nullptr;     ///< answers 503 from some moment on
-  Lot const* lotWithoutBodies_ = nullptr;  ///< the bodies of its items are called unknown
-  Lot const* alteredLot_ = nullptr;        ///< its first result has another text, once
+  Lot const* unreadableLot_ = nullptr;     ///< its reads get a 503
+  Lot const* lotWithoutBodies_ = nullptr;  ///< its item bodies get a 404
+  Lot const* alteredLot_ = nullptr;        ///< one result has another text in one answer
   bool resultWasAltered_ = false;
 };
 
--- a/tools/soak/soak_run.cpp
+++ b/tools/soak/soak_run.cpp
@@ -89,12 +89,12 @@
   co_await checks_.run();
   co_await tallies_.checkAtEnd(Clock::now() + cluster_.bounds().recover);
   co_await checkUsageIsReported(Clock::now() + cluster_.bounds().recover);
-  // What reaches a worker after all is told, too.
+  // Wait for late requests at workers, which are checked too.
   co_await sleepFor(pollInterval);
 }
 
-/// With all faults mended, windows are reported again, whoever holds the duties: those that end after that, and all
-/// that were due before.
+/// Once all faults have ended, usage must be reported again by whichever node holds the duties: windows that end from
+/// now on, and all that were due before.
 Task<void> SoakRun::checkUsageIsReported(TimePoint until) {
   std::int64_t const present = wallClockMs() / cluster_.bounds().reportWindow.count();
   while (cluster_.reportsTaken().newestWindow < present && Clock::now() < until) co_await sleepFor(pollInterval);
@@ -146,7 +146,7 @@
   if (options_.closing != ClosingFault::none) co_await faults_.run(planner.drawClosing());
 }
 
-/// Waits until lost disks count as recovered: `catchUp` after their return, and longer if more than `survive` was lost.
+/// Waits until lost disks must be recovered: `catchUp` after their return, or `recover` if more than `survive` failed.
 Task<void> SoakRun::repair(bool beyondSurvive) {
   SoakBounds const& bounds = cluster_.bounds();
   co_await sleepFor(beyondSurvive ? bounds.recover : bounds.catchUp + bounds.inTouch / 6);
--- a/tools/soak/soak_run.hpp
+++ b/tools/soak/soak_run.hpp
@@ -6,13 +6,13 @@
 
 namespace tealshelf::soak {
 
-/// One run with one seed: start, traffic under faults, repair, last checks.
+/// One run with one seed: start, traffic under faults, recovery, final checks.
 class SoakRun {
  public:
   explicit SoakRun(Options const& options);
-  /// True if all checks passed.
+  /// Executes the run; true if it passed.
   bool run();
-  /// Ends all processes of the run.
+  /// Kills all processes of the run.
   void stop() { cluster_.stopAll(); }
 
  private:
--- a/tools/soak/stand_in_platform.cpp
+++ b/tools/soak/stand_in_platform.cpp
@@ -32,7 +32,7 @@
   return string(value.data(), value.size());
 }
 
-/// Nothing if the call isn't one of a duty.
+/// Nothing if the request isn't a valid call of a duty.
 std::optional<DutyCall> dutyCallFrom(HttpRequest const& request) {
   DutyCall call;
   call.owner = textOf(request, "Duty-Owner");
--- a/tools/soak/stand_in_platform.hpp
+++ b/tools/soak/stand_in_platform.hpp
@@ -8,28 +8,28 @@
 
 namespace tealshelf::soak {
 
-/// What the stand-in of the platform is told.
+/// Settings of the stand-in platform.
 struct PlatformOptions {
   string at;  ///< IP:PORT
   std::uint64_t seed = 1;
   double callsPerSecond = 20;
   int leaseMs = 1500;
-  /// Else it is busy, silent, slow and resets connections for a while, now and then, until it gets `recoverySignal`.
+  /// If false, it is at times busy, silent or slow, or resets connections, until it receives `recoverySignal`.
   bool neverMisbehaves = false;
 };
 
-/// How calls are treated for a while.
+/// How the platform currently handles calls.
 enum class PlatformBehavior { normal, busy, silent, resets, slow };
 
-/// Ends all misbehaviour of the process for good.
+/// Makes the process answer normally from then on.
 constexpr int recoverySignal = SIGUSR1;
 
-/// The command that starts the process.
+/// Subcommand that starts the platform process.
 constexpr char const* platformCommand = "platform";
 
-/// The platform of the soak, in a process of its own: takes the calls of the duties, misbehaves in turns, and checks
+/// Stand-in for the platform, in a process of its own: accepts the calls of the duties, misbehaves at times, and checks
 /// the rule ONE. It prints a line for each violation (`FAILED ...`) and, with the time since its start, for each call
-/// that it took or didn't take and for each change of how it treats calls.
+/// that it accepts or rejects and for each change of its behavior.
 class StandInPlatform {
  public:
   StandInPlatform(asio::io_context& io, PlatformOptions const& options);
@@ -37,12 +37,12 @@
 
  private:
   Task<void> changeBehavior();
-  /// Waits for the signal that makes it well for good.
+  /// Waits for `recoverySignal`.
   Task<void> awaitRecovery();
   Task<void> serve(std::shared_ptr<tcp::socket> socket);
   Task<void> answer(tcp::socket& socket, HttpRequest const& request);
   int statusFor(HttpRequest const& request);
-  /// Prints a line that begins with the time since the start.
+  /// Prints a line prefixed with the time since the start.
   void print(string const& text) const;
   int take(DutyCall const& call);
 
@@ -53,10 +53,10 @@
   Listener listener_;
   TimePoint const startedAt_ = Clock::now();
   PlatformBehavior behavior_ = PlatformBehavior::normal;
-  std::deque<TimePoint> calls_;  ///< of the last second
+  std::deque<TimePoint> calls_;  ///< times of the calls of the last second
 };
 
-/// The main function of that process.
+/// Main function of the platform process.
 int runPlatform(PlatformOptions const& options);
 
 }  // namespace tealshelf::soak
--- a/tools/soak/stand_in_worker.cpp
+++ b/tools/soak/stand_in_worker.cpp
@@ -235,7 +235,7 @@
   }
 }
 
-/// One heartbeat; learns where the next one goes.
+/// Sends one heartbeat and sets the address for the next one from the answer.
 Task<bool> StandInWorker::sendHeartbeat(Address& to) {
   HttpRequest request = makeRequest(http::verb::put, "/servers/" + id_, to.text());
   request.body() = "{\"service\":\"" + plan_.service + "\",\"address\":\"" + plan_.address.text() + "\",\"zone\":\"" +
--- a/tools/soak/stand_in_worker.hpp
+++ b/tools/soak/stand_in_worker.hpp
@@ -6,29 +6,29 @@
 
 namespace tealshelf::soak {
 
-/// What a worker is and where it may register.
+/// Settings of a worker, and the control nodes where it may register.
 struct WorkerPlan {
   string name, service, zone;
   Address address;
   int capacity = 16;
   SoakBounds bounds;
-  vector<Address> controls;  ///< nodes that take heartbeats
+  vector<Address> controls;  ///< control nodes that accept heartbeats
 };
 
-/// A worker of the soak: it registers, runs requests for a short while and tells the ledger of each. A share of its
-/// answers is broken off, a share of requests refused, each heartbeat's answer may be lost. After each start but the
-/// first it warms up, and checks that it gets no more than the rule allows then.
+/// A stand-in worker: registers, runs each request for a few milliseconds and records it in the ledger. It truncates a
+/// share of its answers, refuses a share of the requests and ignores a share of the heartbeat answers. After each start
+/// but the first it warms up, and checks that it then gets no more requests than the rule allows.
 class StandInWorker {
  public:
   StandInWorker(asio::io_context& io, WorkerPlan plan, Ledger& ledger, Verdict& verdict, std::uint64_t seed);
-  /// Begins a new life under a new id.
+  /// Starts a new incarnation under a new id.
   void start();
-  /// Resets all connections and says nothing more until the next start().
+  /// Resets all connections and stays silent until the next start().
   void crash();
   bool isRunning() const { return acceptor_.is_open(); }
-  /// It warms up from now on, as a worker of an evacuated zone does.
+  /// Begins a warm-up, as a worker of an evacuated zone does.
   void beginWarmUp() { warmUpUntil_ = Clock::now() + plan_.bounds.warmUp; }
-  /// The same, but it says nothing of it: what it gets must be noticed.
+  /// Begins a warm-up that isn't reported to the nodes, so that the check must see too many requests.
   void beginUnreportedWarmUp(Ms duration);
   string const& id() const { return id_; }
   string const& zone() const { return plan_.zone; }
@@ -44,9 +44,9 @@
   Task<bool> reply(tcp::socket& socket, HttpReply answer);
   HttpReply refusal(int status, string const& id) const;
   string load() const;
-  /// Time for which it says that it warms up yet.
+  /// Remaining warm-up time that it reports.
   Ms warmUpLeft() const;
-  /// Counts a request that arrived; 421 isn't counted.
+  /// Counts an arriving request against the warm-up limit; requests answered with 421 aren't counted.
   void countArrival();
   Task<void> heartbeats(int incarnation);
   Task<bool> sendHeartbeat(Address& to);
@@ -61,7 +61,7 @@
   string id_;
   int incarnation_ = 0, running_ = 0, heartbeatCount_ = 0;
   TimePoint warmUpUntil_, unreportedWarmUpUntil_;
-  std::deque<TimePoint> warmUpArrivals_;  ///< of the last second
+  std::deque<TimePoint> warmUpArrivals_;  ///< arrivals within the last second of a warm-up
 };
 
 }  // namespace tealshelf::soak
--- a/tools/soak/tally_client.cpp
+++ b/tools/soak/tally_client.cpp
@@ -116,7 +116,7 @@
   return sum;
 }
 
-/// What was acknowledged, but for what one disk may have had alone and lost.
+/// Sum of the acknowledged additions, except those that may have been stored on a single disk that was then lost.
 std::int64_t TallyClient::guaranteedTotalOf(string const& tally) const {
   std::int64_t sum = 0;
   for (Addition const& addition : additions_) {
--- a/tools/soak/tally_client.hpp
+++ b/tools/soak/tally_client.hpp
@@ -4,21 +4,21 @@
 
 namespace tealshelf::soak {
 
-/// Applications that add to tallies and read them at the control nodes, on both sides of cuts.
+/// Applications that add to tallies and read them at the control nodes, on both sides of network partitions.
 ///
-/// Checked: a read never tells more than was added (TWICE), nor less than the same process acknowledged (STALE); at the
-/// end all control nodes tell the same, with all that was acknowledged (LOST).
+/// Checks that a read never returns more than was added (TWICE) or less than the same process acknowledged (STALE), and
+/// that at the end all control nodes return the same total with all acknowledged additions (LOST).
 class TallyClient {
  public:
   TallyClient(asio::io_context& io, Cluster& cluster, Verdict& verdict, std::uint64_t seed)
       : io_(io), cluster_(cluster), verdict_(verdict), random_(seed, "tallies") {}
-  /// Calls as the applications of one zone do, until stop().
+  /// Acts as an application in a zone until stop().
   Task<void> callFrom(string zone);
   void stop() { stopping_ = true; }
   std::size_t underWay() const { return underWay_; }
-  /// Compares the totals of all control nodes with what was added.
+  /// Compares the totals of all control nodes with the additions.
   Task<void> checkAtEnd(TimePoint until);
-  /// Takes an addition for acknowledged that never was sent; its tally's name.
+  /// For the self-test: records an acknowledged addition that was never sent; returns the tally's name.
   string pretendAcknowledged();
 
  private:
@@ -26,27 +26,27 @@
     ClusterNode* by = nullptr;
     int incarnation = 0;
     TimePoint at;
-    bool mayBeUnderReplicated = false;  ///< too few others could be reached for all the copies
+    bool mayBeUnderReplicated = false;  ///< too few nodes may have been reachable for all replicas
   };
   struct Addition {
     string tally, id;
     std::int64_t change = 0;
-    bool mayCount = false;  ///< a try had another end than a promise that nothing was counted
+    bool mayCount = false;  ///< an attempt ended without a guarantee that nothing was added
     std::optional<Acknowledgement> acknowledged;
   };
 
   Task<void> addOnce(string zone);
   Task<HttpAnswer> post(Addition const& addition, ClusterNode& control);
-  /// The total that a node tells; nothing if it tells none.
+  /// Reads the total at a node; nothing if the read fails.
   Task<std::optional<std::int64_t>> read(ClusterNode& control, string tally);
   Task<void> readOnce(string zone);
-  /// A control node, most often the first that answers of the zone.
+  /// Picks a random control node, most often one in the zone.
   ClusterNode& drawControl(string const& zone);
   std::int64_t maxTotalOf(string const& tally) const;
   std::int64_t acknowledgedTotalBy(ClusterNode const& control, string const& tally) const;
   std::int64_t guaranteedTotalOf(string const& tally) const;
   bool isReplicationDoubtful() const;
-  /// What is wrong with the totals of a tally at all control nodes; empty if nothing is.
+  /// Reads a tally at all control nodes and describes the first wrong total; empty if all are right.
   Task<string> describeMismatch(string tally);
 
   asio::io_context& io_;
--- a/tools/soak/verdict.cpp
+++ b/tools/soak/verdict.cpp
@@ -5,7 +5,7 @@
 namespace tealshelf::soak {
 
 namespace {
-/// Failed checks that are shown; a broken run may have thousands.
+/// Failed checks printed to the console; a run may have thousands.
 constexpr std::uint64_t maxShown = 25;
 }  // namespace
 
--- a/tools/soak/verdict.hpp
+++ b/tools/soak/verdict.hpp
@@ -9,21 +9,20 @@
   string rule, text;
 };
 
-/// Notes what happened in a run and which checks failed. Both go to the console and to files beside the logs.
+/// Records the events and failed checks of a run, on the console and in events.txt beside the logs.
 class Verdict {
  public:
   Verdict(string directory, std::uint64_t seed);
-  /// A check failed: the rule that is broken, and how.
+  /// Records a failed check: the violated rule and what was found.
   void fail(string_view rule, string const& text);
-  /// Something that helps to read the run.
+  /// Writes an event to the console and the file.
   void note(string const& text);
-  /// Something for the file only.
+  /// Writes an event to the file only.
   void trace(string const& text);
   void count(string_view what) { ++counts_[string(what)]; }
   std::uint64_t failures() const { return failed_.size(); }
-  /// All failed checks.
   vector<FailedCheck> const& failed() const { return failed_; }
-  /// Writes what was counted, one line.
+  /// Writes all counters in one line, and the result.
   void summarize();
 
  private:
