--- a/tools/soak/cluster.cpp
+++ b/tools/soak/cluster.cpp
@@ -86,18 +86,18 @@
   platform_.signal(recoverySignal);
 }
 
-Cluster::ReportsTaken Cluster::reportsTaken() const {
+Cluster::AcceptedReports Cluster::acceptedReports() const {
   static string const mark = " taken usage ", gapsMark = ", gaps ";
   std::ifstream log(platformLog());
-  ReportsTaken taken;
+  AcceptedReports accepted;
   string line;
   while (std::getline(log, line)) {
     std::size_t const at = line.find(mark), gapsAt = line.find(gapsMark);
     if (at == string::npos || gapsAt == string::npos) continue;
-    taken.newestWindow = std::max<std::int64_t>(taken.newestWindow, std::stoll(line.substr(at + mark.size())));
-    taken.gaps = std::stoull(line.substr(gapsAt + gapsMark.size()));
+    accepted.newestWindow = std::max<std::int64_t>(accepted.newestWindow, std::stoll(line.substr(at + mark.size())));
+    accepted.gaps = std::stoull(line.substr(gapsAt + gapsMark.size()));
   }
-  return taken;
+  return accepted;
 }
 
 void Cluster::startAll() {
--- a/tools/soak/cluster.hpp
+++ b/tools/soak/cluster.hpp
@@ -36,11 +36,11 @@
   /// Makes the platform answer normally for the rest of the run.
   void stopPlatformFaults();
   /// Usage reports that the platform has accepted so far.
-  struct ReportsTaken {
+  struct AcceptedReports {
     std::int64_t newestWindow = 0;  ///< window number; 0 before the first report
     std::size_t gaps = 0;           ///< unreported windows between the first and the last reported one
   };
-  ReportsTaken reportsTaken() const;
+  AcceptedReports acceptedReports() const;
   /// Starts all nodes for the first time.
   void startAll();
   vector<std::unique_ptr<ClusterNode>> const& nodes() const { return nodes_; }
--- a/tools/soak/edge_probe.cpp
+++ b/tools/soak/edge_probe.cpp
@@ -14,7 +14,7 @@
     : io_(io), cluster_(cluster), operators_(operators), ledger_(ledger), verdict_(verdict), random_(seed, "probe") {}
 
 Task<void> EdgeProbe::watch(ClusterNode& edge) {
-  ++underWay_;
+  ++inFlight_;
   ObservedVersion observed;
   while (!stopping_) {
     co_await sleepFor(probePeriod);
@@ -27,7 +27,7 @@
     if (observed.incarnation != incarnation) observed = ObservedVersion{incarnation, 0, {}};
     check(edge, observed, version, answer);
   }
-  --underWay_;
+  --inFlight_;
 }
 
 /// Picks one of the newest acknowledged versions; 0 if there is none.
@@ -42,7 +42,7 @@
   TrackedRequest request;
   request.id = random_.identifier();
   request.path = markerPathStart(version) + request.id;
-  TrackedRequest& tracked = ledger_.enter(std::move(request));
+  TrackedRequest& tracked = ledger_.add(std::move(request));
   HttpRequest message = makeRequest(http::verb::post, tracked.path, requestHost);
   message.set("Attempt-Id", tracked.id);
   message.set("Time-Left-Ms", "2000");
--- a/tools/soak/fault_driver.cpp
+++ b/tools/soak/fault_driver.cpp
@@ -28,7 +28,7 @@
 }
 
 Task<void> FaultDriver::runFault(Fault fault, std::shared_ptr<std::size_t> pending) {
-  co_await sleepFor(fault.startsAfter);
+  co_await sleepFor(fault.startDelay);
   if (fault.afterAcknowledgement && fault.afterLot) co_await awaitAcceptedLot();
   if (fault.afterAcknowledgement && !fault.afterLot) co_await operators_.awaitAcknowledgement(waitForAcknowledgement);
   verdict_.note("fault begins: " + fault.describe(cluster_.topology()));
@@ -48,7 +48,7 @@
   if (fault.kind == FaultKind::terminate) co_return co_await runTermination(fault);
   if (fault.kind == FaultKind::evacuate) co_return co_await runEvacuation(fault);
   begin(fault);
-  co_await sleepFor(fault.lasts);
+  co_await sleepFor(fault.duration);
   end(fault);
 }
 
@@ -66,7 +66,7 @@
     --node.activeKills;
   }
   verdict_.count("processes told to end");
-  co_await sleepFor(fault.lasts);
+  co_await sleepFor(fault.duration);
   cluster_.endTermination(node);
 }
 
@@ -74,7 +74,7 @@
   Ms const limit = orderTimeoutFactor * cluster_.bounds().confirmWithin;
   bool const acknowledged = co_await operators_.orderEvacuation(http::verb::post, fault.zone, limit);
   if (acknowledged) verdict_.count("zones evacuated");
-  co_await sleepFor(fault.lasts);
+  co_await sleepFor(fault.duration);
   for (std::unique_ptr<StandInWorker> const& worker : workers_)
     if (worker->zone() == fault.zone && worker->isRunning()) worker->beginWarmUp();
   bool const endAcknowledged = co_await operators_.orderEvacuation(http::verb::delete_, fault.zone, limit);
@@ -139,12 +139,12 @@
 }
 
 /// Cuts the links between a fault's nodes and all other nodes with a disk; for an edge cut, all other machines.
-void FaultDriver::setLinkCuts(Fault const& fault, bool isCut) {
+void FaultDriver::setLinkCuts(Fault const& fault, bool cuts) {
   std::set<string> inside;
   for (std::size_t const index : fault.nodes) inside.insert(cluster_.topology().nodes[index].ip);
   bool const isEdgeCut = fault.kind == FaultKind::edgeCut;
-  auto const set = [this, isCut](string const& from, string const& to) {
-    if (isCut)
+  auto const set = [this, cuts](string const& from, string const& to) {
+    if (cuts)
       cluster_.networkFaults().cut(from, to);
     else
       cluster_.networkFaults().restore(from, to);
--- a/tools/soak/fault_driver.hpp
+++ b/tools/soak/fault_driver.hpp
@@ -28,7 +28,7 @@
   void killSimultaneously(Fault const& fault);
   void beginAtNode(Fault const& fault, ClusterNode& node);
   void endAtNode(Fault const& fault, ClusterNode& node);
-  void setLinkCuts(Fault const& fault, bool isCut);
+  void setLinkCuts(Fault const& fault, bool cuts);
 
   asio::io_context& io_;
   Cluster& cluster_;
--- a/tools/soak/fault_plan.cpp
+++ b/tools/soak/fault_plan.cpp
@@ -24,8 +24,8 @@
 }  // namespace
 
 string Fault::describe(Topology const& topology) const {
-  string text = string(nameOf(kind)) + " at " + std::to_string(startsAfter.count()) + " ms for " +
-                std::to_string(lasts.count()) + " ms";
+  string text = string(nameOf(kind)) + " at " + std::to_string(startDelay.count()) + " ms for " +
+                std::to_string(duration.count()) + " ms";
   if (afterAcknowledgement) text += afterLot ? " after a lot's acknowledgement" : " after an acknowledgement";
   if (oneWay) text += " one way";
   if (repeats > 1) text += ", " + std::to_string(repeats) + " times";
@@ -71,7 +71,7 @@
 Fault FaultPlanner::loseDisks() {
   Fault fault;
   fault.kind = FaultKind::loseDisk;
-  fault.lasts = random_.duration(minFaultLength, groupFaultLength);
+  fault.duration = random_.duration(minFaultLength, groupFaultLength);
   fault.afterAcknowledgement = random_.chance(afterAcknowledgementShare);
   fault.afterLot = afterLotRandom_.chance(afterLotShare);
   vector<std::size_t> candidates = nodesWithDisk();
@@ -87,8 +87,8 @@
   Fault fault;
   if (kind == FaultKind::loseDisk) fault = loseDisks();
   fault.kind = kind;
-  if (fault.lasts == Ms(0)) fault.lasts = random_.duration(minFaultLength, maxFaultLength);
-  fault.startsAfter = random_.duration(Ms(0), maxStartDelay);
+  if (fault.duration == Ms(0)) fault.duration = random_.duration(minFaultLength, maxFaultLength);
+  fault.startDelay = random_.duration(Ms(0), maxStartDelay);
   fault.oneWay = random_.chance(oneWayShare);
   vector<std::size_t> const controls = nodesOf(NodeRole::control), stores = nodesOf(NodeRole::store);
   switch (kind) {
@@ -100,11 +100,11 @@
       break;
     case FaultKind::killAllControl:
       fault.nodes = controls;
-      fault.lasts = std::min(fault.lasts, groupFaultLength);
+      fault.duration = std::min(fault.duration, groupFaultLength);
       break;
     case FaultKind::killAllStores:
       fault.nodes = stores;
-      fault.lasts = std::min(fault.lasts, groupFaultLength);
+      fault.duration = std::min(fault.duration, groupFaultLength);
       break;
     case FaultKind::coreCut:
       fault.nodes = {random_.pick(nodesWithDisk())};
@@ -133,7 +133,7 @@
   bool const isSeries = mayBeRepeated(kind) && random_.chance(seriesShare);
   if (!isSeries) return fault;
   fault.repeats = random_.between(2, maxRepeats);
-  fault.lasts = fault.lasts / fault.repeats;
+  fault.duration = fault.duration / fault.repeats;
   return fault;
 }
 
--- a/tools/soak/fault_plan.hpp
+++ b/tools/soak/fault_plan.hpp
@@ -8,7 +8,7 @@
 /// One fault: its start within the episode, its duration and its targets.
 struct Fault {
   FaultKind kind = FaultKind::killNode;
-  Ms startsAfter{0}, lasts{0};
+  Ms startDelay{0}, duration{0};
   vector<std::size_t> nodes;       ///< indexes into Topology::nodes; for workerCrash indexes of workers
   vector<std::size_t> alsoKilled;  ///< killed at the same moment as `nodes`, which lose their disks
   string zone;                     ///< zone to evacuate
--- a/tools/soak/final_checks.cpp
+++ b/tools/soak/final_checks.cpp
@@ -75,7 +75,7 @@
 Task<void> FinalChecks::checkLotsFinish(TimePoint until) {
   vector<ClusterNode*> const edges = cluster_.nodesOf(NodeRole::edge);
   vector<Lot*> unfinished = lotChecker_.accepted();
-  std::erase_if(unfinished, [](Lot const* lot) { return !lot->hasWorkers() || lot->endAsked; });
+  std::erase_if(unfinished, [](Lot const* lot) { return !lot->hasWorkers() || lot->endRequested; });
   std::size_t nextEdge = 0;
   std::map<Lot const*, string> lastFailures;
   while (!unfinished.empty() && Clock::now() < until) {
@@ -115,7 +115,7 @@
 
 /// Bodies of items without a listed result must be readable; lots that a client asked to end are skipped.
 Task<void> FinalChecks::checkBodiesAt(Lot& lot, ClusterNode& edge, TimePoint until) {
-  if (lot.endAsked) co_return;
+  if (lot.endRequested) co_return;
   std::size_t asked = 0;
   for (string const& item : lot.items) {
     if (lot.positions.contains(item) || ++asked > maxBodies) continue;
--- a/tools/soak/keep_alive_client.cpp
+++ b/tools/soak/keep_alive_client.cpp
@@ -6,15 +6,15 @@
 constexpr Ms connectLimit{1000}, minRequestPause{5}, maxRequestPause{250};
 }  // namespace
 
-Task<void> KeepAliveClient::hold() {
-  ++underWay_;
+Task<void> KeepAliveClient::runClient() {
+  ++inFlight_;
   while (!stopping_) {
     ClusterNode& edge = drawEdge(cluster_, random_);
     bool isReachable = true;
     while (isReachable && !stopping_) isReachable = co_await useConnection(edge);
     co_await sleepFor(maxRequestPause);
   }
-  --underWay_;
+  --inFlight_;
 }
 
 Task<bool> KeepAliveClient::useConnection(ClusterNode& edge) {
--- a/tools/soak/keep_alive_client.hpp
+++ b/tools/soak/keep_alive_client.hpp
@@ -10,9 +10,9 @@
   KeepAliveClient(asio::io_context& io, Cluster& cluster, RequestClient& requests, Verdict& verdict, std::uint64_t seed)
       : io_(io), cluster_(cluster), requests_(requests), verdict_(verdict), random_(seed, "kept clients") {}
   /// Runs one client until stop().
-  Task<void> hold();
+  Task<void> runClient();
   void stop() { stopping_ = true; }
-  std::size_t underWay() const { return underWay_; }
+  std::size_t inFlight() const { return inFlight_; }
 
  private:
   /// Opens a connection and uses it until it ends; false if it couldn't be opened.
@@ -23,7 +23,7 @@
   RequestClient& requests_;
   Verdict& verdict_;
   Random random_;
-  std::size_t underWay_ = 0;
+  std::size_t inFlight_ = 0;
   bool stopping_ = false;
 };
 
--- a/tools/soak/ledger.cpp
+++ b/tools/soak/ledger.cpp
@@ -21,7 +21,7 @@
   return text;
 }
 
-TrackedRequest& Ledger::enter(TrackedRequest request) {
+TrackedRequest& Ledger::add(TrackedRequest request) {
   string const id = request.id;
   return requests_[id] = std::move(request);
 }
@@ -36,7 +36,7 @@
   if (path != request.path || body != request.body)
     verdict_.fail("UNASKED", id + " reached a worker with a changed path or body: " + path);
   if (request.refused) verdict_.fail("REFUSED", id + " runs although its client was promised that it won't");
-  if (request.neverAfter && Clock::now() > *request.neverAfter)
+  if (request.mustNotRunAfter && Clock::now() > *request.mustNotRunAfter)
     verdict_.fail("UNASKED", id + " of lot " + request.lot + " runs after the lot's end was acknowledged");
   ++request.runs;
   if (request.runs > 1 && !request.mayRunTwice()) verdict_.fail("TWICE", id + " runs a second time");
--- a/tools/soak/ledger.hpp
+++ b/tools/soak/ledger.hpp
@@ -23,10 +23,10 @@
   int events = 0;  ///< number of events; 0 if it isn't a stream
   string lot;      ///< lot of an item
   int runs = 0;
-  bool brokenOff = false;               ///< a worker truncated its answer or crashed
-  bool refused = false;                 ///< an answer guaranteed that it never runs
-  std::set<string> seals;               ///< seals that workers put on its answers
-  std::optional<TimePoint> neverAfter;  ///< it must not reach a worker after this time
+  bool brokenOff = false;                    ///< a worker truncated its answer or crashed
+  bool refused = false;                      ///< an answer guaranteed that it never runs
+  std::set<string> seals;                    ///< seals that workers put on its answers
+  std::optional<TimePoint> mustNotRunAfter;  ///< it must not reach a worker after this time
 
   bool isStream() const { return events > 0; }
   bool mayRunTwice() const { return kind != RequestKind::oneShot && kind != RequestKind::singleStream; }
@@ -42,7 +42,7 @@
 class Ledger {
  public:
   explicit Ledger(Verdict& verdict) : verdict_(verdict) {}
-  TrackedRequest& enter(TrackedRequest request);
+  TrackedRequest& add(TrackedRequest request);
   TrackedRequest& at(string const& id) { return requests_.at(id); }
   /// Records that a worker begins to run a request, and checks that it may. Null if no client sent such a request.
   TrackedRequest* beginRun(string const& id, string const& path, string const& body, int lastEventId);
--- a/tools/soak/lot_checker.cpp
+++ b/tools/soak/lot_checker.cpp
@@ -143,7 +143,7 @@
       fail(lot, "MIXED", place + " lists " + output.item + " as finished with an unexpected text", output.item);
     return;
   }
-  bool const allowed = lot.endAsked || item.verdict != WorkerVerdict::completes;
+  bool const allowed = lot.endRequested || item.verdict != WorkerVerdict::completes;
   if (output.state != givenUpState || !allowed)
     fail(lot, "MIXED", place + " lists " + output.item + " in the unexpected state " + output.state, output.item);
 }
@@ -154,7 +154,7 @@
   if (answer.status == 200 && answer.body != ledger_.at(item).body)
     fail(lot, "MIXED", place + " returned a wrong body for " + item, item);
   bool const settled = answer.sentAt > lot.acceptedAt + bounds_.settleWithin;
-  return answer.status == 404 && settled && !lot.endAsked;
+  return answer.status == 404 && settled && !lot.endRequested;
 }
 
 void LotChecker::failMissingItem(Lot& lot, string const& item, string const& place) {
--- a/tools/soak/lot_checker.hpp
+++ b/tools/soak/lot_checker.hpp
@@ -23,8 +23,8 @@
   std::set<string> itemSet;
   State state = State::sending;
   TimePoint acceptedAt;
-  bool everUnclear = false;
-  bool endAsked = false;
+  bool hadUnclearAnswer = false;
+  bool endRequested = false;
   vector<SeenResult> seen;                  ///< results by position
   std::map<string, std::size_t> positions;  ///< positions of listed items
   std::set<string> reportedFailures;        ///< keys of reported failures, so that each is reported once
--- a/tools/soak/lot_client.cpp
+++ b/tools/soak/lot_client.cpp
@@ -39,7 +39,7 @@
       verdict_(verdict),
       random_(options.seed, "lots") {}
 
-Task<void> LotClient::arrivals() {
+Task<void> LotClient::submitLots() {
   while (!stopping_) {
     co_await sleepFor(random_.untilNext(options_.lotsPerSecond));
     if (!stopping_) spawnTask(io_, "lot", submit(drawLot()));
@@ -74,7 +74,7 @@
   double const draw = random_.share();
   if (draw < failingShare) item.verdict = WorkerVerdict::alwaysFails;
   if (draw > 1 - impossibleShare) item.verdict = WorkerVerdict::impossible;
-  return ledger_.enter(std::move(item)).id;
+  return ledger_.add(std::move(item)).id;
 }
 
 /// Every call must be answered unless the edge had an outage or closed the connection during shutdown.
@@ -100,7 +100,7 @@
 
 /// Submits a lot, with retries, until the outcome is clear.
 Task<void> LotClient::submit(Lot& lot) {
-  ++underWay_;
+  ++inFlight_;
   Ms pause = firstPause;
   bool const givesUpOnRefusal = random_.chance(noRetryShare);
   for (int attempt = 0; attempt < maxSubmissions && lot.state != Lot::State::accepted; ++attempt) {
@@ -109,7 +109,7 @@
     bool const accepted = answer.complete && answer.status == 202 && !answerLost;
     bool const promised = answer.complete && isNotRunStatus(answer.status) && !answerLost;
     if (accepted) lotChecker_.noteAccepted(lot);
-    if (!accepted && !promised) lot.everUnclear = true;
+    if (!accepted && !promised) lot.hadUnclearAnswer = true;
     // Some clients don't retry after a refusal; their lot must never run, even if capacity becomes free later.
     if (promised && givesUpOnRefusal) break;
     if (stopping_ && !accepted) break;
@@ -117,18 +117,18 @@
     pause = std::min(2 * pause, maxPause);
   }
   bool const accepted = lot.state == Lot::State::accepted;
-  if (!accepted && !lot.everUnclear) lotChecker_.noteRefused(lot);
-  if (!accepted && lot.everUnclear) lot.state = Lot::State::unclear;
+  if (!accepted && !lot.hadUnclearAnswer) lotChecker_.noteRefused(lot);
+  if (!accepted && lot.hadUnclearAnswer) lot.state = Lot::State::unclear;
   if (accepted && random_.chance(resentShare)) co_await post(lot, drawEdge(cluster_, random_));
   if (accepted && !options_.runsSelfTest && random_.chance(endedShare)) {
     co_await sleepFor(random_.duration(cluster_.bounds().settleWithin, 3 * cluster_.bounds().settleWithin));
     co_await end(lot);
   }
-  --underWay_;
+  --inFlight_;
 }
 
 Task<void> LotClient::end(Lot& lot) {
-  lot.endAsked = true;
+  lot.endRequested = true;
   for (int attempt = 0; attempt < maxSubmissions; ++attempt) {
     ClusterNode& edge = drawEdge(cluster_, random_);
     HttpRequest request = makeRequest(http::verb::delete_, "/lots/" + lot.id, lot.host);
@@ -141,7 +141,7 @@
       // Stores with an outage since then may go on running items; the bound holds for connected machines only.
       co_await sleepFor(cluster_.bounds().cancelWithin);
       if (!cluster_.isFaultFreeFor(2 * cluster_.bounds().inTouch)) co_return;
-      for (string const& item : lot.items) ledger_.at(item).neverAfter = Clock::now();
+      for (string const& item : lot.items) ledger_.at(item).mustNotRunAfter = Clock::now();
       co_return;
     }
     co_await sleepFor(maxPause / 2);
@@ -149,13 +149,13 @@
 }
 
 Task<void> LotClient::observe() {
-  ++underWay_;
+  ++inFlight_;
   while (!stopping_) {
     vector<Lot*> const lots = lotChecker_.accepted();
     if (!lots.empty()) co_await observeOnce(*lots[random_.index(lots.size())]);
     co_await sleepFor(observePause);
   }
-  --underWay_;
+  --inFlight_;
 }
 
 Task<void> LotClient::observeOnce(Lot& lot) {
--- a/tools/soak/lot_client.hpp
+++ b/tools/soak/lot_client.hpp
@@ -23,11 +23,11 @@
   LotClient(asio::io_context& io, Options const& options, Cluster& cluster, Ledger& ledger, LotChecker& book,
             SelfTest& runsSelfTest, Verdict& verdict);
   /// Submits lots at a rate until stop().
-  Task<void> arrivals();
+  Task<void> submitLots();
   /// Reads random lots, one at a time, until stop().
   Task<void> observe();
   void stop() { stopping_ = true; }
-  std::size_t underWay() const { return underWay_; }
+  std::size_t inFlight() const { return inFlight_; }
 
   /// Reads a page from a position and checks the answer.
   Task<LotReading> read(Lot& lot, ClusterNode& edge, std::uint64_t from, Ms hold);
@@ -53,7 +53,7 @@
   SelfTest& selfTest_;
   Verdict& verdict_;
   Random random_;
-  std::size_t underWay_ = 0;
+  std::size_t inFlight_ = 0;
   bool stopping_ = false;
 };
 
--- a/tools/soak/operator_client.cpp
+++ b/tools/soak/operator_client.cpp
@@ -145,8 +145,8 @@
   verdict_.count("races");
 }
 
-Task<void> OperatorClient::changes(Ms pause) {
-  ++underWay_;
+Task<void> OperatorClient::runChanges(Ms pause) {
+  ++inFlight_;
   while (!stopping_) {
     if (random_.chance(raceShare))
       co_await race();
@@ -154,16 +154,16 @@
       co_await change(Clock::now() + unlimited);
     co_await sleepFor(pause);
   }
-  --underWay_;
+  --inFlight_;
 }
 
-Task<void> OperatorClient::reads() {
-  ++underWay_;
+Task<void> OperatorClient::runReads() {
+  ++inFlight_;
   while (!stopping_) {
     co_await read(*random_.pick(cluster_.nodesOf(NodeRole::control)));
     co_await sleepFor(readPause);
   }
-  --underWay_;
+  --inFlight_;
 }
 
 Task<std::optional<std::uint64_t>> OperatorClient::read(ClusterNode& control) {
--- a/tools/soak/operator_client.hpp
+++ b/tools/soak/operator_client.hpp
@@ -13,13 +13,13 @@
   /// Sends one change based on the newest acknowledged version; false if it isn't acknowledged in time.
   Task<bool> change(TimePoint until);
   /// Changes the configuration, with a pause between changes, until stop().
-  Task<void> changes(Ms pause);
+  Task<void> runChanges(Ms pause);
   /// Sends an evacuation order for a zone to random control nodes until one acknowledges it; false on a timeout.
   Task<bool> orderEvacuation(http::verb verb, string zone, Ms limit);
   /// Reads the configuration at random control nodes until stop().
-  Task<void> reads();
+  Task<void> runReads();
   void stop() { stopping_ = true; }
-  std::size_t underWay() const { return underWay_; }
+  std::size_t inFlight() const { return inFlight_; }
   /// Reads the configuration at one node and checks it. Returns its version, 0 if there is no configuration yet, or
   /// nothing if the read failed.
   Task<std::optional<std::uint64_t>> read(ClusterNode& control);
@@ -57,7 +57,7 @@
   std::deque<SentChange> sent_;
   vector<Acknowledged> acknowledged_;
   ClusterNode* acknowledgedBy_ = nullptr;
-  std::size_t underWay_ = 0;
+  std::size_t inFlight_ = 0;
   bool stopping_ = false;
 };
 
--- a/tools/soak/platform_ledger.cpp
+++ b/tools/soak/platform_ledger.cpp
@@ -9,18 +9,18 @@
   return true;
 }
 
-vector<string> PlatformLedger::take(DutyCall const& call, TimePoint now) {
+vector<string> PlatformLedger::record(DutyCall const& call, TimePoint now) {
   vector<string> violations;
   string const& holder = holders_.emplace(std::pair(call.subject, call.fence), call.owner).first->second;
   if (holder != call.owner)
     violations.push_back(call.subject + ": fence " + std::to_string(call.fence) + " is used by " + holder + " and " +
                          call.owner);
-  std::deque<Taken>& recent = recent_[call.subject];
+  std::deque<AcceptedCall>& recent = recent_[call.subject];
   while (!recent.empty() && now - recent.front().at >= lease_) recent.pop_front();
   bool calledByOther = false;
-  for (auto taken = recent.rbegin(); taken != recent.rend(); ++taken) {
-    if (taken->owner != call.owner) calledByOther = true;
-    if (taken->owner == call.owner && calledByOther) {
+  for (auto accepted = recent.rbegin(); accepted != recent.rend(); ++accepted) {
+    if (accepted->owner != call.owner) calledByOther = true;
+    if (accepted->owner == call.owner && calledByOther) {
       violations.push_back(call.subject + ": " + call.owner +
                            " calls again within a lease after a call of another owner");
       break;
--- a/tools/soak/platform_ledger.hpp
+++ b/tools/soak/platform_ledger.hpp
@@ -19,19 +19,19 @@
   /// False if the subject has been called under a higher fence: the call is rejected.
   bool admit(DutyCall const& call);
   /// Records an admitted call and returns the violations that it shows.
-  vector<string> take(DutyCall const& call, TimePoint now);
+  vector<string> record(DutyCall const& call, TimePoint now);
   /// Unreported windows between the first and the last reported one.
   std::size_t gaps() const;
 
  private:
-  struct Taken {
+  struct AcceptedCall {
     string owner;
     TimePoint at;
   };
   Ms lease_;
   std::map<string, std::uint64_t> highestFences_;               ///< highest fence by subject
   std::map<std::pair<string, std::uint64_t>, string> holders_;  ///< owner by subject and fence
-  std::map<string, std::deque<Taken>> recent_;                  ///< calls within the last lease period, by subject
+  std::map<string, std::deque<AcceptedCall>> recent_;           ///< calls within the last lease period, by subject
   std::map<std::int64_t, string> reports_;                      ///< report bodies by window
 };
 
--- a/tools/soak/request_client.cpp
+++ b/tools/soak/request_client.cpp
@@ -28,7 +28,7 @@
                              std::uint64_t seed)
     : io_(io), cluster_(cluster), ledger_(ledger), verdict_(verdict), random_(seed, "requests") {}
 
-Task<void> RequestClient::arrivals(double perSecond) {
+Task<void> RequestClient::sendRequests(double perSecond) {
   while (!stopping_) {
     co_await sleepFor(random_.untilNext(perSecond));
     if (!stopping_) spawnTask(io_, "request", oneRequest());
@@ -56,7 +56,7 @@
   request.body = "body of " + request.id;
   bool const isStream = kind == RequestKind::resumableStream || kind == RequestKind::singleStream;
   if (isStream) request.events = random_.between(minEvents, maxEvents);
-  return ledger_.enter(std::move(request));
+  return ledger_.add(std::move(request));
 }
 
 HttpRequest RequestClient::messageFor(TrackedRequest const& request) const {
@@ -71,9 +71,9 @@
   TrackedRequest& request = draw(drawKind());
   HttpRequest message = messageFor(request);
   message.keep_alive(true);
-  ++underWay_;
+  ++inFlight_;
   HttpAnswer const answer = co_await callOn(io_, connection, std::move(message), timeLeft + answerTimeoutMargin);
-  --underWay_;
+  --inFlight_;
   verdict_.count("requests on kept connections");
   check(edge, request, answer);
   co_return answer.complete&& answer.keepAlive;
@@ -82,10 +82,10 @@
 Task<bool> RequestClient::requestAt(ClusterNode& edge, RequestKind kind) {
   TrackedRequest& request = draw(kind);
   HttpRequest message = messageFor(request);
-  ++underWay_;
+  ++inFlight_;
   Address const to = edge.address(outsidePort);
   HttpAnswer const answer = co_await callHttp(io_, to, std::move(message), timeLeft + answerTimeoutMargin);
-  --underWay_;
+  --inFlight_;
   check(edge, request, answer);
   co_return answer.complete&& answer.status == 200;
 }
--- a/tools/soak/request_client.hpp
+++ b/tools/soak/request_client.hpp
@@ -11,9 +11,9 @@
  public:
   RequestClient(asio::io_context& io, Cluster& cluster, Ledger& ledger, Verdict& verdict, std::uint64_t seed);
   /// Sends requests at a rate until stop().
-  Task<void> arrivals(double perSecond);
+  Task<void> sendRequests(double perSecond);
   void stop() { stopping_ = true; }
-  std::size_t underWay() const { return underWay_; }
+  std::size_t inFlight() const { return inFlight_; }
   /// Sends one request to an edge and checks the answer; true if the request was served.
   Task<bool> requestAt(ClusterNode& edge, RequestKind kind);
   /// Sends one request of a random kind on an open connection and checks the answer; true if the connection may be
@@ -35,7 +35,7 @@
   Ledger& ledger_;
   Verdict& verdict_;
   Random random_;
-  std::size_t underWay_ = 0;
+  std::size_t inFlight_ = 0;
   bool stopping_ = false;
 };
 
--- a/tools/soak/self_test.cpp
+++ b/tools/soak/self_test.cpp
@@ -32,7 +32,7 @@
     running = lotChecker_.accepted();
     for (Lot* const lot : running)
       if (!lot->hasWorkers() && !lotWithoutBodies_) lotWithoutBodies_ = lot;
-    std::erase_if(running, [](Lot const* lot) { return !lot->hasWorkers() || lot->endAsked; });
+    std::erase_if(running, [](Lot const* lot) { return !lot->hasWorkers() || lot->endRequested; });
   }
   Lot& refused = *running[2];
   ClusterNode& ended = *cluster_.nodesOf(NodeRole::store)[0];
--- a/tools/soak/soak_run.cpp
+++ b/tools/soak/soak_run.cpp
@@ -97,10 +97,11 @@
 /// now on, and all that were due before.
 Task<void> SoakRun::checkUsageIsReported(TimePoint until) {
   std::int64_t const currentWindow = wallClockMs() / cluster_.bounds().reportWindow.count();
-  while (cluster_.reportsTaken().newestWindow < currentWindow && Clock::now() < until) co_await sleepFor(pollInterval);
-  Cluster::ReportsTaken const taken = cluster_.reportsTaken();
-  if (taken.newestWindow < currentWindow) verdict_.fail("Duty", "no usage was reported after all faults had ended");
-  if (taken.gaps) verdict_.fail("Duty", std::to_string(taken.gaps) + " usage windows were never reported");
+  while (cluster_.acceptedReports().newestWindow < currentWindow && Clock::now() < until)
+    co_await sleepFor(pollInterval);
+  Cluster::AcceptedReports const accepted = cluster_.acceptedReports();
+  if (accepted.newestWindow < currentWindow) verdict_.fail("Duty", "no usage was reported after all faults had ended");
+  if (accepted.gaps) verdict_.fail("Duty", std::to_string(accepted.gaps) + " usage windows were never reported");
 }
 
 Task<bool> SoakRun::startUp() {
@@ -122,15 +123,15 @@
 }
 
 void SoakRun::startClients() {
-  spawnTask(io_, "operator", operators_.changes(options_.changePause));
-  spawnTask(io_, "operator's reads", operators_.reads());
-  spawnTask(io_, "requests", requests_.arrivals(options_.requestsPerSecond));
-  spawnTask(io_, "lots", lots_.arrivals());
+  spawnTask(io_, "operator", operators_.runChanges(options_.changePause));
+  spawnTask(io_, "operator's reads", operators_.runReads());
+  spawnTask(io_, "requests", requests_.sendRequests(options_.requestsPerSecond));
+  spawnTask(io_, "lots", lots_.submitLots());
   if (options_.runsSelfTest) spawnTask(io_, "sabotage", selfTest_.run());
-  for (int i = 0; i < options_.keepAliveClients; ++i) spawnTask(io_, "kept client", keepAliveClients_.hold());
+  for (int i = 0; i < options_.keepAliveClients; ++i) spawnTask(io_, "kept client", keepAliveClients_.runClient());
   for (int i = 0; i < observers; ++i) spawnTask(io_, "observer", lots_.observe());
   for (string const& zone : cluster_.topology().zones)
-    for (int i = 0; i < tallyClientsPerZone; ++i) spawnTask(io_, "tallies", tallies_.callFrom(zone));
+    for (int i = 0; i < tallyClientsPerZone; ++i) spawnTask(io_, "tallies", tallies_.runInZone(zone));
   for (ClusterNode* const edge : cluster_.nodesOf(NodeRole::edge)) spawnTask(io_, "probe", probe_.watch(*edge));
 }
 
@@ -160,12 +161,12 @@
   tallies_.stop();
   operators_.stop();
   TimePoint const until = Clock::now() + drainLimit;
-  auto const underWay = [this] {
-    return lots_.underWay() + requests_.underWay() + keepAliveClients_.underWay() + probe_.underWay() +
-           operators_.underWay() + tallies_.underWay();
+  auto const inFlight = [this] {
+    return lots_.inFlight() + requests_.inFlight() + keepAliveClients_.inFlight() + probe_.inFlight() +
+           operators_.inFlight() + tallies_.inFlight();
   };
-  while (underWay() && Clock::now() < until) co_await sleepFor(pollInterval);
-  if (operators_.underWay())
+  while (inFlight() && Clock::now() < until) co_await sleepFor(pollInterval);
+  if (operators_.inFlight())
     verdict_.fail("CONFIG", "a configuration change has no clear outcome long after all faults had ended");
 }
 
--- a/tools/soak/stand_in_platform.cpp
+++ b/tools/soak/stand_in_platform.cpp
@@ -130,14 +130,14 @@
   calls_.push_back(now);
   if (static_cast<double>(calls_.size()) > options_.callsPerSecond) return 429;
   std::optional<DutyCall> const call = dutyCallFrom(request);
-  if (call) return take(*call);
+  if (call) return acceptCall(*call);
   std::cout << "FAILED Duty: invalid call of a duty: " << request.target() << " " << request.body() << std::endl;
   return 400;
 }
 
-int StandInPlatform::take(DutyCall const& call) {
+int StandInPlatform::acceptCall(DutyCall const& call) {
   if (!ledger_.admit(call)) return 409;
-  for (string const& violation : ledger_.take(call, Clock::now()))
+  for (string const& violation : ledger_.record(call, Clock::now()))
     std::cout << "FAILED ONE: " << violation << std::endl;
   print("taken " + call.subject + " " + std::to_string(call.window.value_or(0)) + " by " + call.owner +
         " under fence " + std::to_string(call.fence) + ", gaps " + std::to_string(ledger_.gaps()));
--- a/tools/soak/stand_in_platform.hpp
+++ b/tools/soak/stand_in_platform.hpp
@@ -44,7 +44,7 @@
   int statusFor(HttpRequest const& request);
   /// Prints a line prefixed with the time since the start.
   void print(string const& text) const;
-  int take(DutyCall const& call);
+  int acceptCall(DutyCall const& call);
 
   asio::io_context& io_;
   PlatformOptions options_;
--- a/tools/soak/stand_in_worker.cpp
+++ b/tools/soak/stand_in_worker.cpp
@@ -71,9 +71,9 @@
 Task<void> StandInWorker::acceptLoop(int incarnation) {
   while (incarnation == incarnation_) {
     error_code error;
-    tcp::socket taken = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, error));
+    tcp::socket accepted = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, error));
     if (error || incarnation != incarnation_) co_return;
-    Socket const socket = std::make_shared<tcp::socket>(std::move(taken));
+    Socket const socket = std::make_shared<tcp::socket>(std::move(accepted));
     open_.insert(socket);
     spawnTask(io_, "worker connection", serve(socket, incarnation));
   }
--- a/tools/soak/tally_client.cpp
+++ b/tools/soak/tally_client.cpp
@@ -19,8 +19,8 @@
   return *random_.pick(staysInZone ? inZone : all);
 }
 
-Task<void> TallyClient::callFrom(string zone) {
-  ++underWay_;
+Task<void> TallyClient::runInZone(string zone) {
+  ++inFlight_;
   while (!stopping_) {
     if (random_.chance(readShare))
       co_await readOnce(zone);
@@ -28,7 +28,7 @@
       co_await addOnce(zone);
     co_await sleepFor(betweenCalls);
   }
-  --underWay_;
+  --inFlight_;
 }
 
 Task<void> TallyClient::addOnce(string zone) {
