--- a/tools/soak/fault_driver.cpp
+++ b/tools/soak/fault_driver.cpp
@@ -16,8 +16,13 @@
 }  // namespace
 
 FaultDriver::FaultDriver(asio::io_context& io, Cluster& cluster, vector<std::unique_ptr<StandInWorker>>& workers,
-                         OperatorClient& operators, LotChecker const& book, Verdict& verdict)
-    : io_(io), cluster_(cluster), workers_(workers), operators_(operators), lotChecker_(book), verdict_(verdict) {}
+                         OperatorClient& operators, LotChecker const& lotChecker, Verdict& verdict)
+    : io_(io),
+      cluster_(cluster),
+      workers_(workers),
+      operators_(operators),
+      lotChecker_(lotChecker),
+      verdict_(verdict) {}
 
 Task<void> FaultDriver::run(Episode episode) {
   std::shared_ptr<std::size_t> const pending = std::make_shared<std::size_t>(episode.faults.size());
--- a/tools/soak/fault_driver.hpp
+++ b/tools/soak/fault_driver.hpp
@@ -10,7 +10,7 @@
 class FaultDriver {
  public:
   FaultDriver(asio::io_context& io, Cluster& cluster, vector<std::unique_ptr<StandInWorker>>& workers,
-              OperatorClient& operators, LotChecker const& book, Verdict& verdict);
+              OperatorClient& operators, LotChecker const& lotChecker, Verdict& verdict);
   /// Injects the faults of an episode; returns when all of them have ended.
   Task<void> run(Episode episode);
 
--- a/tools/soak/final_checks.cpp
+++ b/tools/soak/final_checks.cpp
@@ -11,14 +11,14 @@
 }  // namespace
 
 FinalChecks::FinalChecks(asio::io_context& io, Cluster& cluster, OperatorClient& operators, RequestClient& requests,
-                         EdgeProbe& probe, LotClient& lots, LotChecker& book, Verdict& verdict)
+                         EdgeProbe& probe, LotClient& lots, LotChecker& lotChecker, Verdict& verdict)
     : io_(io),
       cluster_(cluster),
       operators_(operators),
       requests_(requests),
       probe_(probe),
       lots_(lots),
-      lotChecker_(book),
+      lotChecker_(lotChecker),
       verdict_(verdict) {}
 
 Task<void> FinalChecks::run() {
--- a/tools/soak/final_checks.hpp
+++ b/tools/soak/final_checks.hpp
@@ -8,7 +8,7 @@
 class FinalChecks {
  public:
   FinalChecks(asio::io_context& io, Cluster& cluster, OperatorClient& operators, RequestClient& requests,
-              EdgeProbe& probe, LotClient& lots, LotChecker& book, Verdict& verdict);
+              EdgeProbe& probe, LotClient& lots, LotChecker& lotChecker, Verdict& verdict);
   Task<void> run();
 
  private:
--- a/tools/soak/lot_checker.hpp
+++ b/tools/soak/lot_checker.hpp
@@ -57,19 +57,19 @@
   void noteAccepted(Lot& lot);
   /// Records that every attempt was refused: none of the lot's items may ever run.
   void noteRefused(Lot& lot);
-  /// Checks the answer to a read from a position. `place` is the edge's name for failure messages.
-  void checkRead(Lot& lot, std::uint64_t from, HttpAnswer const& answer, string const& place);
+  /// Checks the answer to a read from a position. `edgeName` is for failure messages.
+  void checkRead(Lot& lot, std::uint64_t from, HttpAnswer const& answer, string const& edgeName);
   /// Checks the answer to a read of an item's body. True if it is a 404, which is correct only for a listed item.
-  bool checkItem(Lot& lot, string const& item, HttpAnswer const& answer, string const& place);
+  bool checkItem(Lot& lot, string const& item, HttpAnswer const& answer, string const& edgeName);
   /// Fails the run if an item without a body isn't listed; call it after a fresh read of the whole lot.
-  void failMissingItem(Lot& lot, string const& item, string const& place);
+  void failMissingItem(Lot& lot, string const& item, string const& edgeName);
   /// Reports a failure of a lot, once for each rule and key.
   void fail(Lot& lot, string_view rule, string const& text, string const& key);
 
  private:
-  void checkOutput(Lot& lot, std::uint64_t position, LotPage::Output const& output, string const& place);
-  void checkContent(Lot& lot, LotPage::Output const& output, string const& place);
-  void noteNewResult(Lot& lot, LotPage::Output const& output, string const& place);
+  void checkOutput(Lot& lot, std::uint64_t position, LotPage::Output const& output, string const& edgeName);
+  void checkContent(Lot& lot, LotPage::Output const& output, string const& edgeName);
+  void noteNewResult(Lot& lot, LotPage::Output const& output, string const& edgeName);
 
   Ledger& ledger_;
   Verdict& verdict_;
--- a/tools/soak/lot_client.cpp
+++ b/tools/soak/lot_client.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 constexpr int maxSubmissions = 8;
-constexpr Ms firstPause{100}, maxPause{1000}, submitLimit{12000}, readNonNegativeReal{6000}, endLimit{10000};
+constexpr Ms firstRetryPause{100}, maxRetryDelay{1000}, submitLimit{12000}, readNonNegativeReal{6000}, endLimit{10000};
 constexpr Ms observePause{60};
 constexpr double failingShare = 0.02, impossibleShare = 0.02, endedShare = 0.06, resentShare = 0.1,
-                 lostAnswerShare = 0.05, noRetryShare = 0.3, bodyShare = 0.2, earlierShare = 0.4;
+                 lostAnswerShare = 0.05, noRetryShare = 0.3, bodyShare = 0.2, rereadShare = 0.4;
 constexpr string_view errorStart = "{\"error\":\"";
 constexpr int minItemEvents = 2, maxItemEvents = 8;
 
@@ -28,14 +28,14 @@
 }
 }  // namespace
 
-LotClient::LotClient(asio::io_context& io, Options const& options, Cluster& cluster, Ledger& ledger, LotChecker& book,
-                     SelfTest& runsSelfTest, Verdict& verdict)
+LotClient::LotClient(asio::io_context& io, Options const& options, Cluster& cluster, Ledger& ledger,
+                     LotChecker& lotChecker, SelfTest& selfTest, Verdict& verdict)
     : io_(io),
       options_(options),
       cluster_(cluster),
       ledger_(ledger),
-      lotChecker_(book),
-      selfTest_(runsSelfTest),
+      lotChecker_(lotChecker),
+      selfTest_(selfTest),
       verdict_(verdict),
       random_(options.seed, "lots") {}
 
@@ -101,7 +101,7 @@
 /// Submits a lot, with retries, until the outcome is clear.
 Task<void> LotClient::submit(Lot& lot) {
   ++inFlight_;
-  Ms pause = firstPause;
+  Ms pause = firstRetryPause;
   bool const givesUpOnRefusal = random_.chance(noRetryShare);
   for (int attempt = 0; attempt < maxSubmissions && lot.state != Lot::State::accepted; ++attempt) {
     HttpAnswer const answer = co_await post(lot, drawEdge(cluster_, random_));
@@ -114,7 +114,7 @@
     if (promised && givesUpOnRefusal) break;
     if (stopping_ && !accepted) break;
     if (!accepted) co_await sleepFor(pause);
-    pause = std::min(2 * pause, maxPause);
+    pause = std::min(2 * pause, maxRetryDelay);
   }
   bool const accepted = lot.state == Lot::State::accepted;
   if (!accepted && !lot.hadUnclearAnswer) lotChecker_.noteRefused(lot);
@@ -144,7 +144,7 @@
       for (string const& item : lot.items) ledger_.at(item).mustNotRunAfter = Clock::now();
       co_return;
     }
-    co_await sleepFor(maxPause / 2);
+    co_await sleepFor(maxRetryDelay / 2);
   }
 }
 
@@ -167,7 +167,7 @@
     co_return;
   }
   std::size_t const listedBefore = lot.seen.size();
-  bool const readsAgain = listedBefore > 0 && random_.chance(earlierShare);
+  bool const readsAgain = listedBefore > 0 && random_.chance(rereadShare);
   std::uint64_t const from = readsAgain ? random_.index(listedBefore) : listedBefore;
   co_await read(lot, edge, from, random_.chance(0.5) ? Ms(1000) : Ms(0));
 }
--- a/tools/soak/lot_client.hpp
+++ b/tools/soak/lot_client.hpp
@@ -20,8 +20,8 @@
 /// Clients of lots: they submit lots, read them from any position at any edge, read item bodies and end some lots.
 class LotClient {
  public:
-  LotClient(asio::io_context& io, Options const& options, Cluster& cluster, Ledger& ledger, LotChecker& book,
-            SelfTest& runsSelfTest, Verdict& verdict);
+  LotClient(asio::io_context& io, Options const& options, Cluster& cluster, Ledger& ledger, LotChecker& lotChecker,
+            SelfTest& selfTest, Verdict& verdict);
   /// Submits lots at a rate until stop().
   Task<void> submitLots();
   /// Reads random lots, one at a time, until stop().
--- a/tools/soak/operator_client.cpp
+++ b/tools/soak/operator_client.cpp
@@ -126,18 +126,18 @@
 Task<void> OperatorClient::race() {
   SentChange& second = draw();
   std::uint64_t const base = second.base;
-  std::shared_ptr<std::optional<Outcome>> const otherEnd = std::make_shared<std::optional<Outcome>>();
+  std::shared_ptr<std::optional<Outcome>> const otherOutcome = std::make_shared<std::optional<Outcome>>();
   auto const run = [](OperatorClient* self, SentChange* change,
                       std::shared_ptr<std::optional<Outcome>> end) -> Task<void> {
     *end = co_await self->send(*change, Clock::now() + unlimited);
   };
   SentChange& first = draw();
   first.base = base;
-  spawnTask(io_, "rival operator", run(this, &first, otherEnd));
+  spawnTask(io_, "rival operator", run(this, &first, otherOutcome));
   Outcome const end = co_await send(second, Clock::now() + unlimited);
-  while (!otherEnd->has_value()) co_await sleepFor(retryPause);
-  bool const bothTaken = end == Outcome::acknowledged && *otherEnd == Outcome::acknowledged;
-  bool const noneTaken = end == Outcome::refused && *otherEnd == Outcome::refused;
+  while (!otherOutcome->has_value()) co_await sleepFor(retryPause);
+  bool const bothTaken = end == Outcome::acknowledged && *otherOutcome == Outcome::acknowledged;
+  bool const noneTaken = end == Outcome::refused && *otherOutcome == Outcome::refused;
   string const names =
       std::to_string(second.version) + " and " + std::to_string(first.version) + " based on " + std::to_string(base);
   if (bothTaken) verdict_.fail("CONFIG", "versions " + names + " were both acknowledged");
--- a/tools/soak/self_test.cpp
+++ b/tools/soak/self_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr Ms selfTestPollInterval{20}, unreportedWarmUp{6000}, platformCallLimit{2000};
-/// Accepted lots with workers that the self-test needs, besides one without workers: only items that nobody runs stay
+/// Accepted lots with workers that the self-test needs, besides one without workers. Only the latter's items stay
 /// unlisted until the end, so that their bodies are read.
 constexpr std::size_t runningLots = 3;
 string const selfTestLog = "sabotage.log", invariantLine = "E invariant soak: written on purpose";
--- a/tools/soak/self_test.hpp
+++ b/tools/soak/self_test.hpp
@@ -11,12 +11,12 @@
 class SelfTest {
  public:
   SelfTest(asio::io_context& io, bool on, Cluster& cluster, vector<std::unique_ptr<StandInWorker>>& workers,
-           LotChecker& book, TallyClient& tallies, Verdict& verdict)
+           LotChecker& lotChecker, TallyClient& tallies, Verdict& verdict)
       : io_(io),
         on_(on),
         cluster_(cluster),
         workers_(workers),
-        lotChecker_(book),
+        lotChecker_(lotChecker),
         tallies_(tallies),
         verdict_(verdict) {}
   /// Waits until enough lots have been accepted, then injects the violations.
--- a/tools/soak/stand_in_platform.cpp
+++ b/tools/soak/stand_in_platform.cpp
@@ -70,7 +70,7 @@
     spawnTask(io_, "platform call", serve(std::make_shared<tcp::socket>(std::move(socket))));
   });
   spawnTask(io_, "platform recovery", awaitRecovery());
-  if (!options_.neverMisbehaves) spawnTask(io_, "platform moods", changeBehavior());
+  if (!options_.neverMisbehaves) spawnTask(io_, "platform behavior", changeBehavior());
 }
 
 Task<void> StandInPlatform::awaitRecovery() {
--- a/tools/soak/stand_in_worker.cpp
+++ b/tools/soak/stand_in_worker.cpp
@@ -246,9 +246,9 @@
   HttpAnswer const answer = co_await callHttp(io_, to, std::move(request), heartbeatLimit);
   if (!answer.complete || answer.status / 100 != 2 || random_.chance(lostHeartbeatShare)) co_return false;
   string const mark = "\"reportTo\":\"";
-  std::size_t const place = answer.body.find(mark);
-  if (place == string::npos) co_return true;
-  std::size_t const begin = place + mark.size();
+  std::size_t const position = answer.body.find(mark);
+  if (position == string::npos) co_return true;
+  std::size_t const begin = position + mark.size();
   string_view const text = string_view(answer.body).substr(begin, answer.body.find('"', begin) - begin);
   to = parseAddress(text).value_or(to);
   co_return true;
