--- a/control/capacity_controller.cpp
+++ b/control/capacity_controller.cpp
@@ -28,7 +28,7 @@
       workers_(workers),
       evacuations_(evacuations),
       backoff_(settings.bounds.lease),
-      accepted_(metrics().counter("tealshelf_capacity_orders_total", "Orders of workers by the platform's answer",
+      accepted_(metrics().counter("tealshelf_capacity_orders_total", "Orders of workers by their answer",
                                   {{"end", "taken"}})),
       failed_(metrics().counter("tealshelf_capacity_orders_total", "", {{"end", "not_taken"}})) {}
 
--- a/control/control_metrics.cpp
+++ b/control/control_metrics.cpp
@@ -4,22 +4,20 @@
 
 namespace {
 Gauge lotsIn(string const& state) {
-  return metrics().gauge("tealshelf_control_lots", "Lots in the keyspaces that this node owns, by state.",
-                         {{"state", state}});
+  return metrics().gauge("tealshelf_control_lots", "Lots in the keyspaces owned here, by state.", {{"state", state}});
 }
 }  // namespace
 
 ControlMetrics::ControlMetrics()
-    : members_(metrics().gauge("tealshelf_control_members", "Members of the control plane, as known to this node.")),
-      hasMajority_(
-          metrics().gauge("tealshelf_control_has_majority", "1 while this node is in contact with a majority.")),
+    : members_(metrics().gauge("tealshelf_control_members", "Members of the control plane, as known here.")),
+      hasMajority_(metrics().gauge("tealshelf_control_has_majority", "1 while a majority is heard.")),
       keyspacesOwned_(metrics().gauge("tealshelf_control_keyspaces_owned", "Keyspaces that this node owns.")),
-      recoveries_(metrics().gauge("tealshelf_control_recoveries", "Recoveries of lots in progress.")),
+      recoveries_(metrics().gauge("tealshelf_control_recoveries", "Recoveries of lots that are under way.")),
       lotsOpening_(lotsIn("opening")),
       lotsAccepted_(lotsIn("accepted")),
       lotsEnded_(lotsIn("ended")),
       lotsBelowCopies_(metrics().gauge("tealshelf_control_lots_below_copies",
-                                       "Lots recorded with fewer holders than surviveMachines requires.")) {}
+                                       "Lots recorded with fewer holders than the losses to survive need.")) {}
 
 void ControlMetrics::LotCounts::add(LotRecord const& lot, std::size_t neededCopies) {
   if (lot.state == LotState::opening) {
--- a/control/duty_holder.cpp
+++ b/control/duty_holder.cpp
@@ -19,12 +19,11 @@
       contact_(driver.consensus().self().id, settings.bounds.lease, Clock::now()),
       preference_(driver.consensus().self().id, settings.bounds.lease),
       claims_(metrics().counter("tealshelf_duties_claims_total", "Claims of the duties by this node")),
-      relinquishments_(
-          metrics().counter("tealshelf_duties_given_up_total", "Times that this node relinquished the duties")),
+      relinquishments_(metrics().counter("tealshelf_duties_given_up_total", "Duties that this node gave up")),
       holds_(metrics().gauge("tealshelf_duties_held", "1 while this node may call the platform")),
       fence_(metrics().gauge("tealshelf_duties_fence", "Fencing token of this node's last claim")),
       silence_(metrics().gauge("tealshelf_platform_silence_seconds",
-                               "Seconds since this node last reached the platform, or started")) {
+                               "Since this node last reached the platform, or started")) {
   sampler_ = metrics().sample([this] { sample(); });
 }
 
--- a/control/usage_collector.cpp
+++ b/control/usage_collector.cpp
@@ -25,10 +25,9 @@
       time_(settings.bounds.inTouch / 2),
       backoff_(settings.bounds.lease),
       closed_(metrics().counter("tealshelf_usage_windows_closed_total", "Windows of usage that this node closed")),
-      sent_(metrics().counter("tealshelf_usage_reports_total", "Reports of usage by the platform's answer",
-                              {{"end", "taken"}})),
+      sent_(metrics().counter("tealshelf_usage_reports_total", "Reports of usage by their answer", {{"end", "taken"}})),
       failed_(metrics().counter("tealshelf_usage_reports_total", "", {{"end", "not_taken"}})),
-      unclosed_(metrics().gauge("tealshelf_usage_open_windows", "Windows of usage that have ended and aren't closed")),
+      unclosed_(metrics().gauge("tealshelf_usage_open_windows", "Windows of usage that ended and aren't closed")),
       unsent_(metrics().gauge("tealshelf_usage_unsent_reports", "Reports that the platform hasn't acknowledged")) {
   sampler_ = metrics().sample([this] {
     if (!settings_.provider.exists()) return;
--- a/lots/replicas/store_metrics.cpp
+++ b/lots/replicas/store_metrics.cpp
@@ -12,10 +12,9 @@
 
 StoreMetrics::StoreMetrics()
     : replicas_(metrics().gauge("tealshelf_store_replicas", "Replicas of lots on this store.")),
-      damaged_(metrics().gauge("tealshelf_store_damaged_replicas", "Replicas that may have lost records.")),
+      damaged_(metrics().gauge("tealshelf_store_damaged_replicas", "Replicas of which records may be lost.")),
       replicaBytes_(metrics().gauge("tealshelf_store_replica_bytes", "Bytes of items and results of all replicas.")),
-      unusable_(
-          metrics().gauge("tealshelf_store_unusable_replicas", "Replicas that this store should hold but can't use.")),
+      unusable_(metrics().gauge("tealshelf_store_unusable_replicas", "Replicas wanted here that can't be used.")),
       hasLease_(metrics().gauge("tealshelf_store_has_lease", "1 while a majority grants this store its lease.")) {}
 
 void StoreMetrics::sample(ReplicaTable const& replicas, std::size_t unusable, bool hasLease) {
--- a/rollouts/rollout_machine.cpp
+++ b/rollouts/rollout_machine.cpp
@@ -74,12 +74,12 @@
   std::uint64_t const lastStage = plan.shares.size() - 1;
   if (record.stage >= lastStage) {
     if (!inputs.confirmed || !inputs.drained) return std::nullopt;
-    return ended(record, inputs, RolloutState::finished, "the old version gets no requests and has none in flight");
+    return ended(record, inputs, RolloutState::finished, "nothing goes to or runs at the old version");
   }
   bool const isLate = inputs.elapsed > maxDurationsWithoutTarget * Ms(record.durationMs);
   if (!inputs.targetExists) {
     if (!isLate) return std::nullopt;
-    return ended(record, inputs, RolloutState::reverted, "the new version still has no workers");
+    return ended(record, inputs, RolloutState::reverted, "no worker has the new version");
   }
   if (!inputs.confirmed) return std::nullopt;
   if (fitsBudget(record, plan, inputs)) return atStage(record, plan, inputs, lastStage, trafficSummary(inputs));
--- a/rollouts/version_evidence.cpp
+++ b/rollouts/version_evidence.cpp
@@ -38,7 +38,7 @@
       wilsonLowerBound(target.failed, total) < failureRate(old) + minFailureRateExcess)
     return std::nullopt;
   std::ostringstream text;
-  text << target.failed << " of " << total << " responses failed, at the old version " << old.failed << " of "
+  text << target.failed << " of " << total << " answers failed, of the old version " << old.failed << " of "
        << old.failed + old.succeeded;
   return text.str();
 }
@@ -49,8 +49,8 @@
   double const error = std::sqrt(target.latency.varianceOfMean() + old.latency.varianceOfMean());
   if (difference - latencyQuantile * error < std::log(minSlowdown)) return std::nullopt;
   std::ostringstream text;
-  text << "responses take " << std::fixed << std::setprecision(1) << std::exp(difference) << " times as long, over "
-       << target.latency.count << " samples";
+  text << "answers take " << std::fixed << std::setprecision(1) << std::exp(difference) << " times as long, by "
+       << target.latency.count << " of them";
   return text.str();
 }
 }  // namespace
--- a/traffic/warm_up_gate.hpp
+++ b/traffic/warm_up_gate.hpp
@@ -37,10 +37,10 @@
   FleetView& view_;
   ConnectionPool& pool_;
   CreditClient credits_;
-  Counter probes_ =
-      metrics().counter("tealshelf_warm_up_probes_total", "Health requests to workers whose known state isn't recent.");
+  Counter probes_ = metrics().counter("tealshelf_warm_up_probes_total",
+                                      "Workers asked for their health, as what is known of them isn't recent.");
   Counter denied_ = metrics().counter("tealshelf_warm_up_denied_total",
-                                      "Requests not sent to a worker because it is, or may be, warming up.");
+                                      "Requests that a worker was not sent as it warms up, or may do so.");
 };
 
 }  // namespace tealshelf
