--- a/tools/soak/lot_client.cpp
+++ b/tools/soak/lot_client.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 constexpr int maxSubmissions = 8;
-constexpr Ms firstRetryPause{100}, maxRetryDelay{1000}, submitLimit{12000}, readNonNegativeReal{6000}, endLimit{10000};
+constexpr Ms firstSubmissionPause{100}, maxSubmissionPause{1000}, submitLimit{12000}, lotReadLimit{6000},
+    endLimit{10000};
 constexpr Ms observePause{60};
 constexpr double failingShare = 0.02, impossibleShare = 0.02, endedShare = 0.06, resentShare = 0.1,
                  lostAnswerShare = 0.05, noRetryShare = 0.3, bodyShare = 0.2, rereadShare = 0.4;
@@ -101,7 +102,7 @@
 /// Submits a lot, with retries, until the outcome is clear.
 Task<void> LotClient::submit(Lot& lot) {
   ++inFlight_;
-  Ms pause = firstRetryPause;
+  Ms pause = firstSubmissionPause;
   bool const givesUpOnRefusal = random_.chance(noRetryShare);
   for (int attempt = 0; attempt < maxSubmissions && lot.state != Lot::State::accepted; ++attempt) {
     HttpAnswer const answer = co_await post(lot, drawEdge(cluster_, random_));
@@ -114,7 +115,7 @@
     if (promised && givesUpOnRefusal) break;
     if (stopping_ && !accepted) break;
     if (!accepted) co_await sleepFor(pause);
-    pause = std::min(2 * pause, maxRetryDelay);
+    pause = std::min(2 * pause, maxSubmissionPause);
   }
   bool const accepted = lot.state == Lot::State::accepted;
   if (!accepted && !lot.hadUnclearAnswer) lotChecker_.noteRefused(lot);
@@ -144,7 +145,7 @@
       for (string const& item : lot.items) ledger_.at(item).mustNotRunAfter = Clock::now();
       co_return;
     }
-    co_await sleepFor(maxRetryDelay / 2);
+    co_await sleepFor(maxSubmissionPause / 2);
   }
 }
 
@@ -176,7 +177,7 @@
   string const target = "/lots/" + lot.id + "?startAfter=" + std::to_string(from);
   HttpRequest request = makeRequest(http::verb::get, target, lot.host);
   if (hold > Ms(0)) request.set("Hold-Read-Ms", std::to_string(hold.count()));
-  HttpAnswer answer = co_await callHttp(io_, edge.address(outsidePort), std::move(request), readNonNegativeReal);
+  HttpAnswer answer = co_await callHttp(io_, edge.address(outsidePort), std::move(request), lotReadLimit);
   selfTest_.corruptRead(lot, answer);
   checkIsAnswered(edge, "a read of lot " + lot.id, answer);
   lotChecker_.checkRead(lot, from, answer, edge.plan.name);
@@ -206,7 +207,7 @@
 
 Task<ReadOutcome> LotClient::readBody(Lot& lot, ClusterNode& edge, string item) {
   HttpRequest request = makeRequest(http::verb::get, "/items/" + lot.id + "?serverId=" + item, lot.host);
-  HttpAnswer answer = co_await callHttp(io_, edge.address(outsidePort), std::move(request), readNonNegativeReal);
+  HttpAnswer answer = co_await callHttp(io_, edge.address(outsidePort), std::move(request), lotReadLimit);
   selfTest_.corruptBody(lot, answer);
   checkIsAnswered(edge, "the body of " + item, answer);
   bool const missing = lotChecker_.checkItem(lot, item, answer, edge.plan.name);
