--- a/tools/soak/edge_probe.cpp
+++ b/tools/soak/edge_probe.cpp
@@ -14,7 +14,7 @@
     : io_(io), cluster_(cluster), operators_(operators), ledger_(ledger), verdict_(verdict), random_(seed, "probe") {}
 
 Task<void> EdgeProbe::watch(ClusterNode& edge) {
-  ++inFlight_;
+  ++callsInFlight_;
   ObservedVersion observed;
   while (!stopping_) {
     co_await sleepFor(probePeriod);
@@ -27,7 +27,7 @@
     if (observed.incarnation != incarnation) observed = ObservedVersion{incarnation, 0, {}};
     check(edge, observed, version, answer);
   }
-  --inFlight_;
+  --callsInFlight_;
 }
 
 /// Picks one of the newest acknowledged versions; 0 if there is none.
--- a/tools/soak/edge_probe.hpp
+++ b/tools/soak/edge_probe.hpp
@@ -13,7 +13,7 @@
   /// Probes one edge periodically until stop().
   Task<void> watch(ClusterNode& edge);
   void stop() { stopping_ = true; }
-  std::size_t inFlight() const { return inFlight_; }
+  std::size_t callsInFlight() const { return callsInFlight_; }
   /// True if an edge serves the marker route of a version.
   Task<bool> serves(ClusterNode& edge, std::uint64_t version);
 
@@ -39,7 +39,7 @@
   Ledger& ledger_;
   Verdict& verdict_;
   Random random_;
-  std::size_t inFlight_ = 0;
+  std::size_t callsInFlight_ = 0;
   bool stopping_ = false;
   std::uint64_t newestVersion_ = 0;
   std::map<string, Ms> waitsAtNewest_;  ///< run queue waits by process name
--- a/tools/soak/keep_alive_client.cpp
+++ b/tools/soak/keep_alive_client.cpp
@@ -7,14 +7,14 @@
 }  // namespace
 
 Task<void> KeepAliveClient::runClient() {
-  ++inFlight_;
+  ++callsInFlight_;
   while (!stopping_) {
     ClusterNode& edge = drawEdge(cluster_, random_);
     bool isReachable = true;
     while (isReachable && !stopping_) isReachable = co_await useConnection(edge);
     co_await sleepFor(maxRequestPause);
   }
-  --inFlight_;
+  --callsInFlight_;
 }
 
 Task<bool> KeepAliveClient::useConnection(ClusterNode& edge) {
--- a/tools/soak/keep_alive_client.hpp
+++ b/tools/soak/keep_alive_client.hpp
@@ -12,7 +12,7 @@
   /// Runs one client until stop().
   Task<void> runClient();
   void stop() { stopping_ = true; }
-  std::size_t inFlight() const { return inFlight_; }
+  std::size_t callsInFlight() const { return callsInFlight_; }
 
  private:
   /// Opens a connection and uses it until it ends; false if it couldn't be opened.
@@ -23,7 +23,7 @@
   RequestClient& requests_;
   Verdict& verdict_;
   Random random_;
-  std::size_t inFlight_ = 0;
+  std::size_t callsInFlight_ = 0;
   bool stopping_ = false;
 };
 
--- a/tools/soak/lot_client.cpp
+++ b/tools/soak/lot_client.cpp
@@ -101,7 +101,7 @@
 
 /// Submits a lot, with retries, until the outcome is clear.
 Task<void> LotClient::submit(Lot& lot) {
-  ++inFlight_;
+  ++callsInFlight_;
   Ms pause = firstSubmissionPause;
   bool const givesUpOnRefusal = random_.chance(noRetryShare);
   for (int attempt = 0; attempt < maxSubmissions && lot.state != Lot::State::accepted; ++attempt) {
@@ -125,7 +125,7 @@
     co_await sleepFor(random_.duration(cluster_.bounds().settleWithin, 3 * cluster_.bounds().settleWithin));
     co_await end(lot);
   }
-  --inFlight_;
+  --callsInFlight_;
 }
 
 Task<void> LotClient::end(Lot& lot) {
@@ -150,13 +150,13 @@
 }
 
 Task<void> LotClient::observe() {
-  ++inFlight_;
+  ++callsInFlight_;
   while (!stopping_) {
     vector<Lot*> const lots = lotChecker_.accepted();
     if (!lots.empty()) co_await observeOnce(*lots[random_.index(lots.size())]);
     co_await sleepFor(observePause);
   }
-  --inFlight_;
+  --callsInFlight_;
 }
 
 Task<void> LotClient::observeOnce(Lot& lot) {
--- a/tools/soak/lot_client.hpp
+++ b/tools/soak/lot_client.hpp
@@ -27,7 +27,7 @@
   /// Reads random lots, one at a time, until stop().
   Task<void> observe();
   void stop() { stopping_ = true; }
-  std::size_t inFlight() const { return inFlight_; }
+  std::size_t callsInFlight() const { return callsInFlight_; }
 
   /// Reads a page from a position and checks the answer.
   Task<LotReading> read(Lot& lot, ClusterNode& edge, std::uint64_t from, Ms hold);
@@ -53,7 +53,7 @@
   SelfTest& selfTest_;
   Verdict& verdict_;
   Random random_;
-  std::size_t inFlight_ = 0;
+  std::size_t callsInFlight_ = 0;
   bool stopping_ = false;
 };
 
--- a/tools/soak/operator_client.cpp
+++ b/tools/soak/operator_client.cpp
@@ -146,7 +146,7 @@
 }
 
 Task<void> OperatorClient::runChanges(Ms pause) {
-  ++inFlight_;
+  ++callsInFlight_;
   while (!stopping_) {
     if (random_.chance(raceShare))
       co_await race();
@@ -154,16 +154,16 @@
       co_await change(Clock::now() + unlimited);
     co_await sleepFor(pause);
   }
-  --inFlight_;
+  --callsInFlight_;
 }
 
 Task<void> OperatorClient::runReads() {
-  ++inFlight_;
+  ++callsInFlight_;
   while (!stopping_) {
     co_await read(*random_.pick(cluster_.nodesOf(NodeRole::control)));
     co_await sleepFor(readPause);
   }
-  --inFlight_;
+  --callsInFlight_;
 }
 
 Task<std::optional<std::uint64_t>> OperatorClient::read(ClusterNode& control) {
--- a/tools/soak/operator_client.hpp
+++ b/tools/soak/operator_client.hpp
@@ -19,7 +19,7 @@
   /// Reads the configuration at random control nodes until stop().
   Task<void> runReads();
   void stop() { stopping_ = true; }
-  std::size_t inFlight() const { return inFlight_; }
+  std::size_t callsInFlight() const { return callsInFlight_; }
   /// Reads the configuration at one node and checks it. Returns its version, 0 if there is no configuration yet, or
   /// nothing if the read failed.
   Task<std::optional<std::uint64_t>> read(ClusterNode& control);
@@ -57,7 +57,7 @@
   std::deque<SentChange> sent_;
   vector<Acknowledged> acknowledged_;
   ClusterNode* acknowledgedBy_ = nullptr;
-  std::size_t inFlight_ = 0;
+  std::size_t callsInFlight_ = 0;
   bool stopping_ = false;
 };
 
--- a/tools/soak/request_client.cpp
+++ b/tools/soak/request_client.cpp
@@ -71,9 +71,9 @@
   TrackedRequest& request = draw(drawKind());
   HttpRequest message = messageFor(request);
   message.keep_alive(true);
-  ++inFlight_;
+  ++callsInFlight_;
   HttpAnswer const answer = co_await callOn(io_, connection, std::move(message), timeLeft + answerTimeoutMargin);
-  --inFlight_;
+  --callsInFlight_;
   verdict_.count("requests on kept connections");
   check(edge, request, answer);
   co_return answer.complete&& answer.keepAlive;
@@ -82,10 +82,10 @@
 Task<bool> RequestClient::requestAt(ClusterNode& edge, RequestKind kind) {
   TrackedRequest& request = draw(kind);
   HttpRequest message = messageFor(request);
-  ++inFlight_;
+  ++callsInFlight_;
   Address const to = edge.address(outsidePort);
   HttpAnswer const answer = co_await callHttp(io_, to, std::move(message), timeLeft + answerTimeoutMargin);
-  --inFlight_;
+  --callsInFlight_;
   check(edge, request, answer);
   co_return answer.complete&& answer.status == 200;
 }
--- a/tools/soak/request_client.hpp
+++ b/tools/soak/request_client.hpp
@@ -13,7 +13,7 @@
   /// Sends requests at a rate until stop().
   Task<void> sendRequests(double perSecond);
   void stop() { stopping_ = true; }
-  std::size_t inFlight() const { return inFlight_; }
+  std::size_t callsInFlight() const { return callsInFlight_; }
   /// Sends one request to an edge and checks the answer; true if the request was served.
   Task<bool> requestAt(ClusterNode& edge, RequestKind kind);
   /// Sends one request of a random kind on an open connection and checks the answer; true if the connection may be
@@ -35,7 +35,7 @@
   Ledger& ledger_;
   Verdict& verdict_;
   Random random_;
-  std::size_t inFlight_ = 0;
+  std::size_t callsInFlight_ = 0;
   bool stopping_ = false;
 };
 
--- a/tools/soak/soak_run.cpp
+++ b/tools/soak/soak_run.cpp
@@ -162,11 +162,11 @@
   operators_.stop();
   TimePoint const until = Clock::now() + drainLimit;
   auto const inFlight = [this] {
-    return lots_.inFlight() + requests_.inFlight() + keepAliveClients_.inFlight() + probe_.inFlight() +
-           operators_.inFlight() + tallies_.inFlight();
+    return lots_.callsInFlight() + requests_.callsInFlight() + keepAliveClients_.callsInFlight() +
+           probe_.callsInFlight() + operators_.callsInFlight() + tallies_.callsInFlight();
   };
-  while (inFlight() && Clock::now() < until) co_await sleepFor(pollInterval);
-  if (operators_.inFlight())
+  while (callsInFlight() && Clock::now() < until) co_await sleepFor(pollInterval);
+  if (operators_.callsInFlight())
     verdict_.fail("CONFIG", "a configuration change has no clear outcome long after all faults had ended");
 }
 
--- a/tools/soak/tally_client.cpp
+++ b/tools/soak/tally_client.cpp
@@ -20,7 +20,7 @@
 }
 
 Task<void> TallyClient::runInZone(string zone) {
-  ++inFlight_;
+  ++callsInFlight_;
   while (!stopping_) {
     if (random_.chance(readShare))
       co_await readOnce(zone);
@@ -28,7 +28,7 @@
       co_await addOnce(zone);
     co_await sleepFor(betweenCalls);
   }
-  --inFlight_;
+  --callsInFlight_;
 }
 
 Task<void> TallyClient::addOnce(string zone) {
--- a/tools/soak/tally_client.hpp
+++ b/tools/soak/tally_client.hpp
@@ -15,7 +15,7 @@
   /// Acts as an application in a zone until stop().
   Task<void> runInZone(string zone);
   void stop() { stopping_ = true; }
-  std::size_t inFlight() const { return inFlight_; }
+  std::size_t callsInFlight() const { return callsInFlight_; }
   /// Compares the totals of all control nodes with the additions.
   Task<void> checkAtEnd(TimePoint until);
   /// For the self-test: records an acknowledged addition that was never sent; returns the tally's name.
@@ -55,7 +55,7 @@
   Random random_;
   std::deque<Addition> additions_;
   std::set<string> tallies_;
-  std::size_t inFlight_ = 0;
+  std::size_t callsInFlight_ = 0;
   bool stopping_ = false;
 };
 
