--- a/tools/soak/soak_run.cpp
+++ b/tools/soak/soak_run.cpp
@@ -161,7 +161,7 @@
   tallies_.stop();
   operators_.stop();
   TimePoint const until = Clock::now() + drainLimit;
-  auto const inFlight = [this] {
+  auto const callsInFlight = [this] {
     return lots_.callsInFlight() + requests_.callsInFlight() + keepAliveClients_.callsInFlight() +
            probe_.callsInFlight() + operators_.callsInFlight() + tallies_.callsInFlight();
   };
